--- a/bench/gateway_cost.cpp
+++ b/benchmarks/gateway_cost.cpp
@@ -15,8 +15,8 @@
 #include <iostream>
 
 #include "http/http.hpp"
-#include "web/service.hpp"
-#include "net/real.hpp"
+#include "web/server.hpp"
+#include "net/socket_event_loop.hpp"
 
 namespace {
 
@@ -74,8 +74,8 @@
 
 // Answers every message that ends a head and its body at once, or never.
 void echo(bool answers) {
-    net::RealWorld world;
-    const auto listener = world.listen({"127.0.0.1", invoker_port}).listener;
+    net::SocketEventLoop loop;
+    const auto listener = loop.listen({"127.0.0.1", invoker_port}).listener;
     auto talk = [&](std::shared_ptr<net::Stream> stream) -> Task<> {
         http::Inbox inbox(stream);
         for (;;) {
@@ -95,43 +95,43 @@
     auto accept = [&]() -> Task<> {
         for (;;) {
             auto accepted = co_await listener->accept();
-            if (!accepted.error) world.spawn(talk(accepted.stream));
+            if (!accepted.error) loop.spawn(talk(accepted.stream));
         }
     };
-    world.spawn(accept());
-    world.run();
+    loop.spawn(accept());
+    loop.run();
 }
 
 // The baseline: bytes from the client to the invoker and back, nothing read in them.
 void proxy() {
-    net::RealWorld world;
-    const auto listener = world.listen({"127.0.0.1", proxy_port}).listener;
+    net::SocketEventLoop loop;
+    const auto listener = loop.listen({"127.0.0.1", proxy_port}).listener;
     auto pump = [&](std::shared_ptr<net::Stream> from, std::shared_ptr<net::Stream> to) -> Task<> {
-        const auto outbox = std::make_shared<net::Outbox>(world, to);
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, to);
         std::vector<char> room(16 * 1024);
         for (;;) {
-            const net::Moved moved = co_await from->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await from->read(net::asio::buffer(room));
             if (moved.error) break;
-            outbox->send(std::string(room.data(), moved.bytes));
-            co_await outbox->below(64 * 1024);
+            write_queue->send(std::string(room.data(), moved.bytes));
+            co_await write_queue->wait_below(64 * 1024);
         }
         to->close();
     };
-    auto visit = [&](std::shared_ptr<net::Stream> client) -> Task<> {
+    auto sink = [&](std::shared_ptr<net::Stream> client) -> Task<> {
         const net::Address to{"127.0.0.1", invoker_port};
-        auto connected = co_await world.connect(to, 1s);
+        auto connected = co_await loop.connect(to, 1s);
         if (connected.error) co_return;
-        world.spawn(pump(client, connected.stream));
-        world.spawn(pump(connected.stream, client));
+        loop.spawn(pump(client, connected.stream));
+        loop.spawn(pump(connected.stream, client));
     };
     auto accept = [&]() -> Task<> {
         for (;;) {
             auto accepted = co_await listener->accept();
-            if (!accepted.error) world.spawn(visit(accepted.stream));
+            if (!accepted.error) loop.spawn(sink(accepted.stream));
         }
     };
-    world.spawn(accept());
-    world.run();
+    loop.spawn(accept());
+    loop.run();
 }
 
 struct Recording {
@@ -156,46 +156,46 @@
 };
 
 void serve(bool with_invoker, const Recording& recording = {}) {
-    net::RealWorld world;
-    Charter charter;
-    charter.listen = "127.0.0.1:" + std::to_string(gateway_port);
-    charter.log.file = "/dev/null";
-    charter.log.level = "warn";
-    charter.rulebook = {10s, 0.2, 2, 2s, 0s, 0, 0};
-    Allowances& may = charter.allowances;
-    may.call_off = may.probe = may.second_copies = may.retry_after = may.loads_on_demand = may.steady_units = true;
-    may.hops = 5;
-    may.controllers = 1;
-    may.longest_retry_after = 2s;
+    net::SocketEventLoop loop;
+    GatewayConfig config;
+    config.listen = "127.0.0.1:" + std::to_string(gateway_port);
+    config.log.file = "/dev/null";
+    config.log.level = "warn";
+    config.safety_rules = {10s, 0.2, 2, 2s, 0s, 0, 0};
+    Capabilities& may = config.capabilities;
+    may.cancellation = may.health_checks = may.hedging = may.retry_after = may.on_demand_loading = may.stable_capacity = true;
+    may.max_attempts = 5;
+    may.controller_count = 1;
+    may.max_retry_after = 2s;
     may.keep_alive = 10s;
-    may.tick = 5ms;
-    charter.pool.most = 20'000;
-    StatedUseCase& use = charter.use_cases["p"];
+    may.clock_resolution = 5ms;
+    config.pool.max_connections = 20'000;
+    NamedRequestClass& use = config.request_classes["p"];
     use.name = "p";
-    use.promised = 60s;
-    if (with_invoker) charter.list.fixed.push_back({"i", "127.0.0.1:" + std::to_string(invoker_port), "", "", 1, 0});
-    Log log(world, charter.log);
+    use.latency_target = 60s;
+    if (with_invoker) config.endpoint_source.fixed.push_back({"i", "127.0.0.1:" + std::to_string(invoker_port), "", "", 1, 0});
+    Log log(loop, config.log);
     std::unique_ptr<trace::Recorder> recorder;
-    trace::Recorded recorded;
+    trace::RecordCallback recorded;
     if (!recording.folder.empty()) {
-        trace::RecorderRules& rules = charter.trace;
+        trace::RecorderConfig& rules = config.trace;
         rules.folder = recording.folder;
-        rules.keep_files = 2;
-        rules.reasons = recording.reasons;
-        rules.sample = recording.sample;
-        recorder = std::make_unique<trace::Recorder>(rules, "cost", world.wall(), [&](const std::string& name) {
+        rules.max_files = 2;
+        rules.record_candidates = recording.reasons;
+        rules.sample_ratio = recording.sample;
+        recorder = std::make_unique<trace::Recorder>(rules, "cost", loop.wall_clock(), [&](const std::string& name) {
             return std::make_unique<StallingFile>(name, recording.stall_s);
         });
         recorded = [&recorder](const trace::Record& record) { recorder->offer(record); };
     }
-    web::Service gateway(world, charter, log, 1, std::move(recorded));
+    web::Server gateway(loop, config, log, 1, std::move(recorded));
     if (gateway.open()) _exit(1);
     if (recording.stall_s > 0)
-        world.at(Time(static_cast<Time::rep>((recording.stall_s + 1) * 1e6)), [&] {
+        loop.call_at(Time(static_cast<Time::rep>((recording.stall_s + 1) * 1e6)), [&] {
             fmt::print("  {} records written, {} dropped while the disk stood still\n", recorder->written(), recorder->dropped());
             std::fflush(stdout);
         });
-    world.run();
+    loop.run();
 }
 
 struct Figures {
@@ -204,7 +204,7 @@
 
 // Closed-loop clients on kept connections; the middle of the run counts.
 Figures load(std::uint16_t port, int connections, Time length) {
-    net::RealWorld world;
+    net::SocketEventLoop loop;
     const std::string text =
         "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: p\r\nplumkeel-time-left: 60000\r\n"
         "plumkeel-lanes: 10000\r\nContent-Type: text/plain\r\nContent-Length: 20\r\n\r\n01234567890123456789";
@@ -212,11 +212,11 @@
     const Time from = length / 4;
     auto client = [&]() -> Task<> {
         const net::Address to{"127.0.0.1", port};
-        auto connected = co_await world.connect(to, 2s);
+        auto connected = co_await loop.connect(to, 2s);
         if (connected.error) co_return;
         http::Inbox inbox(connected.stream);
-        while (world.now() < length) {
-            const Time sent = world.now();
+        while (loop.now() < length) {
+            const Time sent = loop.now();
             put(*connected.stream, text);
             http::bh::response_parser<http::bh::string_body> parser;
             parser.eager(true);
@@ -226,13 +226,13 @@
                 if (!error) error = inbox.feed(parser);
             }
             if (error) co_return;
-            if (world.now() > from && parser.get().result_int() == 200)
-                took.push_back(static_cast<double>((world.now() - sent).count()));
+            if (loop.now() > from && parser.get().result_int() == 200)
+                took.push_back(static_cast<double>((loop.now() - sent).count()));
         }
     };
-    for (int i = 0; i < connections; ++i) world.spawn(client());
-    world.at(length + 200ms, [&] { world.stop(); });
-    world.run();
+    for (int i = 0; i < connections; ++i) loop.spawn(client());
+    loop.call_at(length + 200ms, [&] { loop.stop(); });
+    loop.run();
     if (took.empty()) return {};
     const double all = static_cast<double>(took.size()) * 4 / 3;  // with those of the first quarter
     std::sort(took.begin(), took.end());
@@ -246,26 +246,26 @@
     Child subject(1, [&] { serve(with_invoker); });
     usleep(300'000);
     double before = 0, after = 0;
-    net::RealWorld world;
+    net::SocketEventLoop loop;
     std::vector<std::shared_ptr<net::Stream>> held;
     auto run = [&]() -> Task<> {
         const net::Address to{"127.0.0.1", gateway_port};
         for (int i = 0; i < count; ++i) {
-            auto connected = co_await world.connect(to, 2s);
+            auto connected = co_await loop.connect(to, 2s);
             if (connected.error) continue;
             held.push_back(connected.stream);
         }
-        co_await world.sleep(300ms);
+        co_await loop.sleep(300ms);
         before = subject.resident_kb();
         for (const auto& stream : held)
             put(*stream, "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: p\r\nplumkeel-time-left: 60000\r\n"
                          "plumkeel-lanes: 10000\r\nContent-Length: 20\r\n\r\n01234567890123456789");
-        co_await world.sleep(1500ms);
+        co_await loop.sleep(1500ms);
         after = subject.resident_kb();
-        world.stop();
+        loop.stop();
     };
-    world.spawn(run());
-    world.run();
+    loop.spawn(run());
+    loop.run();
     return (after - before) / static_cast<double>(held.size());
 }
 
--- a/bench/shipping_cost.cpp
+++ b/benchmarks/shipping_cost.cpp
@@ -7,8 +7,8 @@
 #include <chrono>
 #include <filesystem>
 
-#include "metrics/meters.hpp"
-#include "remote/spool.hpp"
+#include "metrics/gateway_metrics.hpp"
+#include "remote_write/durable_queue.hpp"
 
 using namespace plumkeel;
 using Clock = std::chrono::steady_clock;
@@ -18,32 +18,32 @@
 }
 
 static void count_jobs() {
-    metrics::Meters meters({}, "c");
-    constexpr int jobs = 1'000'000;
+    metrics::GatewayMetrics meters({}, "c");
+    constexpr int requests = 1'000'000;
     std::vector<std::string> functions, tenants;
     for (int i = 0; i < 300; ++i) functions.push_back("function-" + std::to_string(i));
     for (int i = 0; i < 10; ++i) tenants.push_back("tenant-" + std::to_string(i));
     const auto from = Clock::now();
-    for (int i = 0; i < jobs; ++i) {
+    for (int i = 0; i < requests; ++i) {
         const auto n = static_cast<std::size_t>(i);
-        meters.job_taken(false);
-        meters.hop_ended({Ending::honoured, Note::stood_loaded, true, false, Time(100'000 + i % 5000)});
-        meters.job_ended({"use", tenants[n % 10], functions[(n * n) % 300], JobState::honoured, Why::answer_came, false, Time(120'000), Time(500), 1});
+        meters.request_received(false);
+        meters.attempt_ended({AttemptOutcome::succeeded, LoadEvent::was_loaded, true, false, Time(100'000 + i % 5000)});
+        meters.request_ended({"use", tenants[n % 10], functions[(n * n) % 300], RequestState::succeeded, DecisionReason::response_received, false, Time(120'000), Time(500), 1});
         if (i % 100'000 == 0) meters.review();
     }
-    fmt::print("counting a job: {:.0f} ns on the controller's thread\n", since(from) / jobs * 1e9);
+    fmt::print("counting a job: {:.0f} ns on the controller's thread\n", since(from) / requests * 1e9);
 }
 
 static void ship(int series, int parts) {
     const std::string folder = std::filesystem::temp_directory_path() / ("plumkeel-spool-" + std::to_string(::getpid()));
     std::filesystem::remove_all(folder);
-    remote::SpoolRules rules;
+    remote_write::QueueConfig rules;
     rules.folder = folder;
-    rules.parts = parts;
-    rules.bytes = 1 << 30;
-    remote::Spool spool(rules, {"r"});
-    remote::Scraper scraper(parts);
-    std::vector<remote::Sample> samples;
+    rules.shards = parts;
+    rules.max_bytes = 1 << 30;
+    remote_write::DurableQueue spool(rules, {"r"});
+    remote_write::SeriesEncoder scraper(parts);
+    std::vector<remote_write::Sample> samples;
     for (int i = 0; i < series; ++i)
         samples.push_back({{{"__name__", "plumkeel_jobs_total"}, {"controller", "c1"}, {"function", "function-" + std::to_string(i)}, {"outcome", "honoured"}, {"tenant", "tenant-" + std::to_string(i % 50)}}, 0});
     double scraping = 0, storing = 0, packing = 0;
@@ -52,7 +52,7 @@
     for (int scrape = 1; scrape <= scrapes; ++scrape) {
         for (int i = 0; i < series; ++i) samples[static_cast<std::size_t>(i)].value += i % 7;
         auto from = Clock::now();
-        const auto made = scraper.scrape(samples, 1'700'000'000'000 + scrape * 5000);
+        const auto made = scraper.encode(samples, 1'700'000'000'000 + scrape * 5000);
         scraping += since(from);
         from = Clock::now();
         spool.append(1'700'000'000'000 + scrape * 5000, made);
--- a/bench/trace_size.cpp
+++ b/benchmarks/trace_size.cpp
@@ -26,10 +26,10 @@
     const std::string name = std::filesystem::temp_directory_path() / ("plumkeel-trace-" + std::to_string(::getpid()));
     auto ms = [](Clock::time_point from) { return std::chrono::duration<double, std::milli>(Clock::now() - from).count(); };
     auto record_of = [](int i) {  // a job's story: taken, hop started, hop ended, answered
-        const std::uint64_t job = 1 + static_cast<std::uint64_t>(i) / 4;
-        std::uint64_t dice = job * 6364136223846793005ULL + static_cast<std::uint64_t>(i);
+        const std::uint64_t request = 1 + static_cast<std::uint64_t>(i) / 4;
+        std::uint64_t dice = request * 6364136223846793005ULL + static_cast<std::uint64_t>(i);
         dice = (dice ^ (dice >> 29)) * 0xbf58476d1ce4e5b9ULL;
-        return Record{Time(std::int64_t{i} * 50 + static_cast<std::int64_t>(dice % 40)), static_cast<std::uint8_t>(10 + i % 4), job,
+        return Record{Time(std::int64_t{i} * 50 + static_cast<std::int64_t>(dice % 40)), static_cast<std::uint8_t>(10 + i % 4), request,
                       fmt::format("function-{}\tinvoker-{}\t{}\t{}", dice % 997 % 300, dice % 31, dice % 4000, (dice >> 20) % 100)};
     };
     fmt::print("{:>10} {:>12} {:>8} {:>7} {:>10} {:>12} {:>10} {:>8}\n", "block", "bytes/record", "ratio", "blocks", "write ms",
@@ -65,7 +65,7 @@
             FileSource source(name);
             Reader reader(source);
             int found = 0;
-            reader.of_job(record_of(i).job, [&](const Record&) { return ++found < 4; });
+            reader.of_job(record_of(i).request, [&](const Record&) { return ++found < 4; });
             if (!found) return 1;
             worst_job = std::max(worst_job, ms(from));
         }
@@ -96,13 +96,13 @@
         FileSource source(name);
         Reader reader(source);
         const double opened = ms(from);
-        const double memory = static_cast<double>(reader.places().capacity() * sizeof(Place));
+        const double memory = static_cast<double>(reader.places().capacity() * sizeof(BlockLocation));
         double worst_job = 0;
         for (int part = 0; part < 20; ++part) {
             make_cold(name);
             from = Clock::now();
             int found = 0;
-            reader.of_job(record_of(static_cast<int>(static_cast<long long>(records - 1) * part / 19)).job, [&](const Record&) { return ++found < 4; });
+            reader.of_job(record_of(static_cast<int>(static_cast<long long>(records - 1) * part / 19)).request, [&](const Record&) { return ++found < 4; });
             worst_job = std::max(worst_job, ms(from));
         }
         fmt::print("{:>12} {:>10.0f} {:>16.0f} {:>20.1f} {:>10.1f} {:>12.1f}\n", records, static_cast<double>(bytes) / 1e6, memory / 1024,
--- a/stand/auditor.cpp
+++ b/emulator/auditor.cpp
@@ -1,4 +1,4 @@
-#include "stand/auditor.hpp"
+#include "emulator/auditor.hpp"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <deque>
 #include <set>
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 std::string Auditor::Event::text(const char* key) const {
     const auto* value = line.if_contains(key);
@@ -31,9 +31,9 @@
     events_.push_back(std::move(event));
 }
 
-void Auditor::breach(const std::string& rule, const std::string& job, std::int64_t at, const std::string& what) {
+void Auditor::breach(const std::string& rule, const std::string& request, std::int64_t at, const std::string& what) {
     const std::int64_t first = events_.empty() ? 0 : events_.front().t;
-    verdict_.breaches.push_back({rule, job, what, at - first});
+    verdict_.breaches.push_back({rule, request, what, at - first});
 }
 
 std::int64_t Auditor::lag_near(const std::string& kind, const std::string& name, std::int64_t t) const {
@@ -65,7 +65,7 @@
     gather();
     check_answers();
     check_effects();
-    for (const auto& [name, job] : jobs_) check_hops(name, job);
+    for (const auto& [name, request] : jobs_) check_hops(name, request);
     check_drains();
     check_cold();
     check_loads();
@@ -83,20 +83,20 @@
         if (event.kind == "day" && e == "controller_frozen")
             frozen_[event.text("address")].emplace_back(event.t - event.figure("us"), event.t);
         if (event.kind != "invoker" || event.line.if_contains("job") == nullptr) continue;
-        Job& job = jobs_[event.text("controller") + "#" + event.text("job")];
-        job.controller = event.text("controller");
-        job.use = event.text("use");
-        job.origin = event.text("origin");
+        Job& request = jobs_[event.text("controller") + "#" + event.text("job")];
+        request.controller = event.text("controller");
+        request.use = event.text("use");
+        request.origin = event.text("origin");
         if (e == "hop") {
-            job.hops.push_back({event.figure("hop"), event.t, 0, event.name, "", event.text("mark")});
-            ++verdict_.hops;
+            request.attempts.push_back({event.figure("hop"), event.t, 0, event.name, "", event.text("mark")});
+            ++verdict_.attempts;
             continue;
         }
-        for (Hop& hop : job.hops)
-            if (hop.number == event.figure("hop") && hop.invoker == event.name) {
-                if (e == "run") hop.ran = true;
-                if (e == "answer") hop.word = event.text("word");
-                if ((e == "answer" || e == "cut" || e == "gone") && !hop.ended) hop.ended = event.t;
+        for (Hop& attempt : request.attempts)
+            if (attempt.number == event.figure("hop") && attempt.invoker == event.name) {
+                if (e == "run") attempt.ran = true;
+                if (e == "answer") attempt.word = event.text("word");
+                if ((e == "answer" || e == "cut" || e == "gone") && !attempt.ended) attempt.ended = event.t;
             }
         verdict_.effects += e == "run";
     }
@@ -121,13 +121,13 @@
     }
     for (const auto& [id, one] : tries) {
         if (!one.sent) continue;
-        ++verdict_.jobs;
-        const std::string job = one.sent->text("origin") + " try " + std::to_string(one.sent->figure("try"));
+        ++verdict_.requests;
+        const std::string request = one.sent->text("origin") + " try " + std::to_string(one.sent->figure("try"));
         if (one.answers.empty()) {
-            breach("no job lost", job, one.sent->t, "no end of it was seen at all");
+            breach("no job lost", request, one.sent->t, "no end of it was seen at all");
             continue;
         }
-        if (one.answers.size() > 1) breach("no job lost", job, one.answers[1]->t, "it was answered twice");
+        if (one.answers.size() > 1) breach("no job lost", request, one.answers[1]->t, "it was answered twice");
         const Event& answer = *one.answers.front();
         const std::string outcome = answer.text("outcome");
         const std::int64_t expiry = one.sent->t + one.sent->figure("left_us");
@@ -149,23 +149,23 @@
         } else if (frozen_past(one.sent->text("to"), expiry) > 0) {
             ++verdict_.lost_with_controller;
         } else {
-            breach("no job lost", job, answer.t, "its end was '" + outcome + "' and its controller lived");
+            breach("no job lost", request, answer.t, "its end was '" + outcome + "' and its controller lived");
         }
         const std::int64_t slack = stated_.slack + lag_near("clients", answer.name, answer.t) +
                                    frozen_past(one.sent->text("to"), expiry);
         if (final && answer.t > expiry + slack && !died)
-            breach("no job lost", job, answer.t,
+            breach("no job lost", request, answer.t,
                    fmt::format("answered {} ms after its expiry", (answer.t - expiry) / 1000));
     }
 
     // After the final answer nothing more is sent for a job. The invoker notes a hop when it reads it.
-    for (const auto& [name, job] : jobs_)
-        for (const Hop& hop : job.hops) {
-            if (!job.answer) break;
-            const std::int64_t slack = stated_.slack + lag_near("invoker", hop.invoker, hop.arrived);
-            if (hop.arrived > job.answer->t + slack && hop.number >= job.answer->figure("hops"))
-                breach("no job lost", name, hop.arrived,
-                       fmt::format("hop {} reached {} after the final answer", hop.number, hop.invoker));
+    for (const auto& [name, request] : jobs_)
+        for (const Hop& attempt : request.attempts) {
+            if (!request.answer) break;
+            const std::int64_t slack = stated_.slack + lag_near("invoker", attempt.invoker, attempt.arrived);
+            if (attempt.arrived > request.answer->t + slack && attempt.number >= request.answer->figure("hops"))
+                breach("no job lost", name, attempt.arrived,
+                       fmt::format("hop {} reached {} after the final answer", attempt.number, attempt.invoker));
         }
 }
 
@@ -173,7 +173,7 @@
 void Auditor::check_effects() {
     struct Run {
         std::int64_t t;
-        std::string invoker, job;
+        std::string invoker, request;
     };
     std::map<std::string, std::vector<Run>> runs;  // by origin
     std::map<std::string, std::string> uses;
@@ -184,11 +184,11 @@
             uses[origin] = event.text("use");
         }
     for (const auto& [origin, all] : runs) {
-        const auto use = stated_.use_cases.find(uses[origin]);
-        if (use == stated_.use_cases.end() || use->second.repeat == "replayable") continue;
+        const auto use = stated_.request_classes.find(uses[origin]);
+        if (use == stated_.request_classes.end() || use->second.repeat == "replayable") continue;
         for (std::size_t i = 1; i < all.size(); ++i) {
             if (use->second.repeat == "single_use") {
-                breach("no effect twice", all[i].job, all[i].t,
+                breach("no effect twice", all[i].request, all[i].t,
                        fmt::format("single-use {} ran at {} and again at {}", origin, all[0].invoker, all[i].invoker));
                 continue;
             }
@@ -198,7 +198,7 @@
             if (same && use->second.reach == "zone") same = a->second.zone == b->second.zone;
             if (same && use->second.reach == "cell") same = a->second.cell == b->second.cell;
             if (!same || all[i].t > all[0].t + use->second.remembered + stated_.slack)
-                breach("no effect twice", all[i].job, all[i].t,
+                breach("no effect twice", all[i].request, all[i].t,
                        fmt::format("referenced {} ran at {} and again at {}, outside its group or time", origin,
                                    all[0].invoker, all[i].invoker));
         }
@@ -206,13 +206,13 @@
 }
 
 // Rule 2, by what was sent, and the limits on hops.
-void Auditor::check_hops(const std::string& name, const Job& job) {
-    if (static_cast<int>(job.hops.size()) > stated_.hops)
-        breach("hops", name, job.hops.back().arrived, fmt::format("{} hops", job.hops.size()));
-    const auto found = stated_.use_cases.find(job.use);
-    const Stated::Use use = found == stated_.use_cases.end() ? Stated::Use{} : found->second;
+void Auditor::check_hops(const std::string& name, const Job& request) {
+    if (static_cast<int>(request.attempts.size()) > stated_.attempts)
+        breach("hops", name, request.attempts.back().arrived, fmt::format("{} hops", request.attempts.size()));
+    const auto found = stated_.request_classes.find(request.use);
+    const Stated::Use use = found == stated_.request_classes.end() ? Stated::Use{} : found->second;
     std::vector<const Hop*> order;
-    for (const Hop& hop : job.hops) order.push_back(&hop);
+    for (const Hop& attempt : request.attempts) order.push_back(&attempt);
     std::sort(order.begin(), order.end(), [](const Hop* a, const Hop* b) { return a->number < b->number; });
     for (std::size_t i = 1; i < order.size(); ++i)
         for (std::size_t k = 0; k < i; ++k) {
@@ -241,15 +241,15 @@
         }
     if (use.repeat == "replayable") return;
     // A bounce says that a further try is harmless.
-    if (!job.answer || job.answer->text("outcome") != "bounced") return;
-    for (const Hop& hop : job.hops) {
-        const bool never_ran = hop.word == "turned-away" || hop.word == "not-loaded";
-        if (never_ran || job.answer->t < hop.arrived) continue;
+    if (!request.answer || request.answer->text("outcome") != "bounced") return;
+    for (const Hop& attempt : request.attempts) {
+        const bool never_ran = attempt.word == "turned-away" || attempt.word == "not-loaded";
+        if (never_ran || request.answer->t < attempt.arrived) continue;
         const bool harmless = use.repeat == "referenced" && use.reach == "everywhere" &&
-                              job.answer->t < hop.arrived + use.remembered + stated_.slack;
+                              request.answer->t < attempt.arrived + use.remembered + stated_.slack;
         if (!harmless)
-            breach("no effect twice", name, job.answer->t,
-                   fmt::format("bounced though hop {} at {} may have run", hop.number, hop.invoker));
+            breach("no effect twice", name, request.answer->t,
+                   fmt::format("bounced though hop {} at {} may have run", attempt.number, attempt.invoker));
     }
 }
 
@@ -297,7 +297,7 @@
         std::int64_t started{};
         double capacity{}, share{}, multiple{}, work{};
         std::int64_t cold{}, span{};
-        std::deque<std::int64_t> hops;
+        std::deque<std::int64_t> attempts;
         bool told{};
     };
     std::map<std::string, Cold> cold;
@@ -317,11 +317,11 @@
         Cold& c = it->second;
         if (e == "fell") breach("no cold invoker pushed over", event.name, event.t, event.name + " fell over");
         if (e != "hop" || event.t > c.started + c.cold + c.span) continue;
-        c.hops.push_back(event.t);
-        while (c.hops.front() + c.span < event.t) c.hops.pop_front();
+        c.attempts.push_back(event.t);
+        while (c.attempts.front() + c.span < event.t) c.attempts.pop_front();
         const double risen = std::min(1.0, static_cast<double>(event.t - c.started) / static_cast<double>(c.cold));
         const double budget = c.multiple * c.capacity * (c.share + (1 - c.share) * risen) * static_cast<double>(c.span) / 1e6 + 3 * c.work;
-        const double used = static_cast<double>(c.hops.size()) * c.work / budget;
+        const double used = static_cast<double>(c.attempts.size()) * c.work / budget;
         verdict_.nearest_push = std::max(verdict_.nearest_push, used);
         if (used > 1 && !c.told) {
             c.told = true;
@@ -355,11 +355,11 @@
 
 std::string Verdict::line() const {
     if (breaches.empty())
-        return fmt::format("verdict: rules kept; jobs {}, honoured {}, bounced {}, written off {}, late {}", jobs,
+        return fmt::format("verdict: rules kept; jobs {}, honoured {}, bounced {}, written off {}, late {}", requests,
                            honoured, bounced, written_off, late);
     const Breach& first = breaches.front();
-    return fmt::format("verdict: {} breaches; first: {}: {} at {:.3f} s: {}", breaches.size(), first.rule, first.job,
+    return fmt::format("verdict: {} breaches; first: {}: {} at {:.3f} s: {}", breaches.size(), first.rule, first.request,
                        static_cast<double>(first.at) / 1e6, first.what);
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/auditor.hpp
+++ b/emulator/auditor.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 // What the deployment stated, in microseconds where not said otherwise.
 struct Stated {
     std::int64_t drain_grace = 2'000'000;
     std::int64_t slack = 60'000;  // for the ways between processes on one machine
-    int hops = 5;
+    int attempts = 5;
     bool second_copies = true;
     std::int64_t load_span{};
     double free_loads{}, loads_per_job{};
@@ -23,7 +23,7 @@
         std::string repeat = "replayable", reach = "everywhere";
         std::int64_t remembered{};
     };
-    std::map<std::string, Use> use_cases;
+    std::map<std::string, Use> request_classes;
     struct Place {
         std::string zone;
         int cell{};
@@ -32,13 +32,13 @@
 };
 
 struct Breach {
-    std::string rule, job, what;
+    std::string rule, request, what;
     std::int64_t at{};  // since the day's first line
 };
 
 struct Verdict {
-    std::uint64_t jobs{}, honoured{}, bounced{}, written_off{}, late{}, left{}, lost_with_controller{}, turned_back{},
-        hops{}, effects{};
+    std::uint64_t requests{}, honoured{}, bounced{}, written_off{}, late{}, left{}, lost_with_controller{}, turned_back{},
+        attempts{}, effects{};
     std::vector<Breach> breaches;
     double nearest_push{};  // the largest part of a cold invoker's budget that was used
     std::string line() const;
@@ -67,15 +67,15 @@
     };
     struct Job {
         std::string use, controller, origin;
-        std::vector<Hop> hops;
+        std::vector<Hop> attempts;
         const Event* answer{};  // its client's, where it was seen
     };
 
-    void breach(const std::string& rule, const std::string& job, std::int64_t at, const std::string& what);
+    void breach(const std::string& rule, const std::string& request, std::int64_t at, const std::string& what);
     void gather();
     void check_answers();
     void check_effects();
-    void check_hops(const std::string& name, const Job& job);
+    void check_hops(const std::string& name, const Job& request);
     void check_drains();
     void check_cold();
     void check_loads();
@@ -94,4 +94,4 @@
     Verdict verdict_;
 };
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/clients.cpp
+++ b/emulator/clients.cpp
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "web/protocol.hpp"
 #include "http/exchange.hpp"
-#include "stand/common.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 namespace field = protocol::field;
@@ -38,8 +38,8 @@
 class Clients {
 public:
     Clients(const std::string& file, const std::string& record) : record_(record), chance_(1) {
-        const auto settings = evaluate(file);
-        Reader in(settings, file);
+        const auto settings = evaluate_jsonnet(file);
+        JsonnetReader in(settings, file);
         std::size_t seed = 1;
         in.read("seed", seed);
         in.need("rate", rate_);
@@ -53,7 +53,7 @@
         in.read("work_sigma", work_sigma_);
         if (const auto* list = in.raw("controllers"))
             for (const auto& each : list->as_array()) controllers_.push_back(*net::Address::parse(std::string(each.as_string())));
-        in.members("use_cases", [&](const std::string& name, Reader& part) {
+        in.members("use_cases", [&](const std::string& name, JsonnetReader& part) {
             UseCase use;
             use.name = name;
             part.read("repeat", use.repeat);
@@ -66,7 +66,7 @@
             part.read("memory", use.memory);
             use_cases_.push_back(use);
         });
-        in.members("tenants", [&](const std::string& name, Reader& part) {
+        in.members("tenants", [&](const std::string& name, JsonnetReader& part) {
             Tenant tenant{name};
             part.read("share", tenant.share);
             tenants_.push_back(tenant);
@@ -75,11 +75,11 @@
         chance_ = Chance(seed);
         double sum = 0;
         for (std::size_t i = 0; i < functions_; ++i) weights_.push_back(sum += std::pow(static_cast<double>(i + 1), -zipf_));
-        Commands(world_, [this](const auto& words, const auto& options) { command(words, options); });
-        watch_lag(world_, record_);
+        Commands(loop_, [this](const auto& words, const auto& options) { command(words, options); });
+        watch_lag(loop_, record_);
     }
     int run() {
-        world_.run();
+        loop_.run();
         return 0;
     }
 
@@ -88,7 +88,7 @@
     // heavy share= factor= ; at_once on|off (retries without a wait)
     void command(const Commands::Words& words, const Commands::Options& options) {
         const std::string& verb = words[0];
-        if (verb == "start" && !std::exchange(on_, true)) world_.spawn(arrivals());
+        if (verb == "start" && !std::exchange(on_, true)) loop_.spawn(arrivals());
         if (verb == "stop") on_ = false;
         if (verb == "rate") factor_ = Commands::figure(options, "factor", 1);
         if (verb == "tenant")
@@ -108,7 +108,7 @@
     }
 
     net::Task<> arrivals() {
-        Time next = world_.now();
+        Time next = loop_.now();
         while (on_) {
             double boost = 0, whole = 0;
             for (const Tenant& tenant : tenants_) {
@@ -117,7 +117,7 @@
             }
             const double rate = rate_ * factor_ * (whole > 0 ? boost / whole : 1);
             next += Time(static_cast<Time::rep>(1e6 * chance_.exponential(1 / rate)));
-            if (next > world_.now()) co_await world_.sleep(next - world_.now());
+            if (next > loop_.now()) co_await loop_.sleep(next - loop_.now());
             if (on_) born();
         }
     }
@@ -133,41 +133,41 @@
     }
 
     void born() {
-        auto job = std::make_shared<Job>();
-        job->use = &pick(use_cases_, [](const UseCase& u) { return u.share; });
-        if (!tenants_.empty()) job->tenant = pick(tenants_, [](const Tenant& t) { return t.share * t.boost; }).name;
+        auto request = std::make_shared<Job>();
+        request->use = &pick(use_cases_, [](const UseCase& u) { return u.share; });
+        if (!tenants_.empty()) request->tenant = pick(tenants_, [](const Tenant& t) { return t.share * t.boost; }).name;
         const double draw = chance_.next();
         if (draw < scan_) {
-            job->function = fmt::format("{}-once-{}", job->use->name, ++once_);
+            request->function = fmt::format("{}-once-{}", request->use->name, ++once_);
         } else if (draw < scan_ + favourite_) {
-            job->function = fmt::format("{}-new-{}-{}", job->use->name, spell_, static_cast<int>(chance_.next() * favourites_));
+            request->function = fmt::format("{}-new-{}-{}", request->use->name, spell_, static_cast<int>(chance_.next() * favourites_));
         } else {
             const auto at = std::lower_bound(weights_.begin(), weights_.end(), chance_.next() * weights_.back());
-            job->function = fmt::format("{}-f{}", job->use->name, at - weights_.begin());
+            request->function = fmt::format("{}-f{}", request->use->name, at - weights_.begin());
         }
-        job->work_ms = chance_.lognormal(job->use->work_ms, work_sigma_);
-        if (chance_.next() < heavy_) job->work_ms *= heavy_factor_;
-        if (chance_.next() < large_share_) job->bytes_back = 200'000;
-        job->origin = fmt::format("o{}", ++origins_);
-        job->born = world_.now();
-        world_.spawn(life(job));
+        request->work_ms = chance_.lognormal(request->use->work_ms, work_sigma_);
+        if (chance_.next() < heavy_) request->work_ms *= heavy_factor_;
+        if (chance_.next() < large_share_) request->bytes_back = 200'000;
+        request->origin = fmt::format("o{}", ++origins_);
+        request->born = loop_.now();
+        loop_.spawn(life(request));
     }
 
-    net::Task<> life(std::shared_ptr<Job> job) {
+    net::Task<> life(std::shared_ptr<Job> request) {
         ++open_;
         for (;;) {
-            const Time left_of_all = job->born + job->use->expiry - world_.now();
-            const Time left = std::min(left_of_all, Time(static_cast<Time::rep>(static_cast<double>(job->use->expiry.count()) * try_share_)));
+            const Time left_of_all = request->born + request->use->expiry - loop_.now();
+            const Time left = std::min(left_of_all, Time(static_cast<Time::rep>(static_cast<double>(request->use->expiry.count()) * try_share_)));
             if (left < 50ms) break;
-            const Tried tried = co_await one_try(*job, left);
+            const Tried tried = co_await one_try(*request, left);
             const std::string& outcome = tried.outcome;
-            ++job->tries;
-            if (outcome == "honoured" || job->tries > retries_) break;
+            ++request->tries;
+            if (outcome == "honoured" || request->tries > retries_) break;
             const bool told_harmless = outcome == "bounced" || outcome == "unreachable";
-            if (!told_harmless && job->use->repeat != "replayable") break;
+            if (!told_harmless && request->use->repeat != "replayable") break;
             Time pause = again_after_;
             if (told_harmless) pause = std::max(pause, tried.pause);
-            if (!at_once_) co_await world_.sleep(pause);
+            if (!at_once_) co_await loop_.sleep(pause);
         }
         if (--open_ == 0 && !on_) record_.write("quiet", {});
     }
@@ -176,30 +176,30 @@
         std::string outcome;
         Time pause{};  // the controller asked to stay away for so long
     };
-    net::Task<Tried> one_try(const Job& job, Time left) {
+    net::Task<Tried> one_try(const Job& request, Time left) {
         const std::uint64_t id = ++tries_;
         const std::size_t to = static_cast<std::size_t>(chance_.next() * static_cast<double>(controllers_.size()));
         const net::Address address = controllers_[to];
-        std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", job.origin, job.work_ms, job.use->load_ms, job.bytes_back);
-        http::HeadWriter head("POST /v1/jobs/" + http::encoded(job.function) + " HTTP/1.1");
-        head.add("Host", address.text()).add("Connection", "close").add(field::use_case, job.use->name);
-        head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{job.use->lanes});
-        head.add(field::memory, std::int64_t{job.use->memory});
-        if (!job.tenant.empty()) head.add(field::tenant, job.tenant);
-        if (job.use->repeat == "referenced") head.add(field::mark, job.origin);
-        if (job.tries > 0) head.add(field::again, "1");
+        std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", request.origin, request.work_ms, request.use->load_ms, request.bytes_back);
+        http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
+        head.add("Host", address.text()).add("Connection", "close").add(field::request_class, request.use->name);
+        head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.use->lanes});
+        head.add(field::memory, std::int64_t{request.use->memory});
+        if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
+        if (request.use->repeat == "referenced") head.add(field::mark, request.origin);
+        if (request.tries > 0) head.add(field::again, "1");
         head.add("Content-Length", static_cast<std::int64_t>(body.size()));
         // Some leave before the time that they told.
         Time patience = left + 300ms;
         const bool leaves = chance_.next() < impatient_;
         if (leaves) patience = Time(static_cast<Time::rep>(static_cast<double>(left.count()) * chance_.next()));
-        record_.write("sent", {{"id", id}, {"origin", job.origin}, {"try", job.tries}, {"to", address.text()},
-                               {"use", job.use->name}, {"function", job.function}, {"tenant", job.tenant},
-                               {"left_us", left.count()}, {"promised_us", job.use->promised.count()}});
-        auto got = co_await http::exchange(world_, address, head.done(), std::move(body), patience);
+        record_.write("sent", {{"id", id}, {"origin", request.origin}, {"try", request.tries}, {"to", address.text()},
+                               {"use", request.use->name}, {"function", request.function}, {"tenant", request.tenant},
+                               {"left_us", left.count()}, {"promised_us", request.use->promised.count()}});
+        auto got = co_await http::exchange(loop_, address, head.done(), std::move(body), patience);
         std::string outcome;
         Time pause{};
-        boost::json::object line{{"id", id}, {"origin", job.origin}};
+        boost::json::object line{{"id", id}, {"origin", request.origin}};
         if (!got.error) {
             outcome = http::field(got.answer, field::outcome);
             if (const auto objection = http::field(got.answer, field::objection); !objection.empty()) {
@@ -208,8 +208,8 @@
             }
             line["status"] = got.answer.result_int();
             line["controller"] = http::field(got.answer, field::controller);
-            line["job"] = http::field(got.answer, field::job);
-            line["hops"] = http::field(got.answer, field::hops);
+            line["job"] = http::field(got.answer, field::request);
+            line["hops"] = http::field(got.answer, field::attempts);
             if (const auto ms = http::number<int>(http::field(got.answer, field::retry_after_ms)))
                 pause = std::chrono::milliseconds(*ms);
         } else if (got.error == net::asio::error::connection_refused) {
@@ -225,7 +225,7 @@
         co_return Tried{outcome, pause};
     }
 
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     Record record_;
     Chance chance_;
     std::vector<net::Address> controllers_;
@@ -247,4 +247,4 @@
     return Clients(file, record).run();
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/common.cpp
+++ b/emulator/common.cpp
@@ -1,4 +1,4 @@
-#include "stand/common.hpp"
+#include "emulator/common.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <sstream>
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 double Chance::exponential(double mean) {
     return -mean * std::log(1 - next());
@@ -30,16 +30,16 @@
 
 void Record::write(std::string_view event, boost::json::object fields) {
     boost::json::object line;
-    line["t"] = net::common_clock().count();
+    line["t"] = net::machine_clock().count();
     line["e"] = event;
     for (auto& [name, value] : fields) line[name] = std::move(value);
     const std::string text = boost::json::serialize(line) + "\n";
     if (::write(file_, text.data(), text.size()) != static_cast<ssize_t>(text.size())) std::exit(3);
 }
 
-Commands::Commands(net::RealWorld& world, Handler handler) {
-    world.on_input_line([&world, handler = std::move(handler)](std::optional<std::string> line) {
-        if (!line) return world.stop();
+Commands::Commands(net::SocketEventLoop& loop, Handler handler) {
+    loop.on_input_line([&loop, handler = std::move(handler)](std::optional<std::string> line) {
+        if (!line) return loop.stop();
         std::istringstream in(*line);
         Words words;
         Options options;
@@ -51,7 +51,7 @@
                 options[each.substr(0, equals)] = each.substr(equals + 1);
         }
         if (words.empty()) return;
-        if (words[0] == "quit") return world.stop();
+        if (words[0] == "quit") return loop.stop();
         handler(words, options);
     });
 }
@@ -66,8 +66,8 @@
     return it == options.end() ? otherwise : it->second;
 }
 
-void watch_lag(net::World& world, Record& record) {
-    auto watch = [](net::World& w, Record& r) -> net::Task<> {
+void watch_lag(net::EventLoop& loop, Record& record) {
+    auto watch = [](net::EventLoop& w, Record& r) -> net::Task<> {
         for (;;) {
             const Time before = w.now();
             co_await w.sleep(10ms);
@@ -75,19 +75,19 @@
             if (late > 15ms) r.write("lag", {{"us", late.count()}});
         }
     };
-    world.spawn(watch(world, record));
+    loop.spawn(watch(loop, record));
 }
 
-Talk::Talk(net::World& world, std::shared_ptr<net::Stream> stream, const Side& side)
-    : world_(world),
+Talk::Talk(net::EventLoop& loop, std::shared_ptr<net::Stream> stream, const Side& side)
+    : loop_(loop),
       stream_(std::move(stream)),
-      outbox_(std::make_shared<net::Outbox>(world, stream_)),
+      write_queue_(std::make_shared<net::WriteQueue>(loop, stream_)),
       side_(side),
       inbox_(stream_),
-      replied_(world) {}
+      replied_(loop) {}
 
 void Talk::start() {
-    world_.spawn(live(shared_from_this()));
+    loop_.spawn(live(shared_from_this()));
 }
 
 net::Task<> Talk::live(std::shared_ptr<Talk> self) {
@@ -120,24 +120,24 @@
         }
         on = on && keep_;
     }
-    co_await outbox_->below(0);
+    co_await write_queue_->wait_below(0);
     stream_->close();
 }
 
 void Talk::reply(std::string head, std::string body) {
-    outbox_->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
+    write_queue_->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
     open_ = false;
-    replied_.fire();
+    replied_.notify();
 }
 
 void Talk::reply_cut(std::string whole, std::size_t bytes) {
-    outbox_->send(whole.substr(0, bytes));
+    write_queue_->send(whole.substr(0, bytes));
     open_ = false;
     auto later = [](std::shared_ptr<Talk> self) -> net::Task<> {
-        co_await self->world_.sleep(5ms);  // so that the bytes arrive before the reset
+        co_await self->loop_.sleep(5ms);  // so that the bytes arrive before the reset
         self->stream_->reset();
     };
-    world_.spawn(later(shared_from_this()));
+    loop_.spawn(later(shared_from_this()));
 }
 
 void Talk::close() {
@@ -145,9 +145,9 @@
     stream_->close();
 }
 
-void accept_talks(net::World& world, std::shared_ptr<net::Listener> listener, const Talk::Side& side,
+void accept_talks(net::EventLoop& loop, std::shared_ptr<net::Listener> listener, const Talk::Side& side,
                   std::function<void(const std::shared_ptr<Talk>&)> came) {
-    auto run = [](net::World& w, std::shared_ptr<net::Listener> l, const Talk::Side& s,
+    auto run = [](net::EventLoop& w, std::shared_ptr<net::Listener> l, const Talk::Side& s,
                   std::function<void(const std::shared_ptr<Talk>&)> tell) -> net::Task<> {
         std::uint64_t numbers = 0;
         for (;;) {
@@ -163,15 +163,15 @@
             talk->start();
         }
     };
-    world.spawn(run(world, std::move(listener), side, std::move(came)));
+    loop.spawn(run(loop, std::move(listener), side, std::move(came)));
 }
 
-std::shared_ptr<net::Listener> must_listen(net::World& world, std::uint16_t port) {
-    const auto listened = world.listen({"127.0.0.1", port});
+std::shared_ptr<net::Listener> must_listen(net::EventLoop& loop, std::uint16_t port) {
+    const auto listened = loop.listen({"127.0.0.1", port});
     if (!listened.error) return listened.listener;
-    std::cerr << "plumkeel-stand: port " << port << ": " << listened.error.message() << ' ' << net::holder_of(port)
+    std::cerr << "plumkeel-stand: port " << port << ": " << listened.error.message() << ' ' << net::listening_process(port)
               << '\n';
     std::exit(2);
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/common.hpp
+++ b/emulator/common.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "chance/pcg.hpp"
+#include "random/pcg.hpp"
 #include "http/http.hpp"
-#include "net/outbox.hpp"
-#include "net/real.hpp"
+#include "net/write_queue.hpp"
+#include "net/socket_event_loop.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 using net::Time;
 using namespace std::chrono_literals;
@@ -48,13 +48,13 @@
     using Words = std::vector<std::string>;
     using Options = std::map<std::string, std::string>;
     using Handler = std::function<void(const Words&, const Options&)>;
-    Commands(net::RealWorld& world, Handler handler);
+    Commands(net::SocketEventLoop& loop, Handler handler);
     static double figure(const Options& options, const std::string& key, double otherwise);
     static std::string text(const Options& options, const std::string& key, const std::string& otherwise = "");
 };
 
 // Notes in the record when this process itself was held up: its times are then that much too late.
-void watch_lag(net::World& world, Record& record);
+void watch_lag(net::EventLoop& loop, Record& record);
 
 // One connection of a client to a stand-in; one question at a time.
 class Talk : public std::enable_shared_from_this<Talk> {
@@ -64,7 +64,7 @@
         std::function<void(const std::shared_ptr<Talk>&, Message)> asked;
         std::function<void(const std::shared_ptr<Talk>&)> gone;  // the peer left an open question
     };
-    Talk(net::World& world, std::shared_ptr<net::Stream> stream, const Side& side);
+    Talk(net::EventLoop& loop, std::shared_ptr<net::Stream> stream, const Side& side);
     void start();
     void reply(std::string head, std::string body);  // ends the open question
     void reset() { stream_->reset(); }
@@ -78,21 +78,21 @@
 private:
     net::Task<> live(std::shared_ptr<Talk> self);
 
-    net::World& world_;
+    net::EventLoop& loop_;
     std::shared_ptr<net::Stream> stream_;
-    std::shared_ptr<net::Outbox> outbox_;
+    std::shared_ptr<net::WriteQueue> write_queue_;
     const Side& side_;
     http::Inbox inbox_;
-    net::Signal replied_;
+    net::Notification replied_;
     bool open_{}, keep_{};
 };
 
 // Accepts until the listener is closed.
-void accept_talks(net::World& world, std::shared_ptr<net::Listener> listener, const Talk::Side& side,
+void accept_talks(net::EventLoop& loop, std::shared_ptr<net::Listener> listener, const Talk::Side& side,
                   std::function<void(const std::shared_ptr<Talk>&)> came = {});
 
 // The listener at a loopback port, or the end of the process with the reason told.
-std::shared_ptr<net::Listener> must_listen(net::World& world, std::uint16_t port);
+std::shared_ptr<net::Listener> must_listen(net::EventLoop& loop, std::uint16_t port);
 
 int run_invoker(const std::string& file, const std::string& record);
 int run_list(const std::string& file, const std::string& record);
@@ -100,4 +100,4 @@
 int run_store(const std::string& file, const std::string& record);
 int run_clients(const std::string& file, const std::string& record);
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/day.cpp
+++ b/emulator/day.cpp
@@ -1,4 +1,4 @@
-#include "stand/day.hpp"
+#include "emulator/day.hpp"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -9,10 +9,10 @@
 #include <iostream>
 #include <set>
 
-#include "net/real.hpp"
-#include "stand/common.hpp"
+#include "net/socket_event_loop.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 namespace bp = boost::process;
@@ -75,8 +75,8 @@
         ::signal(SIGPIPE, SIG_IGN);
         choose_ports();
         start_all();
-        world_.spawn(script());
-        world_.run();
+        loop_.spawn(script());
+        loop_.run();
         end_all();
         Verdict verdict = audit();
         for (const std::string& fault : faults_) verdict.breaches.push_back({"program", "", fault, 0});
@@ -96,7 +96,7 @@
         const std::size_t replaced = 2;
         std::vector<std::shared_ptr<net::Listener>> held;
         for (std::size_t i = 0; i < plan_.invokers.size() * replaced + static_cast<std::size_t>(plan_.controllers) + 3; ++i) {
-            held.push_back(must_listen(world_, 0));
+            held.push_back(must_listen(loop_, 0));
             ports_.push_back(held.back()->address().port);
         }
         for (const auto& each : held) each->close();
@@ -187,24 +187,24 @@
     }
 
     net::Task<> script() {
-        co_await world_.sleep(1s);  // all parts are up and know each other
-        const Time begin = world_.now();
+        co_await loop_.sleep(1s);  // all parts are up and know each other
+        const Time begin = loop_.now();
         clients_->say("start");
         std::vector<std::pair<Time, std::function<void()>>> steps;
         for (const Happening& it : plan_.happenings) lay_out(it, steps);
         std::stable_sort(steps.begin(), steps.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
         for (auto& [at, what] : steps) {
             if (at >= plan_.length) break;
-            const Time now = world_.now() - begin;
-            if (at > now) co_await world_.sleep(at - now);
+            const Time now = loop_.now() - begin;
+            if (at > now) co_await loop_.sleep(at - now);
             what();
         }
-        if (world_.now() - begin < plan_.length) co_await world_.sleep(plan_.length - (world_.now() - begin));
+        if (loop_.now() - begin < plan_.length) co_await loop_.sleep(plan_.length - (loop_.now() - begin));
         for (auto& [at, what] : steps)
             if (at >= plan_.length) what();  // every fault is taken back
         clients_->say("stop");
-        co_await world_.sleep(longest_expiry() + 1500ms);
-        world_.stop();
+        co_await loop_.sleep(longest_expiry() + 1500ms);
+        loop_.stop();
     }
 
     Time longest_expiry() const {
@@ -212,7 +212,7 @@
         if (const auto* uses = plan_.clients.if_contains("use_cases"))
             for (const auto& [name, use] : uses->as_object())
                 if (const auto* span = use.as_object().if_contains("expiry"))
-                    longest = std::max(longest, span_of_text(std::string_view(span->as_string())));
+                    longest = std::max(longest, parse_duration(std::string_view(span->as_string())));
         return longest;
     }
 
@@ -221,7 +221,7 @@
     void lay_out(const Happening& it, Steps& steps) {
         auto add = [&](Time at, std::function<void()> what) { steps.emplace_back(at, std::move(what)); };
         auto say = [this](const std::string& line) {
-            if (talk_) std::cout << fmt::format("{:7.3f} s  {}\n", std::chrono::duration<double>(world_.now() - 1s).count(), line) << std::flush;
+            if (talk_) std::cout << fmt::format("{:7.3f} s  {}\n", std::chrono::duration<double>(loop_.now() - 1s).count(), line) << std::flush;
         };
         Time turn = it.at;
         for (const std::string& who : it.who) {
@@ -246,11 +246,11 @@
             } else if (it.kind == "kill_controller") {
                 add(it.at, [=, this] {
                     say(who + " is killed");
-                    const Time before = net::common_clock();
+                    const Time before = net::machine_clock();
                     controllers_.at(who)->kill();
                     record_->write("controller_killed", {{"name", who},
                                                          {"address", address(controller_ports_.at(who))},
-                                                         {"us", (net::common_clock() - before).count() + 1000}});
+                                                         {"us", (net::machine_clock() - before).count() + 1000}});
                 });
                 add(it.at + it.lasts, [=, this] { say(who + " is back"); start_controller(who); });
             } else if (it.kind == "freeze") {
@@ -339,7 +339,7 @@
     const DayPlan& plan_;
     const std::string folder_, programs_;
     const bool talk_;
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     std::unique_ptr<Record> record_;
     std::vector<std::uint16_t> ports_;
     std::uint16_t store_port_{}, list_port_{}, receiver_port_{};
@@ -358,4 +358,4 @@
     return Day(plan, folder, programs, talk).play();
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/day.hpp
+++ b/emulator/day.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "charter/reader.hpp"
-#include "stand/auditor.hpp"
+#include "config/jsonnet_reader.hpp"
+#include "emulator/auditor.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 struct InvokerPlan {
     std::string name, zone = "a", kind = "std";
@@ -51,4 +51,4 @@
 // times and parts are kept; the fleet, the controllers, the traffic and the length are made small.
 DayPlan read_bench_day(const std::string& file, Time length);
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/day_main.cpp
+++ b/emulator/day_main.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 #include <iostream>
 
-#include "stand/day.hpp"
+#include "emulator/day.hpp"
 
 int main(int argc, char** argv) {
     using namespace plumkeel;
@@ -19,14 +19,14 @@
     app.add_flag("--quiet", quiet, "only the verdict");
     CLI11_PARSE(app, argc, argv);
     try {
-        if (script.empty() == bench_day.empty()) throw CharterFault("a script or --bench-day, just one of them");
-        const stand::DayPlan plan =
-            script.empty() ? stand::read_bench_day(bench_day, span_of_text(length)) : stand::read_day(script);
-        const stand::Verdict verdict = stand::play_day(plan, folder, programs, !quiet);
-        for (const stand::Breach& each : verdict.breaches)
-            std::cout << "breach: " << each.rule << ": " << each.job << " at " << static_cast<double>(each.at) / 1e6
+        if (script.empty() == bench_day.empty()) throw ConfigError("a script or --bench-day, just one of them");
+        const emulator::DayPlan plan =
+            script.empty() ? emulator::read_bench_day(bench_day, parse_duration(length)) : emulator::read_day(script);
+        const emulator::Verdict verdict = emulator::play_day(plan, folder, programs, !quiet);
+        for (const emulator::Breach& each : verdict.breaches)
+            std::cout << "breach: " << each.rule << ": " << each.request << " at " << static_cast<double>(each.at) / 1e6
                       << " s: " << each.what << '\n';
-        std::cout << "hops " << verdict.hops << ", effects " << verdict.effects << ", clients left " << verdict.left
+        std::cout << "hops " << verdict.attempts << ", effects " << verdict.effects << ", clients left " << verdict.left
                   << ", turned back " << verdict.turned_back << ", lost with a killed or frozen controller "
                   << verdict.lost_with_controller << ", nearest to pushing a cold invoker over "
                   << static_cast<int>(verdict.nearest_push * 100) << "%\n";
--- a/stand/day_plan.cpp
+++ b/emulator/day_plan.cpp
@@ -2,15 +2,15 @@
 #include <cmath>
 #include <set>
 
-#include "stand/day.hpp"
+#include "emulator/day.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 using namespace std::chrono_literals;
 namespace json = boost::json;
 
-std::vector<std::string> texts(Reader& in, std::string_view key) {
+std::vector<std::string> texts(JsonnetReader& in, std::string_view key) {
     std::vector<std::string> out;
     const json::value* value = in.raw(key);
     if (!value) return out;
@@ -23,7 +23,7 @@
     return out;
 }
 
-json::object object(Reader& in, std::string_view key) {
+json::object object(JsonnetReader& in, std::string_view key) {
     const json::value* value = in.raw(key);
     if (!value) return {};
     if (!value->is_object()) in.complain(key, "is no object");
@@ -37,18 +37,18 @@
         return outer && outer->is_object() ? outer->as_object().if_contains({b.data(), b.size()}) : nullptr;
     };
     Stated& stated = plan.stated;
-    if (const auto* hops = part("allowances", "hops")) stated.hops = hops->to_number<int>();
+    if (const auto* attempts = part("allowances", "hops")) stated.attempts = attempts->to_number<int>();
     if (const auto* second = part("allowances", "second_copies")) stated.second_copies = second->as_bool();
-    if (const auto* span = part("rulebook", "load_span")) stated.load_span = span_of_text(std::string_view(span->as_string())).count();
+    if (const auto* span = part("rulebook", "load_span")) stated.load_span = parse_duration(std::string_view(span->as_string())).count();
     if (const auto* few = part("rulebook", "free_loads")) stated.free_loads = few->to_number<double>();
     if (const auto* share = part("rulebook", "loads_per_job")) stated.loads_per_job = share->to_number<double>();
     if (const auto* uses = plan.controller.if_contains("use_cases"); uses && uses->is_object())
         for (const auto& [name, use] : uses->as_object()) {
-            Stated::Use& into = stated.use_cases[std::string(name)];
+            Stated::Use& into = stated.request_classes[std::string(name)];
             if (const auto* word = use.as_object().if_contains("repeat")) into.repeat = std::string(word->as_string());
             if (const auto* word = use.as_object().if_contains("reach")) into.reach = std::string(word->as_string());
             if (const auto* span = use.as_object().if_contains("remembered"))
-                into.remembered = span_of_text(std::string_view(span->as_string())).count();
+                into.remembered = parse_duration(std::string_view(span->as_string())).count();
         }
     for (const InvokerPlan& invoker : plan.invokers) stated.places[invoker.name] = {invoker.zone, invoker.cell};
 }
@@ -56,8 +56,8 @@
 }  // namespace
 
 DayPlan read_day(const std::string& file) {
-    const auto value = evaluate(file);
-    Reader in(value, file);
+    const auto value = evaluate_jsonnet(file);
+    JsonnetReader in(value, file);
     DayPlan plan;
     in.read("length", plan.length);
     in.read("controllers", plan.controllers, 1);
@@ -73,7 +73,7 @@
     in.read("slack", slack);
     plan.stated.slack = slack.count();
     std::set<std::string> names = {"store", "list", "clients", "receiver"};
-    in.each("invokers", [&](Reader& part) {
+    in.each("invokers", [&](JsonnetReader& part) {
         InvokerPlan& invoker = plan.invokers.emplace_back();
         part.need("name", invoker.name);
         part.read("zone", invoker.zone);
@@ -85,7 +85,7 @@
         if (!names.insert(invoker.name).second) part.complain("name", "'" + invoker.name + "' comes twice");
     });
     for (int i = 1; i <= plan.controllers; ++i) names.insert("c" + std::to_string(i));
-    in.each("happenings", [&](Reader& part) {
+    in.each("happenings", [&](JsonnetReader& part) {
         Happening& it = plan.happenings.emplace_back();
         part.need("at", it.at);
         part.need("kind", it.kind);
@@ -110,7 +110,7 @@
 }
 
 DayPlan read_bench_day(const std::string& file, Time length) {
-    const json::value value = evaluate(file);
+    const json::value value = evaluate_jsonnet(file);
     const json::object& day = value.as_object();
     auto number = [](const json::value& v) { return v.to_number<double>(); };
     const double whole = number(day.at("length"));
@@ -248,11 +248,11 @@
         } else if (kind == "discovery_stale") {
             command({"list"}, "delay ms=" + text(std::max(1000.0, size * 1000 * pace)), "delay ms=0");
         } else {
-            throw CharterFault(file + ": troubles: '" + kind + "' can't be played on sockets");
+            throw ConfigError(file + ": troubles: '" + kind + "' can't be played on sockets");
         }
     }
     state(plan);
     return plan;
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/faults/fault_plan.cpp
+++ b/emulator/faults/fault_plan.cpp
@@ -1,4 +1,4 @@
-#include "stand/faults/fault_plan.hpp"
+#include "emulator/faults/fault_plan.hpp"
 
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/stand/faults/fault_preload.cpp
+++ b/emulator/faults/fault_preload.cpp
@@ -15,7 +15,7 @@
 #include <cerrno>
 #include <cstdlib>
 
-#include "stand/faults/fault_plan.hpp"
+#include "emulator/faults/fault_plan.hpp"
 
 namespace {
 
--- a/stand/faults/process.cpp
+++ b/emulator/faults/process.cpp
@@ -1,4 +1,4 @@
-#include "stand/faults/process.hpp"
+#include "emulator/faults/process.hpp"
 
 #include <fcntl.h>
 #include <spawn.h>
--- a/stand/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -9,24 +9,24 @@
 #include <deque>
 #include <sstream>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "web/protocol.hpp"
 #include "http/exchange.hpp"
 #include "orca/orca.hpp"
-#include "stand/common.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 namespace field = protocol::field;
 
 struct Hop {
     std::shared_ptr<Talk> talk;
-    std::string controller, job, hop, function, use_case, origin, mark;
+    std::string controller, request, attempt, function, request_class, origin, mark;
     double work_ms = 100, load_ms = 300;
     std::size_t bytes_back{};
-    int lanes = 1, memory = 300, company{};
-    Note note = Note::none;
+    int lanes = 1, memory = 300, concurrent_requests{};
+    LoadEvent note = LoadEvent::none;
     bool waits = true;
 };
 
@@ -40,8 +40,8 @@
 class Invoker {
 public:
     Invoker(const std::string& file, const std::string& record) : record_(record), chance_(1) {
-        const auto settings = evaluate(file);
-        Reader in(settings, file);
+        const auto settings = evaluate_jsonnet(file);
+        JsonnetReader in(settings, file);
         std::size_t port = 0, seed = 1;
         in.need("name", name_);
         in.need("port", port);
@@ -74,13 +74,13 @@
                                 {"mean_work_ms", mean_work_ms_},
                                 {"remembers_us", remembers_.count()}});
         listen();
-        Commands(world_, [this](const auto& words, const auto& options) { command(words, options); });
-        watch_lag(world_, record_);
-        world_.spawn(tidy());
+        Commands(loop_, [this](const auto& words, const auto& options) { command(words, options); });
+        watch_lag(loop_, record_);
+        loop_.spawn(tidy());
     }
 
     int run() {
-        world_.run();
+        loop_.run();
         return 0;
     }
 
@@ -97,7 +97,7 @@
         if (verb == "slow") slow_ = Commands::figure(options, "factor", 1);
         if (verb == "age") {
             age_per_s_ = Commands::figure(options, "per_s", 0);
-            ages_since_ = world_.now();
+            ages_since_ = loop_.now();
         }
         if (verb == "lose") lose_ = share;
         if (verb == "cut_head") cut_head_ = share;
@@ -119,28 +119,28 @@
     }
 
     void listen() {
-        listener_ = must_listen(world_, port_);
-        accept_talks(world_, listener_, side_);
+        listener_ = must_listen(loop_, port_);
+        accept_talks(loop_, listener_, side_);
     }
 
     // While it stands still nothing goes on, but what arrives is noted when it arrives.
     Time held_until() const {
         if (pause_ == Time{}) return Time{};
-        const Time into = world_.now() % pause_every_;
-        return into < pause_ ? world_.now() - into + pause_ : Time{};
+        const Time into = loop_.now() % pause_every_;
+        return into < pause_ ? loop_.now() - into + pause_ : Time{};
     }
 
     double capacity_now() const {
         double risen = 1;
-        if (cold_) risen = std::min(1.0, std::chrono::duration<double>(world_.now()) / std::chrono::duration<double>(cold_for_));
+        if (cold_) risen = std::min(1.0, std::chrono::duration<double>(loop_.now()) / std::chrono::duration<double>(cold_for_));
         return cores_ * speed_ * (cold_share_ + (1 - cold_share_) * risen);
     }
 
     // The fourth rule, as the invoker suffers it.
     void weigh() {
-        if (!cold_ || world_.now() > cold_for_ + push_span_) return;
-        pushed_.push_back(world_.now());
-        while (pushed_.front() + push_span_ < world_.now()) pushed_.pop_front();
+        if (!cold_ || loop_.now() > cold_for_ + push_span_) return;
+        pushed_.push_back(loop_.now());
+        while (pushed_.front() + push_span_ < loop_.now()) pushed_.pop_front();
         const double work = static_cast<double>(pushed_.size()) * mean_work_ms_ / 1000;
         const double slack = 3 * mean_work_ms_ / 1000;
         const double span = std::chrono::duration<double>(push_span_).count();
@@ -149,7 +149,7 @@
         fallen_ = true;
         if (listener_) listener_->close();
         listener_.reset();
-        for (const auto& hop : held_) hop->talk->reset();
+        for (const auto& attempt : held_) attempt->talk->reset();
         held_.clear();
     }
 
@@ -167,54 +167,54 @@
         if (path.size() != 3) return answer(talk, 404, {}, "");
         if (path[1] == "copies") return order(talk, path[2], controller, message);
         if (path[1] != "run" || method != http::bh::verb::post) return answer(talk, 404, {}, "");
-        auto hop = std::make_shared<Hop>();
-        hop->talk = talk;
-        hop->controller = controller;
-        hop->job = http::field(message, field::job);
-        hop->hop = http::field(message, field::hop);
-        hop->function = path[2];
-        hop->use_case = http::field(message, field::use_case);
-        hop->mark = http::field(message, field::mark);
-        hop->lanes = http::number<int>(http::field(message, field::lanes)).value_or(1);
-        hop->memory = http::number<int>(http::field(message, field::memory)).value_or(300);
-        std::istringstream(message.body()) >> hop->origin >> hop->work_ms >> hop->load_ms >> hop->bytes_back;
-        note("hop", *hop);
+        auto attempt = std::make_shared<Hop>();
+        attempt->talk = talk;
+        attempt->controller = controller;
+        attempt->request = http::field(message, field::request);
+        attempt->attempt = http::field(message, field::attempt);
+        attempt->function = path[2];
+        attempt->request_class = http::field(message, field::request_class);
+        attempt->mark = http::field(message, field::mark);
+        attempt->lanes = http::number<int>(http::field(message, field::lanes)).value_or(1);
+        attempt->memory = http::number<int>(http::field(message, field::memory)).value_or(300);
+        std::istringstream(message.body()) >> attempt->origin >> attempt->work_ms >> attempt->load_ms >> attempt->bytes_back;
+        note("hop", *attempt);
         weigh();
         if (fallen_) return;
         if (chance_.next() < cut_on_arrival_) {
-            note("cut", *hop);
+            note("cut", *attempt);
             return talk->reset();
         }
         if (silent_) return;  // it hears, and says and does nothing
-        if (turn_away_) return turn_away(*hop);
-        for (const auto& other : held_) hop->company += other->function == hop->function;
-        held_.push_back(hop);
-        later([this, hop] { place(hop); });
+        if (turn_away_) return turn_away(*attempt);
+        for (const auto& other : held_) attempt->concurrent_requests += other->function == attempt->function;
+        held_.push_back(attempt);
+        later([this, attempt] { place(attempt); });
     }
 
-    void place(const std::shared_ptr<Hop>& hop) {
-        if (!holds(hop)) return;
-        if (Copy* copy = free_copy(hop->function)) {
-            if (hop->note == Note::none) hop->note = Note::stood_loaded;
-            return start(hop, *copy);
+    void place(const std::shared_ptr<Hop>& attempt) {
+        if (!holds(attempt)) return;
+        if (Copy* copy = free_copy(attempt->function)) {
+            if (attempt->note == LoadEvent::none) attempt->note = LoadEvent::was_loaded;
+            return start(attempt, *copy);
         }
         if (queue_.size() >= queue_most_) {
-            std::erase(held_, hop);
-            return turn_away(*hop);
+            std::erase(held_, attempt);
+            return turn_away(*attempt);
         }
-        queue_.push_back(hop);
+        queue_.push_back(attempt);
         const auto loading = std::count_if(copies_.begin(), copies_.end(), [&](const auto& c) {
-            return c->function == hop->function && !c->standing;
+            return c->function == attempt->function && !c->standing;
         });
-        const auto waits = std::count_if(queue_.begin(), queue_.end(), [&](const auto& h) { return h->function == hop->function; });
-        if (loading * hop->lanes < waits && load(hop->function, *hop))
-            hop->note = Note::began_load;
-        else if (hop->note == Note::none && loading)
-            hop->note = Note::joined_load;
+        const auto waits = std::count_if(queue_.begin(), queue_.end(), [&](const auto& h) { return h->function == attempt->function; });
+        if (loading * attempt->lanes < waits && load(attempt->function, *attempt))
+            attempt->note = LoadEvent::started_load;
+        else if (attempt->note == LoadEvent::none && loading)
+            attempt->note = LoadEvent::joined_load;
     }
 
-    bool holds(const std::shared_ptr<Hop>& hop) const {
-        return std::find(held_.begin(), held_.end(), hop) != held_.end();
+    bool holds(const std::shared_ptr<Hop>& attempt) const {
+        return std::find(held_.begin(), held_.end(), attempt) != held_.end();
     }
 
     Copy* free_copy(const std::string& function) {
@@ -224,13 +224,13 @@
     }
 
     // Begins a load, where there is room or room can be made.
-    bool load(const std::string& function, const Hop& hop) {
+    bool load(const std::string& function, const Hop& attempt) {
         if (static_cast<int>(std::count_if(copies_.begin(), copies_.end(), [](const auto& c) { return !c->standing; })) >=
             loads_at_once_)
             return false;
         int used = 0;
         for (const auto& copy : copies_) used += copy->memory;
-        while (used + hop.memory > memory_) {
+        while (used + attempt.memory > memory_) {
             auto oldest = copies_.end();
             for (auto it = copies_.begin(); it != copies_.end(); ++it)
                 if ((*it)->standing && (*it)->busy == 0 && (oldest == copies_.end() || (*it)->idle_since < (*oldest)->idle_since))
@@ -241,11 +241,11 @@
         }
         auto copy = std::make_shared<Copy>();
         copy->function = function;
-        copy->memory = hop.memory;
-        copy->lanes = hop.lanes;
+        copy->memory = attempt.memory;
+        copy->lanes = attempt.lanes;
         copies_.push_back(copy);
         record_.write("load", {{"function", function}});
-        world_.spawn(fetch(copy, hop.load_ms));
+        loop_.spawn(fetch(copy, attempt.load_ms));
         return true;
     }
 
@@ -253,83 +253,83 @@
         const double share = 0.6;  // of a load's time is the fetch, the rest the start
         const std::string target = fmt::format("/v1/fetch/{}?ms={:.1f}", http::encoded(copy->function), load_ms * share);
         const auto got = co_await http::exchange(
-            world_, *net::Address::parse(store_),
+            loop_, *net::Address::parse(store_),
             http::HeadWriter("GET " + target + " HTTP/1.1").add("Host", store_).add("Connection", "close").done(), "", 30s);
         if (got.error || got.answer.result_int() != 200) {
             std::erase(copies_, copy);
             record_.write("load_broke", {{"function", copy->function}});
-            for (const auto& hop : std::deque(queue_))
-                if (hop->function == copy->function && !free_copy(hop->function)) {
-                    std::erase(queue_, hop);
-                    std::erase(held_, hop);
-                    if (!silent_) answer_word(*hop, "not-loaded", Note::load_broke);
+            for (const auto& attempt : std::deque(queue_))
+                if (attempt->function == copy->function && !free_copy(attempt->function)) {
+                    std::erase(queue_, attempt);
+                    std::erase(held_, attempt);
+                    if (!silent_) answer_word(*attempt, "not-loaded", LoadEvent::load_failed);
                 }
             co_return;
         }
-        co_await world_.sleep(Time(static_cast<Time::rep>(load_ms * (1 - share) * 1000)));
+        co_await loop_.sleep(Time(static_cast<Time::rep>(load_ms * (1 - share) * 1000)));
         copy->standing = true;
-        copy->idle_since = world_.now();
+        copy->idle_since = loop_.now();
         settle();
     }
 
     // Starts what waits for a free lane; loads what waits for a copy that none loads.
     void settle() {
         if (fallen_) return;
-        for (const auto& hop : std::deque(queue_)) {
-            if (Copy* copy = free_copy(hop->function)) {
-                std::erase(queue_, hop);
-                if (hop->note == Note::none) hop->note = Note::joined_load;
-                start(hop, *copy);
+        for (const auto& attempt : std::deque(queue_)) {
+            if (Copy* copy = free_copy(attempt->function)) {
+                std::erase(queue_, attempt);
+                if (attempt->note == LoadEvent::none) attempt->note = LoadEvent::joined_load;
+                start(attempt, *copy);
                 continue;
             }
-            const bool any = std::any_of(copies_.begin(), copies_.end(), [&](const auto& c) { return c->function == hop->function; });
-            if (!any && load(hop->function, *hop)) hop->note = Note::began_load;
+            const bool any = std::any_of(copies_.begin(), copies_.end(), [&](const auto& c) { return c->function == attempt->function; });
+            if (!any && load(attempt->function, *attempt)) attempt->note = LoadEvent::started_load;
         }
         for (auto& [talk, function, count, until] : std::exchange(orders_, {})) await_copies(talk, function, count, until);
     }
 
-    void start(const std::shared_ptr<Hop>& hop, Copy& copy) {
+    void start(const std::shared_ptr<Hop>& attempt, Copy& copy) {
         ++copy.busy;
         ++running_;
         // A repeat whose mark this invoker remembers does nothing again.
-        const auto known = marks_.find(hop->mark);
-        const bool repeat = !hop->mark.empty() && known != marks_.end() && known->second + remembers_ > world_.now();
-        if (!hop->mark.empty() && !repeat) marks_[hop->mark] = world_.now();
-        note(repeat ? "repeat" : "run", *hop);
-        const double aged = 1 + age_per_s_ * std::chrono::duration<double>(world_.now() - ages_since_).count();
+        const auto known = marks_.find(attempt->mark);
+        const bool repeat = !attempt->mark.empty() && known != marks_.end() && known->second + remembers_ > loop_.now();
+        if (!attempt->mark.empty() && !repeat) marks_[attempt->mark] = loop_.now();
+        note(repeat ? "repeat" : "run", *attempt);
+        const double aged = 1 + age_per_s_ * std::chrono::duration<double>(loop_.now() - ages_since_).count();
         const double crowd = std::max(1.0, running_ / cores_);
-        const double ms = hop->work_ms / speed_ * crowd * slow_ * aged * cores_ * speed_ / std::max(capacity_now(), 0.01);
+        const double ms = attempt->work_ms / speed_ * crowd * slow_ * aged * cores_ * speed_ / std::max(capacity_now(), 0.01);
         std::shared_ptr<Copy> held;
         for (const auto& each : copies_)
             if (each.get() == &copy) held = each;
-        world_.at(world_.now() + Time(static_cast<Time::rep>(ms * 1000)),
-                  [this, hop, held] { later([this, hop, held] { finish(hop, *held); }); });
+        loop_.call_at(loop_.now() + Time(static_cast<Time::rep>(ms * 1000)),
+                  [this, attempt, held] { later([this, attempt, held] { finish(attempt, *held); }); });
     }
 
-    void finish(const std::shared_ptr<Hop>& hop, Copy& copy) {
+    void finish(const std::shared_ptr<Hop>& attempt, Copy& copy) {
         --copy.busy;
         --running_;
-        copy.idle_since = world_.now();
-        if (holds(hop)) {
-            std::erase(held_, hop);
+        copy.idle_since = loop_.now();
+        if (holds(attempt)) {
+            std::erase(held_, attempt);
             if (silent_ || chance_.next() < lose_) {
-                note("lost", *hop);  // it ran, and its answer is never sent
+                note("lost", *attempt);  // it ran, and its answer is never sent
             } else {
-                const std::string body(std::max<std::size_t>(hop->bytes_back, 2), 'x');
-                const std::string head = head_of(200, {{std::string(field::note), note_word(hop->note)},
-                                                       {std::string(field::company), std::to_string(hop->company)}},
+                const std::string body(std::max<std::size_t>(attempt->bytes_back, 2), 'x');
+                const std::string head = head_of(200, {{std::string(field::note), note_word(attempt->note)},
+                                                       {std::string(field::concurrent_requests), std::to_string(attempt->concurrent_requests)}},
                                                  body.size());
                 const bool in_head = chance_.next() < cut_head_, in_body = !in_head && chance_.next() < cut_body_;
                 if (in_head || in_body) {
-                    note("cut", *hop);
-                    hop->talk->reply_cut(head + body, in_head ? head.size() / 2 : head.size() + body.size() / 2);
+                    note("cut", *attempt);
+                    attempt->talk->reply_cut(head + body, in_head ? head.size() / 2 : head.size() + body.size() / 2);
                 } else {
-                    note("answer", *hop, "honoured");
-                    hop->talk->reply(head, body);
+                    note("answer", *attempt, "honoured");
+                    attempt->talk->reply(head, body);
                     if (close_idle_) {
                         // Closes at the moment when the next hop may leave on it.
-                        world_.at(world_.now() + Time(static_cast<Time::rep>(chance_.next() * 20000)),
-                                  [talk = hop->talk] {
+                        loop_.call_at(loop_.now() + Time(static_cast<Time::rep>(chance_.next() * 20000)),
+                                  [talk = attempt->talk] {
                                       if (!talk->open()) talk->close();
                                   });
                     }
@@ -340,11 +340,11 @@
     }
 
     void left(const std::shared_ptr<Talk>& talk) {
-        for (const auto& hop : std::vector(held_))
-            if (hop->talk == talk) {
-                note("gone", *hop);
-                std::erase(held_, hop);
-                std::erase(queue_, hop);  // what waited is dropped; what runs goes on
+        for (const auto& attempt : std::vector(held_))
+            if (attempt->talk == talk) {
+                note("gone", *attempt);
+                std::erase(held_, attempt);
+                std::erase(queue_, attempt);  // what waited is dropped; what runs goes on
             }
     }
 
@@ -361,14 +361,14 @@
         Hop like;
         int have = static_cast<int>(std::count_if(copies_.begin(), copies_.end(), [&](const auto& c) { return c->function == function; }));
         while (have < count && load(function, like)) ++have;
-        await_copies(talk, function, count, world_.now() + 8s);
+        await_copies(talk, function, count, loop_.now() + 8s);
     }
 
     void await_copies(const std::shared_ptr<Talk>& talk, const std::string& function, int count, Time until) {
         int standing = 0, loading = 0;
         for (const auto& copy : copies_)
             if (copy->function == function) ++(copy->standing ? standing : loading);
-        if (standing < count && loading > 0 && world_.now() < until) {
+        if (standing < count && loading > 0 && loop_.now() < until) {
             orders_.push_back({talk, function, count, until});
             return;
         }
@@ -379,12 +379,12 @@
 
     net::Task<> tidy() {
         for (;;) {
-            co_await world_.sleep(200ms);
+            co_await loop_.sleep(200ms);
             std::erase_if(copies_, [&](const auto& c) {
-                return c->standing && c->busy == 0 && c->idle_since + keep_alive_ < world_.now();
+                return c->standing && c->busy == 0 && c->idle_since + keep_alive_ < loop_.now();
             });
             settle();
-            if (marks_.size() > 10000) std::erase_if(marks_, [&](const auto& m) { return m.second + remembers_ < world_.now(); });
+            if (marks_.size() > 10000) std::erase_if(marks_, [&](const auto& m) { return m.second + remembers_ < loop_.now(); });
         }
     }
 
@@ -393,17 +393,17 @@
         if (until == Time{})
             what();
         else
-            world_.at(until, std::move(what));
+            loop_.call_at(until, std::move(what));
     }
 
-    void turn_away(const Hop& hop) { answer_word(hop, "turned-away", Note::none); }
+    void turn_away(const Hop& attempt) { answer_word(attempt, "turned-away", LoadEvent::none); }
 
-    void answer_word(const Hop& hop, const std::string& word, Note told) {
-        note("answer", hop, word);
-        answer(hop.talk, 503, {{std::string(field::never_ran), word}, {std::string(field::note), note_word(told)}}, "");
+    void answer_word(const Hop& attempt, const std::string& word, LoadEvent told) {
+        note("answer", attempt, word);
+        answer(attempt.talk, 503, {{std::string(field::never_ran), word}, {std::string(field::note), note_word(told)}}, "");
     }
 
-    static std::string note_word(Note told) {
+    static std::string note_word(LoadEvent told) {
         static const char* words[] = {"", "stood-loaded", "began-load", "joined-load", "load-broke"};
         return words[static_cast<int>(told)];
     }
@@ -412,8 +412,8 @@
         http::HeadWriter head(http::status_line(status));
         for (const auto& [name, value] : fields)
             if (!value.empty()) head.add(name, value);
-        Report report;
-        report.held = static_cast<double>(held_.size());
+        LoadReport report;
+        report.in_flight = static_cast<double>(held_.size());
         report.queued = static_cast<double>(queue_.size());
         return head.add(orca::header, orca::write(report)).add("Content-Length", static_cast<std::int64_t>(bytes)).done();
     }
@@ -423,10 +423,10 @@
         if (talk->open()) talk->reply(head_of(status, fields, body.size()), body);
     }
 
-    void note(std::string_view event, const Hop& hop, std::string_view word = "") {
-        boost::json::object line{{"controller", hop.controller}, {"job", hop.job}, {"hop", hop.hop},
-                                 {"function", hop.function}, {"use", hop.use_case}, {"origin", hop.origin}};
-        if (!hop.mark.empty()) line["mark"] = hop.mark;
+    void note(std::string_view event, const Hop& attempt, std::string_view word = "") {
+        boost::json::object line{{"controller", attempt.controller}, {"job", attempt.request}, {"hop", attempt.attempt},
+                                 {"function", attempt.function}, {"use", attempt.request_class}, {"origin", attempt.origin}};
+        if (!attempt.mark.empty()) line["mark"] = attempt.mark;
         if (!word.empty()) line["word"] = word;
         record_.write(event, std::move(line));
     }
@@ -438,7 +438,7 @@
         Time until;
     };
 
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     Record record_;
     Chance chance_;
     Talk::Side side_;
@@ -468,4 +468,4 @@
     return Invoker(file, record).run();
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/list.cpp
+++ b/emulator/list.cpp
@@ -3,10 +3,10 @@
 
 #include <deque>
 
-#include "charter/reader.hpp"
-#include "stand/common.hpp"
+#include "config/jsonnet_reader.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 namespace json = boost::json;
@@ -21,19 +21,19 @@
 class List {
 public:
     List(const std::string& file, const std::string& record) : record_(record) {
-        const auto settings = evaluate(file);
-        Reader in(settings, file);
+        const auto settings = evaluate_jsonnet(file);
+        JsonnetReader in(settings, file);
         std::size_t port = 0;
         in.need("port", port);
         in.finish();
         side_ = {[this](const auto& talk, auto message) { asked(talk, message); },
                  [this](const auto& talk) { std::erase_if(waiting_, [&](auto& each) { return each.talk == talk; }); }};
-        accept_talks(world_, must_listen(world_, static_cast<std::uint16_t>(port)), side_);
-        Commands(world_, [this](const auto& words, const auto& options) { command(words, options); });
-        watch_lag(world_, record_);
+        accept_talks(loop_, must_listen(loop_, static_cast<std::uint16_t>(port)), side_);
+        Commands(loop_, [this](const auto& words, const auto& options) { command(words, options); });
+        watch_lag(loop_, record_);
     }
     int run() {
-        world_.run();
+        loop_.run();
         return 0;
     }
 
@@ -42,7 +42,7 @@
         std::shared_ptr<Talk> talk;
         std::string asker;
         std::uint64_t index;
-        net::World::Ticket until;
+        net::EventLoop::TimerKey until;
     };
 
     // set NAME address= zone= kind= units= cell= start= ; drain NAME ; remove NAME ; delay ms= ; answers_late ms= ;
@@ -61,7 +61,7 @@
             wake_all();
         } else {
             // What changes is seen after the delay, in order.
-            world_.at(world_.now() + delay_, [this, words, options] { change(words, options); });
+            loop_.call_at(loop_.now() + delay_, [this, words, options] { change(words, options); });
         }
     }
 
@@ -91,7 +91,7 @@
 
     void wake_all() {
         for (auto& each : std::exchange(waiting_, {})) {
-            world_.drop(each.until);
+            loop_.cancel(each.until);
             answer(each.talk, each.asker);
         }
     }
@@ -103,10 +103,10 @@
         Time wait = 5min;
         for (const auto& [key, value] : http::query_of(http::view(message.target()))) {
             if (key == "index") index = http::number<std::uint64_t>(value).value_or(0);
-            if (key == "wait") wait = span_of_text(value);
+            if (key == "wait") wait = parse_duration(value);
         }
         if (index == 0 || index != index_) return answer(talk, asker);
-        auto ticket = world_.at(world_.now() + wait, [this, talk, asker] {
+        auto ticket = loop_.call_at(loop_.now() + wait, [this, talk, asker] {
             std::erase_if(waiting_, [&](auto& each) { return each.talk == talk; });
             answer(talk, asker);
         });
@@ -142,12 +142,12 @@
                         body);
         };
         if (late_ > Time{})
-            world_.at(world_.now() + late_, send);
+            loop_.call_at(loop_.now() + late_, send);
         else
             send();
     }
 
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     Record record_;
     Talk::Side side_;
     std::map<std::string, Entry> entries_;
@@ -163,4 +163,4 @@
     return List(file, record).run();
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/main.cpp
+++ b/emulator/main.cpp
@@ -2,11 +2,11 @@
 #include <CLI/CLI.hpp>
 #include <iostream>
 
-#include "charter/reader.hpp"
-#include "stand/common.hpp"
+#include "config/jsonnet_reader.hpp"
+#include "emulator/common.hpp"
 
 int main(int argc, char** argv) {
-    using namespace plumkeel::stand;
+    using namespace plumkeel::emulator;
     CLI::App app("plumkeel-stand: an invoker, a list, a store, a receiver or clients; commands come on the standard input");
     app.require_subcommand(1);
     std::string file, record = "/dev/null";
--- a/stand/promql.cpp
+++ b/emulator/promql.cpp
@@ -1,4 +1,4 @@
-#include "stand/promql.hpp"
+#include "emulator/promql.hpp"
 
 #include <yaml-cpp/yaml.h>
 
--- a/stand/receiver.cpp
+++ b/emulator/receiver.cpp
@@ -1,4 +1,4 @@
-#include "stand/receiver.hpp"
+#include "emulator/receiver.hpp"
 
 #include <fmt/format.h>
 #include <snappy.h>
@@ -7,16 +7,16 @@
 #include <bit>
 #include <cmath>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "write.pb.h"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 constexpr std::size_t most_breaches = 100;
 
-WriteReceiver::WriteReceiver(net::World& world, std::shared_ptr<net::Listener> listener) : world_(world) {
+WriteReceiver::WriteReceiver(net::EventLoop& loop, std::shared_ptr<net::Listener> listener) : loop_(loop) {
     side_ = {[this](const auto& talk, auto message) { asked(talk, message); }, [this](const auto&) { --at_once_; }};
-    accept_talks(world_, std::move(listener), side_);
+    accept_talks(loop_, std::move(listener), side_);
 }
 
 void WriteReceiver::be(Mood mood, unsigned status, std::string retry_after) {
@@ -42,7 +42,7 @@
     if (!take(message)) return reply(talk, 400);
     if (mood_ == Mood::late) return;  // taken, and never said so
     if (delay_ == Time{}) return reply(talk, 204);
-    world_.at(world_.now() + delay_, [this, talk] {
+    loop_.call_at(loop_.now() + delay_, [this, talk] {
         if (talk->open()) reply(talk, 204);
     });
 }
@@ -65,13 +65,13 @@
         breach("the body is no snappy block");
         return false;
     }
-    remote::wire::WriteRequest all;
+    remote_write::wire::WriteRequest all;
     if (!all.ParseFromString(raw)) {
         breach("the body is no WriteRequest");
         return false;
     }
     for (const auto& one : all.timeseries()) {
-        remote::Labels labels;
+        remote_write::Labels labels;
         for (const auto& label : one.labels()) labels.emplace_back(label.name(), label.value());
         if (!std::is_sorted(labels.begin(), labels.end())) breach("labels are not sorted");
         if (std::adjacent_find(labels.begin(), labels.end(), [](const auto& a, const auto& b) { return a.first == b.first; }) != labels.end())
@@ -94,7 +94,7 @@
             }
             points.emplace_back(sample.timestamp(), sample.value());
             ++samples_;
-            ++by_second_[world_.now() / 1s];
+            ++by_second_[loop_.now() / 1s];
         }
     }
     return true;
@@ -102,15 +102,15 @@
 
 // As a process: told its moods on the standard input, it writes all samples it has taken when the input ends.
 int run_receiver(const std::string& file, const std::string& record_file) {
-    const auto settings = evaluate(file);
-    Reader in(settings, file);
+    const auto settings = evaluate_jsonnet(file);
+    JsonnetReader in(settings, file);
     std::size_t port = 0;
     in.need("port", port);
     in.finish();
-    net::RealWorld world;
+    net::SocketEventLoop loop;
     Record record(record_file);
-    WriteReceiver receiver(world, must_listen(world, static_cast<std::uint16_t>(port)));
-    Commands commands(world, [&](const auto& words, const auto& options) {
+    WriteReceiver receiver(loop, must_listen(loop, static_cast<std::uint16_t>(port)));
+    Commands commands(loop, [&](const auto& words, const auto& options) {
         using Mood = WriteReceiver::Mood;
         static const std::map<std::string, Mood> moods = {{"takes", Mood::takes}, {"stalls", Mood::stalls}, {"status", Mood::status},
                                                           {"cuts", Mood::cuts}, {"late", Mood::late}};
@@ -119,8 +119,8 @@
         if (words[0] == "forget") receiver.forget();
         record.write("mood", {{"mood", words[0]}});
     });
-    world.on_end_signal([&world] { world.stop(); });
-    world.run();
+    loop.on_termination([&loop] { loop.stop(); });
+    loop.run();
     for (const std::string& each : receiver.breaches()) record.write("breach", {{"what", each}});
     for (const auto& [labels, points] : receiver.series()) {
         boost::json::object all;
@@ -128,7 +128,7 @@
         for (const auto& [name, value] : labels) all[name] = value;
         for (const auto& [at, value] : points) {
             moments.push_back(at);
-            if (remote::is_stale_mark(value))
+            if (remote_write::is_stale_marker(value))
                 values.push_back(nullptr);
             else
                 values.push_back(value);
@@ -140,4 +140,4 @@
     return receiver.breaches().empty() ? 0 : 1;
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/receiver.hpp
+++ b/emulator/receiver.hpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "remote/series.hpp"
-#include "stand/common.hpp"
+#include "remote_write/series.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 
 class WriteReceiver {
 public:
-    WriteReceiver(net::World& world, std::shared_ptr<net::Listener> listener);
+    WriteReceiver(net::EventLoop& loop, std::shared_ptr<net::Listener> listener);
 
     enum class Mood { takes, stalls, status, cuts, late };
     void be(Mood mood, unsigned status = 503, std::string retry_after = "");
@@ -21,7 +21,7 @@
     void forget() { series_.clear(); }  // restarts empty
 
     using Points = std::vector<std::pair<std::int64_t, double>>;
-    const std::map<remote::Labels, Points>& series() const { return series_; }
+    const std::map<remote_write::Labels, Points>& series() const { return series_; }
     const std::vector<std::string>& breaches() const { return breaches_; }
     std::uint64_t samples() const { return samples_; }
     std::uint64_t repeated() const { return repeated_; }  // the very last sample of a series, sent once more
@@ -36,7 +36,7 @@
     void reply(const std::shared_ptr<Talk>& talk, unsigned status);
     void breach(std::string what);
 
-    net::World& world_;
+    net::EventLoop& loop_;
     Talk::Side side_;
     Mood mood_{};
     unsigned status_ = 503, part_status_ = 503;
@@ -44,11 +44,11 @@
     double part_share_{};
     Time delay_{};
     Chance chance_{5};
-    std::map<remote::Labels, Points> series_;
+    std::map<remote_write::Labels, Points> series_;
     std::vector<std::string> breaches_;
     std::uint64_t samples_{}, repeated_{}, questions_{};
     std::size_t at_once_{}, most_at_once_{};
     std::map<std::int64_t, std::uint64_t> by_second_;
 };
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/stand/store.cpp
+++ b/emulator/store.cpp
@@ -1,29 +1,29 @@
 // The one store that all invokers fetch from: slow when crowded, turning fetches away beyond a limit.
-#include "charter/reader.hpp"
-#include "stand/common.hpp"
+#include "config/jsonnet_reader.hpp"
+#include "emulator/common.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 class Store {
 public:
     Store(const std::string& file, const std::string& record) : record_(record) {
-        const auto settings = evaluate(file);
-        Reader in(settings, file);
+        const auto settings = evaluate_jsonnet(file);
+        JsonnetReader in(settings, file);
         std::size_t port = 0;
         in.need("port", port);
         in.read("at_once", at_once_);
         in.read("most", most_);
         in.finish();
         side_ = {[this](const auto& talk, auto message) { asked(talk, message); }, [](const auto&) {}};
-        accept_talks(world_, must_listen(world_, static_cast<std::uint16_t>(port)), side_);
-        Commands(world_, [this](const auto& words, const auto& options) {  // slow factor= ; broken on|off
+        accept_talks(loop_, must_listen(loop_, static_cast<std::uint16_t>(port)), side_);
+        Commands(loop_, [this](const auto& words, const auto& options) {  // slow factor= ; broken on|off
             if (words[0] == "slow") slow_ = Commands::figure(options, "factor", 1);
             if (words[0] == "broken") broken_ = words.at(1) == "on";
         });
     }
     int run() {
-        world_.run();
+        loop_.run();
         return 0;
     }
 
@@ -39,13 +39,13 @@
         ++fetching_;
         const double crowd = std::max(1.0, static_cast<double>(fetching_) / at_once_);
         record_.write("fetch", {{"fetching", fetching_}});
-        world_.at(world_.now() + Time(static_cast<Time::rep>(ms * 1000 * crowd * slow_)), [this, talk] {
+        loop_.call_at(loop_.now() + Time(static_cast<Time::rep>(ms * 1000 * crowd * slow_)), [this, talk] {
             --fetching_;
             if (talk->open()) talk->reply(http::HeadWriter("HTTP/1.1 200 OK").add("Content-Length", "0").done(), "");
         });
     }
 
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     Record record_;
     Talk::Side side_;
     double at_once_ = 8, slow_ = 1;
@@ -59,4 +59,4 @@
     return Store(file, record).run();
 }
 
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/scale/controller_host.cpp
+++ b/scale/controller_host.cpp
@@ -14,24 +14,24 @@
 constexpr Time round_trip = 1ms;
 constexpr Time probe_limit = 250ms;
 
-Rulebook rules() {
-    Rulebook out;
-    out.cold_for = 20s;
-    out.cold_share = 0.25;
-    out.push_multiple = 2;
-    out.push_span = 1s;
+SafetyRules rules() {
+    SafetyRules out;
+    out.slow_start_duration = 20s;
+    out.slow_start_initial_share = 0.25;
+    out.slow_start_rate_multiple = 2;
+    out.slow_start_window = 1s;
     return out;
 }
 
-Allowances allowances(const HostSettings& settings) {
-    Allowances out;
-    out.call_off = out.probe = out.second_copies = out.retry_after = out.loads_on_demand = true;
-    out.steady_units = settings.steady_units;
-    out.hops = 4;
-    out.controllers = settings.controllers;
-    out.longest_retry_after = 2s;
+Capabilities allowances(const HostSettings& settings) {
+    Capabilities out;
+    out.cancellation = out.health_checks = out.hedging = out.retry_after = out.on_demand_loading = true;
+    out.stable_capacity = settings.steady_units;
+    out.max_attempts = 4;
+    out.controller_count = settings.controllers;
+    out.max_retry_after = 2s;
     out.keep_alive = settings.keep_alive;
-    out.tick = 1ms;
+    out.clock_resolution = 1ms;
     return out;
 }
 
@@ -40,9 +40,9 @@
 ControllerHost::ControllerHost(EventQueue& events, ModelledFleet& fleet, const HostSettings& settings,
                                std::uint64_t seed)
     : events_(events), fleet_(fleet), settings_(settings) {
-    use_case_.promised = settings.latency_target;
+    use_case_.latency_target = settings.latency_target;
     const ModuleScope module;
-    controller_ = std::make_unique<Controller>(seed, rules(), allowances(settings));
+    controller_ = std::make_unique<Scheduler>(seed, rules(), allowances(settings));
     invokers_.resize(fleet.shape().invokers);
     listed_.assign(invokers_.size(), true);
     counts_.attempts_to.resize(invokers_.size());
@@ -68,9 +68,9 @@
     slot->number = number;
     slot->name = fmt::format("s-{:08x}", number);
     slot->zone = fmt::format("z{}", number % fleet_.shape().zones);
-    slot->kind = &kind_;
+    slot->type = &kind_;
     slot->ready = true;
-    slot->units = fleet_.shape().cores;
+    slot->capacity = fleet_.shape().cores;
     return *slot;
 }
 
@@ -78,7 +78,7 @@
 
 template <class Call>
 void ControllerHost::feed(Turn kind, Call call) {
-    std::optional<Results> results;
+    std::optional<Actions> results;
     {
         const ModuleScope module;
         const auto before = processor_time();
@@ -96,24 +96,24 @@
 
 void ControllerHost::call(FunctionNumber function) {
     ++counts_.calls;
-    HostedJob* job = nullptr;
+    HostedJob* request = nullptr;
     {
         const ModuleScope module;
         const std::string name = fmt::format("{:016x}", 0x9e3779b97f4a7c15ULL * (function + 1));
         std::unique_ptr<Function>& known = functions_[name];
         if (!known) known = std::make_unique<Function>();
         known->name = name;
-        known->lanes = 1;
+        known->concurrency = 1;
         std::unique_ptr<HostedJob>& slot = jobs_[++ids_];
         slot = std::make_unique<HostedJob>();
-        job = slot.get();
-        job->id = ids_;
-        job->number = function;
-        job->use_case = &use_case_;
-        job->function = known.get();
-        job->time_left = settings_.deadline;
+        request = slot.get();
+        request->id = ids_;
+        request->number = function;
+        request->request_class = &use_case_;
+        request->function = known.get();
+        request->remaining = settings_.deadline;
     }
-    feed(Turn::call, [&](Controller& it, Time now) { return it.take(now, *job); });
+    feed(Turn::call, [&](Scheduler& it, Time now) { return it.submit(now, *request); });
 }
 
 void ControllerHost::set_invoker(std::size_t number, bool listed, bool ready, std::optional<Time> started,
@@ -121,43 +121,43 @@
     HostedInvoker& invoker = at(number);
     listed_[number] = listed;
     invoker.ready = ready && listed;
-    invoker.started = started;
-    invoker.units = units * fleet_.shape().cores;
+    invoker.started_at = started;
+    invoker.capacity = units * fleet_.shape().cores;
 }
 
 void ControllerHost::tell_whole_list() {
     std::vector<Invoker*> all;
     for (std::size_t number = 0; number < invokers_.size(); ++number)
         if (listed_[number]) all.push_back(&at(number));
-    feed(Turn::list, [&](Controller& it, Time now) { return it.fleet_changed(now, all, true); });
+    feed(Turn::list, [&](Scheduler& it, Time now) { return it.endpoints_changed(now, all, true); });
 }
 
 void ControllerHost::tell_changed(const std::vector<std::size_t>& numbers) {
     std::vector<Invoker*> changed, gone;
     for (const std::size_t number : numbers) (listed_[number] ? changed : gone).push_back(&at(number));
-    if (!gone.empty()) feed(Turn::list, [&](Controller& it, Time now) { return it.fleet_left(now, gone); });
+    if (!gone.empty()) feed(Turn::list, [&](Scheduler& it, Time now) { return it.endpoints_removed(now, gone); });
     if (!changed.empty())
-        feed(Turn::list, [&](Controller& it, Time now) { return it.fleet_changed(now, changed, false); });
+        feed(Turn::list, [&](Scheduler& it, Time now) { return it.endpoints_changed(now, changed, false); });
 }
 
 // ---------------------------------------------------------------- carrying out
 
-void ControllerHost::carry_out(const Results& results) {
-    for (Hop* hop : results.called_off) {
-        const std::uint64_t job = hop->job->id;
-        const int attempt = hop->number;
-        events_.at(events_.now(), [this, job, attempt] {
-            end_attempt(job, attempt, {{}, Ending::called_off, Note::none, 0});
+void ControllerHost::carry_out(const Actions& results) {
+    for (Attempt* attempt : results.to_cancel) {
+        const std::uint64_t request = attempt->request->id;
+        const int number = attempt->number;
+        events_.at(events_.now(), [this, request, number] {
+            end_attempt(request, number, {{}, AttemptOutcome::cancelled, LoadEvent::none, 0});
         });
     }
-    for (Hop* hop : results.started) start(*hop);
-    for (Invoker* invoker : results.probed) probe(static_cast<HostedInvoker&>(*invoker));
-    for (Job* job : results.answered) {
-        ++(job->state == JobState::bounced ? counts_.rejected : counts_.failed);
-        drop_if_closed(job->id);
+    for (Attempt* attempt : results.to_send) start(*attempt);
+    for (Invoker* invoker : results.to_probe) probe(static_cast<HostedInvoker&>(*invoker));
+    for (Request* request : results.completed) {
+        ++(request->state == RequestState::rejected ? counts_.rejected : counts_.failed);
+        drop_if_closed(request->id);
     }
-    for (const Function* function : results.forgotten) functions_.erase(std::string(function->name));
-    for (Invoker* invoker : results.released) invokers_[static_cast<HostedInvoker&>(*invoker).number].reset();
+    for (const Function* function : results.released_functions) functions_.erase(std::string(function->name));
+    for (Invoker* invoker : results.released_invokers) invokers_[static_cast<HostedInvoker&>(*invoker).number].reset();
     arm(results.next_wake);
 }
 
@@ -167,7 +167,7 @@
     events_.at(when, [this, arming = ++armings_] {
         if (arming != armings_) return;  // an earlier time was set since
         armed_ = Time::max();
-        feed(Turn::timer, [](Controller& it, Time now) { return it.wake(now); });
+        feed(Turn::timer, [](Scheduler& it, Time now) { return it.wake(now); });
     });
 }
 
@@ -177,37 +177,37 @@
     invoker.connected = now;
 }
 
-void ControllerHost::start(Hop& hop) {
-    auto& invoker = static_cast<HostedInvoker&>(*hop.invoker);
-    auto& job = static_cast<HostedJob&>(*hop.job);
+void ControllerHost::start(Attempt& attempt) {
+    auto& invoker = static_cast<HostedInvoker&>(*attempt.invoker);
+    auto& request = static_cast<HostedJob&>(*attempt.request);
     ++counts_.attempts;
     ++counts_.attempts_to[invoker.number];
     use_connection(invoker);
-    const Reply reply = fleet_.attempt(events_.now(), invoker.number, job.number, hop.limit);
+    const Reply reply = fleet_.attempt(events_.now(), invoker.number, request.number, attempt.timeout);
     events_.at(events_.now() + reply.after + round_trip,
-               [this, id = job.id, attempt = hop.number, function = job.number, number = invoker.number, reply] {
-                   if (reply.ending == Ending::honoured) fleet_.finished(events_.now(), number, function);
+               [this, id = request.id, attempt = attempt.number, function = request.number, number = invoker.number, reply] {
+                   if (reply.ending == AttemptOutcome::succeeded) fleet_.finished(events_.now(), number, function);
                    end_attempt(id, attempt, reply);
                });
 }
 
-void ControllerHost::end_attempt(std::uint64_t id, int attempt, const Reply& reply) {
+void ControllerHost::end_attempt(std::uint64_t id, int number, const Reply& reply) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) return;
-    HostedJob& job = *found->second;
-    Hop& hop = job.hops[static_cast<std::size_t>(attempt)];
-    if (!hop.out) return;  // called off meanwhile
-    counts_.full += reply.ending == Ending::turned_away;
-    counts_.overdue += reply.ending == Ending::overdue;
-    counts_.cold_starts += reply.ending == Ending::honoured && reply.note == Note::began_load;
-    const bool open = !job.answered();
-    const Report report =
-        reply.ending == Ending::honoured ? fleet_.report(static_cast<HostedInvoker&>(*hop.invoker).number) : Report{};
-    feed(Turn::attempt_end, [&](Controller& it, Time now) {
-        return it.hop_ended(now, hop, reply.ending, reply.note, reply.company, report);
+    HostedJob& request = *found->second;
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(number)];
+    if (!attempt.in_flight) return;  // called off meanwhile
+    counts_.full += reply.ending == AttemptOutcome::rejected;
+    counts_.overdue += reply.ending == AttemptOutcome::timed_out;
+    counts_.cold_starts += reply.ending == AttemptOutcome::succeeded && reply.note == LoadEvent::started_load;
+    const bool open = !request.is_completed();
+    const LoadReport report =
+        reply.ending == AttemptOutcome::succeeded ? fleet_.report(static_cast<HostedInvoker&>(*attempt.invoker).number) : LoadReport{};
+    feed(Turn::attempt_end, [&](Scheduler& it, Time now) {
+        return it.attempt_ended(now, attempt, reply.ending, reply.note, reply.concurrent_requests, report);
     });
-    if (const auto still = jobs_.find(id); still != jobs_.end() && open && still->second->state == JobState::honoured) {
-        const Time took = events_.now() - job.taken;
+    if (const auto still = jobs_.find(id); still != jobs_.end() && open && still->second->state == RequestState::succeeded) {
+        const Time took = events_.now() - request.received_at;
         ++counts_.served;
         counts_.within_target += took <= settings_.latency_target;
         counts_.waited_s += std::chrono::duration<double>(took).count();
@@ -217,7 +217,7 @@
 
 void ControllerHost::drop_if_closed(std::uint64_t id) {
     const auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second->closed()) jobs_.erase(found);
+    if (found != jobs_.end() && found->second->is_settled()) jobs_.erase(found);
 }
 
 void ControllerHost::probe(HostedInvoker& invoker) {
@@ -226,9 +226,9 @@
     const bool answered = fleet_.answers(invoker.number);
     events_.at(events_.now() + (answered ? round_trip : probe_limit), [this, number = invoker.number, answered] {
         if (!invokers_[number]) return;
-        const Report report = answered ? fleet_.report(number) : Report{};
+        const LoadReport report = answered ? fleet_.report(number) : LoadReport{};
         feed(Turn::probe_end,
-             [&](Controller& it, Time now) { return it.probe_answered(now, *invokers_[number], answered, report); });
+             [&](Scheduler& it, Time now) { return it.health_check_ended(now, *invokers_[number], answered, report); });
     });
 }
 
--- a/scale/controller_host.hpp
+++ b/scale/controller_host.hpp
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "dispatch/controller.hpp"
+#include "scheduler/scheduler.hpp"
 #include "scale/allocation_count.hpp"
 #include "scale/event_queue.hpp"
 #include "scale/modelled_fleet.hpp"
@@ -56,12 +56,12 @@
     void restart_clocks();
     std::chrono::nanoseconds worst_of(Turn kind) const { return worst_[static_cast<std::size_t>(kind)]; }
     std::size_t functions_held() const { return functions_.size(); }
-    std::size_t parked() const { return controller_->parked(); }
+    std::size_t parked() const { return controller_->parked_count(); }
     std::size_t open_connections() const;
-    const Controller& controller() const { return *controller_; }
+    const Scheduler& controller() const { return *controller_; }
 
 private:
-    struct HostedJob : Job {
+    struct HostedJob : Request {
         FunctionNumber number{};
     };
     struct HostedInvoker : Invoker {
@@ -70,25 +70,25 @@
     };
     template <class Call>
     void feed(Turn kind, Call call);
-    void carry_out(const Results& results);
-    void start(Hop& hop);
-    void end_attempt(std::uint64_t job, int attempt, const Reply& reply);
+    void carry_out(const Actions& results);
+    void start(Attempt& attempt);
+    void end_attempt(std::uint64_t request, int number, const Reply& reply);
     void probe(HostedInvoker& invoker);
     void use_connection(HostedInvoker& invoker);
-    void drop_if_closed(std::uint64_t job);
+    void drop_if_closed(std::uint64_t request);
     void arm(Time when);
     HostedInvoker& at(std::size_t number);
 
     EventQueue& events_;
     ModelledFleet& fleet_;
     const HostSettings settings_;
-    UseCase use_case_;
-    Kind kind_;
+    RequestClass use_case_;
+    InvokerType kind_;
     std::vector<std::unique_ptr<HostedInvoker>> invokers_;  // null: not told of, or let go by the module
     std::vector<bool> listed_;
     std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
     std::unordered_map<std::uint64_t, std::unique_ptr<HostedJob>> jobs_;
-    std::unique_ptr<Controller> controller_;
+    std::unique_ptr<Scheduler> controller_;
     HostCounts counts_;
     std::array<std::chrono::nanoseconds, static_cast<std::size_t>(Turn::count_)> worst_{};
     std::uint64_t ids_{}, armings_{};
--- a/scale/decisions.cpp
+++ b/scale/decisions.cpp
@@ -21,14 +21,14 @@
 
 // What choosing cost, where the module counts it.
 struct ChoiceWork {
-    double choices{}, visited{}, weighed{}, hashed{}, swept{};
+    double placements{}, examined{}, scored{}, hashed{}, swept{};
 };
 
 template <class Module>
 ChoiceWork choice_work(const Module& module) {
     if constexpr (requires { module.work(); }) {
         const auto& work = module.work();
-        return {static_cast<double>(work.choices), static_cast<double>(work.visited), static_cast<double>(work.weighed),
+        return {static_cast<double>(work.placements), static_cast<double>(work.examined), static_cast<double>(work.scored),
                 static_cast<double>(work.hashed), static_cast<double>(work.swept)};
     } else {
         return {};
@@ -139,7 +139,7 @@
         const HostCounts& now = host_.counts();
         const double calls = static_cast<double>(now.calls - before.calls);
         const ChoiceWork work = choice_work(host_.controller());
-        const double choices = std::max(1.0, work.choices - work_before.choices);
+        const double choices = std::max(1.0, work.placements - work_before.placements);
         const auto microseconds = [](std::chrono::nanoseconds t) { return seconds(t) * 1e6; };
         const auto a_second = [&](std::uint64_t after, std::uint64_t earlier) {
             return static_cast<double>(after - earlier) / span;
@@ -156,8 +156,8 @@
             {"allocations_a_call", "count",
              static_cast<double>(module_allocations().allocations - allocated_before) / std::max(1.0, calls)},
             {"functions_held", "count", static_cast<double>(host_.functions_held())},
-            {"visited_a_choice", "count", (work.visited - work_before.visited) / choices},
-            {"weighed_a_choice", "count", (work.weighed - work_before.weighed) / choices},
+            {"visited_a_choice", "count", (work.examined - work_before.examined) / choices},
+            {"weighed_a_choice", "count", (work.scored - work_before.scored) / choices},
             {"hashed_a_choice", "count", (work.hashed - work_before.hashed) / choices},
             {"hashed", "count", work.hashed - work_before.hashed},
             {"swept_a_call", "count", (work.swept - work_before.swept) / std::max(1.0, calls)},
--- a/scale/hollow_peers.cpp
+++ b/scale/hollow_peers.cpp
@@ -4,8 +4,8 @@
 
 #include <array>
 
-#include "chance/pcg.hpp"
-#include "stand/platform_bytes.hpp"
+#include "random/pcg.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::scale {
 namespace {
@@ -26,15 +26,15 @@
 
 // ---------------------------------------------------------------- discovery
 
-HollowDiscovery::HollowDiscovery(net::World& world, net::Address address)
-    : world_(world), address_(std::move(address)) {}
+HollowDiscovery::HollowDiscovery(net::EventLoop& loop, net::Address address)
+    : loop_(loop), address_(std::move(address)) {}
 
 net::Error HollowDiscovery::open() {
-    auto [error, listener] = world_.listen(address_);
+    auto [error, listener] = loop_.listen(address_);
     if (error) return error;
     listener_ = listener;
-    world_.spawn(accept(listener));
-    if (!std::exchange(beating_, true)) world_.spawn(beat());
+    loop_.spawn(accept(listener));
+    if (!std::exchange(beating_, true)) loop_.spawn(beat());
     return {};
 }
 
@@ -49,7 +49,7 @@
         const auto accepted = co_await listener->accept();
         if (accepted.error) co_return;
         ++connections_;
-        world_.spawn(serve(accepted.stream));
+        loop_.spawn(serve(accepted.stream));
     }
 }
 
@@ -57,15 +57,15 @@
     std::string asked;
     std::array<char, 64> room;
     while (asked.size() < frame_number) {
-        const net::Moved moved = co_await stream->read(net::asio::buffer(room));
+        const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
         if (moved.error) co_return;
         asked.append(room.data(), moved.bytes);
     }
-    const auto outbox = std::make_shared<net::Outbox>(world_, stream);
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
     for (auto it = changes_.upper_bound(number_at(asked, 0, frame_number)); it != changes_.end(); ++it)
-        send(*outbox, it->second);
+        send(*write_queue, it->second);
     const std::uint64_t id = ++accepted_;
-    open_[id] = {stream, outbox};
+    open_[id] = {stream, write_queue};
     while (!(co_await stream->read(net::asio::buffer(room))).error) {
     }
     open_.erase(id);
@@ -74,7 +74,7 @@
 
 net::Task<> HollowDiscovery::beat() {
     for (;;) {
-        co_await world_.sleep(heartbeat);
+        co_await loop_.sleep(heartbeat);
         const std::string frame = bytes::frame(last_, 0);
         for (const auto& [id, connection] : open_) send(*connection.second, frame);
     }
@@ -88,24 +88,24 @@
     return number;
 }
 
-void HollowDiscovery::send(net::Outbox& outbox, const std::string& frame) {
+void HollowDiscovery::send(net::WriteQueue& write_queue, const std::string& frame) {
     bytes_sent_ += frame.size();
-    outbox.send(frame);
+    write_queue.send(frame);
 }
 
 // ---------------------------------------------------------------- watchers
 
-HollowWatcher::HollowWatcher(net::World& world, net::Address discovery, std::uint64_t seed,
+HollowWatcher::HollowWatcher(net::EventLoop& loop, net::Address discovery, std::uint64_t seed,
                              std::function<void(std::uint64_t)> told)
-    : world_(world), discovery_(std::move(discovery)), told_(std::move(told)), seed_(seed) {
-    world_.spawn(run());
+    : loop_(loop), discovery_(std::move(discovery)), told_(std::move(told)), seed_(seed) {
+    loop_.spawn(run());
 }
 
 net::Task<> HollowWatcher::run() {
     constexpr double first_pause_s = 0.05, longest_pause_s = 0.8;  // as the program's own
     Pcg random(seed_);
     for (int lost = 0;; ++lost) {
-        auto [error, stream] = co_await world_.connect(discovery_, connect_limit);
+        auto [error, stream] = co_await loop_.connect(discovery_, connect_limit);
         std::string got = bytes::big(last_, 8);
         if (!error) {
             const auto asking = net::asio::const_buffer(got.data(), got.size());
@@ -116,7 +116,7 @@
         got.clear();
         std::array<char, 4096> room;
         while (!error) {
-            const net::Moved moved = co_await stream->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
             error = moved.error;
             got.append(room.data(), moved.bytes);
             while (got.size() >= frame_length && got.size() >= frame_length + number_at(got, 0, frame_length)) {
@@ -130,20 +130,20 @@
         if (stream) stream->close();
         const double pause =
             std::min(longest_pause_s, first_pause_s * (1 << std::min(lost, 6))) * (0.5 + random.next());
-        co_await world_.sleep(net::Time(static_cast<net::Time::rep>(pause * 1e6)));
+        co_await loop_.sleep(net::Time(static_cast<net::Time::rep>(pause * 1e6)));
     }
 }
 
 // ---------------------------------------------------------------- invokers
 
-HollowInvokers::HollowInvokers(net::World& world, std::uint16_t port, net::Time run)
-    : world_(world), port_(port), run_(run) {}
+HollowInvokers::HollowInvokers(net::EventLoop& loop, std::uint16_t port, net::Time run)
+    : loop_(loop), port_(port), run_(run) {}
 
 net::Error HollowInvokers::open() {
-    auto [error, listener] = world_.listen({"0.0.0.0", port_});
+    auto [error, listener] = loop_.listen({"0.0.0.0", port_});
     if (error) return error;
     listener_ = listener;
-    world_.spawn(accept());
+    loop_.spawn(accept());
     return {};
 }
 
@@ -152,26 +152,26 @@
         const auto accepted = co_await listener_->accept();
         if (accepted.error) co_return;
         ++connections_;
-        world_.spawn(serve(accepted.stream));
+        loop_.spawn(serve(accepted.stream));
     }
 }
 
 net::Task<> HollowInvokers::serve(std::shared_ptr<net::Stream> stream) {
-    const auto outbox = std::make_shared<net::Outbox>(world_, stream);
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
     std::string got;
     std::array<char, 4096> room;
     for (;;) {
-        const net::Moved moved = co_await stream->read(net::asio::buffer(room));
+        const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
         if (moved.error) break;
         bytes_ += moved.bytes;
         got.append(room.data(), moved.bytes);
-        take(got, outbox);
+        take(got, write_queue);
     }
-    outbox->abandon();
+    write_queue->abandon();
     stream->close();
 }
 
-void HollowInvokers::take(std::string& got, const std::shared_ptr<net::Outbox>& outbox) {
+void HollowInvokers::take(std::string& got, const std::shared_ptr<net::WriteQueue>& write_queue) {
     for (auto end = got.find("\r\n"); end != std::string::npos; end = got.find("\r\n")) {
         const std::string line = got.substr(0, end);
         const std::string rest = line.substr(std::min(line.size(), line.find(' ') + 1));
@@ -180,49 +180,49 @@
             taken += std::stoul(line.substr(line.rfind(' ') + 1)) + 2;
             if (got.size() < taken) return;
             ++runs_;
-            world_.spawn(answer(outbox, rest.substr(0, rest.find(' '))));
+            loop_.spawn(answer(write_queue, rest.substr(0, rest.find(' '))));
         } else if (line.starts_with("INFO ") || line.starts_with("NOOP ")) {
             ++probes_;
-            send(*outbox, rest + " well l=active:1;waiting:0 0\r\n\r\n");
+            send(*write_queue, rest + " well l=active:1;waiting:0 0\r\n\r\n");
         }
         got.erase(0, taken);
     }
 }
 
-net::Task<> HollowInvokers::answer(std::shared_ptr<net::Outbox> outbox, std::string id) {
-    co_await world_.sleep(run_);
-    send(*outbox, id + " data n=reused 4\r\ndone\r\n");
+net::Task<> HollowInvokers::answer(std::shared_ptr<net::WriteQueue> write_queue, std::string id) {
+    co_await loop_.sleep(run_);
+    send(*write_queue, id + " data n=reused 4\r\ndone\r\n");
 }
 
-void HollowInvokers::send(net::Outbox& outbox, std::string text) {
+void HollowInvokers::send(net::WriteQueue& write_queue, std::string text) {
     bytes_ += text.size();
-    outbox.send(std::move(text));
+    write_queue.send(std::move(text));
 }
 
 // ---------------------------------------------------------------- client
 
-HollowClient::HollowClient(net::World& world, net::Address controller)
-    : world_(world), controller_(std::move(controller)) {}
+HollowClient::HollowClient(net::EventLoop& loop, net::Address controller)
+    : loop_(loop), controller_(std::move(controller)) {}
 
 net::Task<bool> HollowClient::healthy() {
-    auto [error, stream] = co_await world_.connect(controller_, connect_limit);
+    auto [error, stream] = co_await loop_.connect(controller_, connect_limit);
     if (error) co_return false;
-    const auto outbox = std::make_shared<net::Outbox>(world_, stream);
-    outbox->send(bytes::message(1, {{"SCRIPT_NAME", "/_health"}}));
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
+    write_queue->send(bytes::message(1, {{"SCRIPT_NAME", "/_health"}}));
     std::array<char, 1024> room;
-    const net::Moved moved = co_await stream->read(net::asio::buffer(room));
+    const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
     stream->close();
     co_return !moved.error && std::string_view(room.data(), moved.bytes).find("Status: 200") != std::string_view::npos;
 }
 
 net::Task<> HollowClient::open(std::size_t connections) {
     for (std::size_t i = 0; i < connections; ++i) {
-        auto [error, stream] = co_await world_.connect(controller_, connect_limit);
+        auto [error, stream] = co_await loop_.connect(controller_, connect_limit);
         if (error) continue;
         const auto connection =
-            std::make_shared<Connection>(Connection{stream, std::make_shared<net::Outbox>(world_, stream), {}});
+            std::make_shared<Connection>(Connection{stream, std::make_shared<net::WriteQueue>(loop_, stream), {}});
         connections_.push_back(connection);
-        world_.spawn(listen(connection));
+        loop_.spawn(listen(connection));
     }
 }
 
@@ -233,8 +233,8 @@
     if (!emptiest || emptiest->sent.size() >= request_numbers) return;
     int number = 1;
     while (emptiest->sent.count(number)) ++number;
-    emptiest->sent[number] = world_.now();
-    emptiest->outbox->send(
+    emptiest->sent[number] = loop_.now();
+    emptiest->write_queue->send(
         bytes::message(number, bytes::job_fields(bytes::hex16(++sent_ << 8 | 1), function, 3000), "ask"));
 }
 
@@ -247,7 +247,7 @@
     std::string got;
     std::array<char, 8192> room;
     for (;;) {
-        const net::Moved moved = co_await connection->stream->read(net::asio::buffer(room));
+        const net::TransferResult moved = co_await connection->stream->read(net::asio::buffer(room));
         if (moved.error) co_return;
         got.append(room.data(), moved.bytes);
         take(got, *connection);
@@ -263,7 +263,7 @@
         const auto sent = connection.sent.find(number);
         if (sent != connection.sent.end() && type == stdout_record && got.find("Status: 200") < whole) {
             ++served_;
-            waited_ms_ += std::chrono::duration<double, std::milli>(world_.now() - sent->second).count();
+            waited_ms_ += std::chrono::duration<double, std::milli>(loop_.now() - sent->second).count();
         }
         if (sent != connection.sent.end() && type == end_record) {
             ++ended_;
--- a/scale/hollow_peers.hpp
+++ b/scale/hollow_peers.hpp
@@ -10,15 +10,15 @@
 #include <string>
 #include <vector>
 
-#include "net/outbox.hpp"
-#include "net/world.hpp"
+#include "net/write_queue.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::scale {
 
 // Serves the list's changes to whoever asks, each from the number that it says it has.
 class HollowDiscovery {
 public:
-    HollowDiscovery(net::World& world, net::Address address);
+    HollowDiscovery(net::EventLoop& loop, net::Address address);
     net::Error open();
     // Ends all connections and listens no more until open().
     void vanish();
@@ -31,12 +31,12 @@
     net::Task<> accept(std::shared_ptr<net::Listener> listener);
     net::Task<> serve(std::shared_ptr<net::Stream> stream);
     net::Task<> beat();
-    void send(net::Outbox& outbox, const std::string& frame);
+    void send(net::WriteQueue& write_queue, const std::string& frame);
 
-    net::World& world_;
+    net::EventLoop& loop_;
     const net::Address address_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::pair<std::shared_ptr<net::Stream>, std::shared_ptr<net::Outbox>>> open_;
+    std::map<std::uint64_t, std::pair<std::shared_ptr<net::Stream>, std::shared_ptr<net::WriteQueue>>> open_;
     std::map<std::uint64_t, std::string> changes_;  // frames by their numbers
     std::uint64_t last_ = 1, accepted_{}, bytes_sent_{}, connections_{};
     bool beating_{};
@@ -46,14 +46,14 @@
 class HollowWatcher {
 public:
     // `told` is called with each change's number.
-    HollowWatcher(net::World& world, net::Address discovery, std::uint64_t seed,
+    HollowWatcher(net::EventLoop& loop, net::Address discovery, std::uint64_t seed,
                   std::function<void(std::uint64_t)> told);
     bool connected() const { return connected_; }
 
 private:
     net::Task<> run();
 
-    net::World& world_;
+    net::EventLoop& loop_;
     const net::Address discovery_;
     const std::function<void(std::uint64_t)> told_;
     std::uint64_t seed_, last_ = 1;
@@ -63,7 +63,7 @@
 // One listener on the wildcard address answers for all invokers on loopback, each in its run time.
 class HollowInvokers {
 public:
-    HollowInvokers(net::World& world, std::uint16_t port, net::Time run);
+    HollowInvokers(net::EventLoop& loop, std::uint16_t port, net::Time run);
     net::Error open();
     std::uint64_t connections() const { return connections_; }  // that came up, as are the next two
     std::uint64_t runs() const { return runs_; }
@@ -73,12 +73,12 @@
 private:
     net::Task<> accept();
     net::Task<> serve(std::shared_ptr<net::Stream> stream);
-    net::Task<> answer(std::shared_ptr<net::Outbox> outbox, std::string id);
+    net::Task<> answer(std::shared_ptr<net::WriteQueue> write_queue, std::string id);
     // Takes whole messages off the front of `got`.
-    void take(std::string& got, const std::shared_ptr<net::Outbox>& outbox);
-    void send(net::Outbox& outbox, std::string text);
+    void take(std::string& got, const std::shared_ptr<net::WriteQueue>& write_queue);
+    void send(net::WriteQueue& write_queue, std::string text);
 
-    net::World& world_;
+    net::EventLoop& loop_;
     const std::uint16_t port_;
     const net::Time run_;
     std::shared_ptr<net::Listener> listener_;
@@ -88,7 +88,7 @@
 // A web server's connection to one controller.
 class HollowClient {
 public:
-    HollowClient(net::World& world, net::Address controller);
+    HollowClient(net::EventLoop& loop, net::Address controller);
     // One attempt to connect and to be told that the controller is healthy.
     net::Task<bool> healthy();
     net::Task<> open(std::size_t connections);
@@ -102,13 +102,13 @@
 private:
     struct Connection {
         std::shared_ptr<net::Stream> stream;
-        std::shared_ptr<net::Outbox> outbox;
+        std::shared_ptr<net::WriteQueue> write_queue;
         std::map<int, net::Time> sent;  // when each open request was sent
     };
     net::Task<> listen(std::shared_ptr<Connection> connection);
     void take(std::string& got, Connection& connection);
 
-    net::World& world_;
+    net::EventLoop& loop_;
     const net::Address controller_;
     std::vector<std::shared_ptr<Connection>> connections_;
     std::uint64_t sent_{}, served_{}, ended_{};
--- a/scale/modelled_fleet.cpp
+++ b/scale/modelled_fleet.cpp
@@ -10,21 +10,21 @@
 
 Reply ModelledFleet::attempt(Time now, std::size_t number, FunctionNumber function, Time limit) {
     ModelledInvoker& invoker = invokers_[number];
-    if (invoker.dead) return {limit, Ending::overdue, Note::none, 0};
+    if (invoker.dead) return {limit, AttemptOutcome::timed_out, LoadEvent::none, 0};
     Instance* idle = nullptr;
-    int company = 0;
+    int concurrent_requests = 0;
     for (Instance& instance : invoker.instances) {
         if (instance.function != function) continue;
         if (instance.busy)
-            ++company;
+            ++concurrent_requests;
         else
             idle = &instance;
     }
-    if (idle) return running(invoker, *idle, now, Note::stood_loaded, company);
+    if (idle) return running(invoker, *idle, now, LoadEvent::was_loaded, concurrent_requests);
     Instance* const room = room_for(invoker);
-    if (!room) return {refusal, Ending::turned_away, Note::none, company};
+    if (!room) return {refusal, AttemptOutcome::rejected, LoadEvent::none, concurrent_requests};
     *room = {function, now + shape_.load, now, false};
-    return running(invoker, *room, now, Note::began_load, company);
+    return running(invoker, *room, now, LoadEvent::started_load, concurrent_requests);
 }
 
 ModelledFleet::Instance* ModelledFleet::room_for(ModelledInvoker& invoker) {
@@ -35,12 +35,12 @@
     return oldest;
 }
 
-Reply ModelledFleet::running(ModelledInvoker& invoker, Instance& instance, Time now, Note note, int company) const {
+Reply ModelledFleet::running(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent note, int concurrent_requests) const {
     instance.busy = true;
     ++invoker.running;
     const double crowd = std::max(1.0, invoker.running / shape_.cores);
     const auto run = Time(static_cast<Time::rep>(static_cast<double>(shape_.run.count()) * crowd));
-    return {std::max(instance.ready - now, Time{}) + run, Ending::honoured, note, company};
+    return {std::max(instance.ready - now, Time{}) + run, AttemptOutcome::succeeded, note, concurrent_requests};
 }
 
 void ModelledFleet::finished(Time now, std::size_t number, FunctionNumber function) {
@@ -54,7 +54,7 @@
     }
 }
 
-Report ModelledFleet::report(std::size_t invoker) const {
+LoadReport ModelledFleet::report(std::size_t invoker) const {
     return {static_cast<double>(invokers_[invoker].running), 0.0};
 }
 
--- a/scale/modelled_fleet.hpp
+++ b/scale/modelled_fleet.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "dispatch/types.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel::scale {
 
@@ -24,9 +24,9 @@
 // How an attempt ends, and after which span.
 struct Reply {
     Time after{};
-    Ending ending{};
-    Note note{};
-    int company{};  // other requests for the function there when it came
+    AttemptOutcome ending{};
+    LoadEvent note{};
+    int concurrent_requests{};  // other requests for the function there when it came
 };
 
 class ModelledFleet {
@@ -38,7 +38,7 @@
     Reply attempt(Time now, std::size_t invoker, FunctionNumber function, Time limit);
     void finished(Time now, std::size_t invoker, FunctionNumber function);
     bool answers(std::size_t invoker) const { return !invokers_[invoker].dead; }
-    Report report(std::size_t invoker) const;
+    LoadReport report(std::size_t invoker) const;
 
     void kill(std::size_t invoker);
     // A new process under the old address: nothing is loaded.
@@ -60,7 +60,7 @@
         bool dead{};
     };
     Instance* room_for(ModelledInvoker& invoker);
-    Reply running(ModelledInvoker& invoker, Instance& instance, Time now, Note note, int company) const;
+    Reply running(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent note, int concurrent_requests) const;
 
     const FleetShape shape_;
     std::vector<ModelledInvoker> invokers_;
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -6,7 +6,7 @@
 
 #include <filesystem>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 
 namespace plumkeel::scale {
 namespace {
@@ -34,23 +34,23 @@
                                                          {"parked_functions", Disturbance::parked_functions},
                                                          {"units_change", Disturbance::units_change}};
 
-void read_count(Reader& in, const char* key, std::size_t& into, std::size_t least, std::size_t most) {
+void read_count(JsonnetReader& in, const char* key, std::size_t& into, std::size_t least, std::size_t most) {
     in.read(key, into, least);
     if (into > most) in.complain(key, fmt::format("is over {}", most));
 }
 
-void read_positive(Reader& in, const char* key, double& into, double most) {
+void read_positive(JsonnetReader& in, const char* key, double& into, double most) {
     in.read(key, into);
     if (!(into > 0) || into > most) in.complain(key, fmt::format("is not between 0 and {}", most));
 }
 
-void read_span(Reader& in, const char* key, Time& into) {
+void read_span(JsonnetReader& in, const char* key, Time& into) {
     in.read(key, into);
     if (into <= Time{} || into > longest_run) in.complain(key, "is not between 0 and 20min");
 }
 
 template <class Case>
-Series<Case> read_series(Reader& in, const std::vector<std::string>& size_names, std::size_t most) {
+Series<Case> read_series(JsonnetReader& in, const std::vector<std::string>& size_names, std::size_t most) {
     Series<Case> out;
     in.need("name", out.name);
     out.size_name = size_names.front();
@@ -71,7 +71,7 @@
     return out;
 }
 
-void read_fleet(Reader& in, FleetShape& into) {
+void read_fleet(JsonnetReader& in, FleetShape& into) {
     read_count(in, "invokers", into.invokers, 1, most_invokers);
     read_count(in, "instances", into.instances, 1, 10'000);
     read_count(in, "zones", into.zones, 1, 1000);
@@ -81,13 +81,13 @@
 }
 
 template <class Case>
-void read_calls(Reader& in, Case& into) {
+void read_calls(JsonnetReader& in, Case& into) {
     read_count(in, "functions", into.functions, 1, most_functions);
     read_positive(in, "exponent", into.exponent, 5);
     read_positive(in, "calls_per_s", into.calls_per_s, most_calls_per_s);
 }
 
-Series<DecisionCase> read_decisions(Reader& in) {
+Series<DecisionCase> read_decisions(JsonnetReader& in) {
     auto out = read_series<DecisionCase>(in, {"invokers", "functions"}, most_functions);
     read_fleet(in, out.plain.fleet);
     read_calls(in, out.plain);
@@ -98,7 +98,7 @@
     return out;
 }
 
-Series<ManyControllersCase> read_controllers(Reader& in) {
+Series<ManyControllersCase> read_controllers(JsonnetReader& in) {
     auto out = read_series<ManyControllersCase>(in, {"controllers", "invokers"}, most_controllers);
     read_fleet(in, out.plain.fleet);
     read_calls(in, out.plain);
@@ -108,7 +108,7 @@
     return out;
 }
 
-Series<PlatformCase> read_platform(Reader& in) {
+Series<PlatformCase> read_platform(JsonnetReader& in) {
     auto out = read_series<PlatformCase>(in, {"invokers", "watchers"}, most_invokers);
     read_calls(in, out.plain);
     read_count(in, "processes", out.plain.processes, 1, most_processes);
@@ -128,15 +128,15 @@
 }  // namespace
 
 Plan read_plan(const std::string& file) {
-    const auto value = evaluate(file);
-    Reader in(value, file);
+    const auto value = evaluate_jsonnet(file);
+    JsonnetReader in(value, file);
     Plan out;
-    in.each("decisions", [&](Reader& each) { out.decisions.push_back(read_decisions(each)); });
-    in.each("controllers", [&](Reader& each) { out.controllers.push_back(read_controllers(each)); });
-    in.each("platform", [&](Reader& each) { out.platform.push_back(read_platform(each)); });
+    in.each("decisions", [&](JsonnetReader& each) { out.decisions.push_back(read_decisions(each)); });
+    in.each("controllers", [&](JsonnetReader& each) { out.controllers.push_back(read_controllers(each)); });
+    in.each("platform", [&](JsonnetReader& each) { out.platform.push_back(read_platform(each)); });
     in.finish();
     if (out.decisions.empty() && out.controllers.empty() && out.platform.empty())
-        throw CharterFault(file + ": names nothing to measure: decisions, controllers and platform are empty");
+        throw ConfigError(file + ": names nothing to measure: decisions, controllers and platform are empty");
     return out;
 }
 
@@ -190,13 +190,13 @@
     getrlimit(RLIMIT_NOFILE, &files);
     const auto mebibytes = [](std::size_t bytes) { return bytes >> 20; };
     if (need.memory_bytes > memory)
-        throw CharterFault(fmt::format("{}: would need {} MiB of memory; half of this machine's is {} MiB", what,
+        throw ConfigError(fmt::format("{}: would need {} MiB of memory; half of this machine's is {} MiB", what,
                                        mebibytes(need.memory_bytes), mebibytes(memory)));
     if (need.processes > most_processes + 1)
-        throw CharterFault(
+        throw ConfigError(
             fmt::format("{}: would need {} processes; {} may run", what, need.processes, most_processes + 1));
     if (need.descriptors > files.rlim_max)
-        throw CharterFault(
+        throw ConfigError(
             fmt::format("{}: would need {} descriptors; the limit is {}", what, need.descriptors, files.rlim_max));
 }
 
--- a/scale/platform_run.cpp
+++ b/scale/platform_run.cpp
@@ -9,10 +9,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "net/real.hpp"
+#include "net/socket_event_loop.hpp"
 #include "scale/hollow_peers.hpp"
 #include "scale/popularity.hpp"
-#include "stand/platform_bytes.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::scale {
 namespace {
@@ -162,8 +162,8 @@
     explicit PlatformRun(const PlatformCase& of)
         : case_(of),
           folder_(std::filesystem::temp_directory_path() / fmt::format("plumkeel-scale.{}", ::getpid())),
-          discovery_(world_, {"127.0.0.1", discovery_port}),
-          invokers_(world_, invoker_port, invoker_run),
+          discovery_(loop_, {"127.0.0.1", discovery_port}),
+          invokers_(loop_, invoker_port, invoker_run),
           popularity_(of.functions, of.exponent) {
         std::filesystem::create_directories(folder_);
     }
@@ -175,8 +175,8 @@
     std::vector<Measured> play() {
         for (const net::Error error : {discovery_.open(), invokers_.open()})
             if (error) throw ResultsFault("a hollow peer can't listen: " + error.message());
-        world_.spawn(script());
-        world_.run();
+        loop_.spawn(script());
+        loop_.run();
         if (!fault_.empty()) throw ResultsFault(fault_);
         return measured_;
     }
@@ -191,7 +191,7 @@
             co_await outage_of_discovery();
             co_await end();
         }
-        world_.stop();
+        loop_.stop();
     }
 
     void note(const char* metric, const char* unit, double value) { measured_.push_back({metric, unit, value}); }
@@ -214,27 +214,27 @@
 
     net::Task<> start() {
         for (std::size_t i = 0; i < case_.watchers; ++i)
-            watchers_.push_back(std::make_unique<HollowWatcher>(world_, net::Address{"127.0.0.1", discovery_port},
+            watchers_.push_back(std::make_unique<HollowWatcher>(loop_, net::Address{"127.0.0.1", discovery_port},
                                                                 case_.seed * 100'000 + i,
                                                                 [this](std::uint64_t number) { heard(number); }));
         double slowest = 0;
         for (std::size_t i = 0; i < case_.processes; ++i) {
             clients_.push_back(std::make_unique<HollowClient>(
-                world_, net::Address{"127.0.0.1", static_cast<std::uint16_t>(first_port + i)}));
-            const net::Time begun = world_.now();
+                loop_, net::Address{"127.0.0.1", static_cast<std::uint16_t>(first_port + i)}));
+            const net::Time begun = loop_.now();
             controllers_.push_back(std::make_unique<RealController>(case_, i, folder_));
             while (!(co_await clients_.back()->healthy())) {
-                if (!controllers_.back()->running() || world_.now() - begun > ready_limit) {
+                if (!controllers_.back()->running() || loop_.now() - begun > ready_limit) {
                     fault_ = fmt::format("controller {} did not become ready", i);
                     co_return;
                 }
-                co_await world_.sleep(ready_poll);
+                co_await loop_.sleep(ready_poll);
             }
-            slowest = std::max(slowest, std::chrono::duration<double>(world_.now() - begun).count());
+            slowest = std::max(slowest, std::chrono::duration<double>(loop_.now() - begun).count());
         }
         note("start_to_ready", "s", slowest);
         note("configuration", "bytes", static_cast<double>(std::filesystem::file_size(folder_ / "n0.json")));
-        co_await world_.sleep(settle);
+        co_await loop_.sleep(settle);
     }
 
     net::Task<> idle() {
@@ -242,7 +242,7 @@
         const double log_before = log_bytes();
         const double probes_before = static_cast<double>(invokers_.bytes());
         const double told_before = static_cast<double>(discovery_.bytes_sent());
-        co_await world_.sleep(case_.idle);
+        co_await loop_.sleep(case_.idle);
         const ProcessUse after = use();
         const double span = std::chrono::duration<double>(case_.idle).count();
         note("idle_resident", "bytes", after.resident_bytes);
@@ -257,25 +257,25 @@
 
     net::Task<> calls(std::size_t process, net::Time until) {
         Pcg random(case_.seed * 7919 + process);
-        while (world_.now() < until) {
+        while (loop_.now() < until) {
             clients_[process]->call(bytes::hex16(0x9e3779b97f4a7c15ULL * (popularity_.sample(random) + 1)));
-            co_await world_.sleep(
+            co_await loop_.sleep(
                 net::Time(static_cast<net::Time::rep>(-std::log(1 - random.next()) / case_.calls_per_s * 1e6)));
         }
     }
 
     net::Task<> busy() {
-        const net::Time until = world_.now() + settle + case_.busy;
+        const net::Time until = loop_.now() + settle + case_.busy;
         for (std::size_t i = 0; i < clients_.size(); ++i) {
             co_await clients_[i]->open(client_connections);
-            world_.spawn(calls(i, until));
+            loop_.spawn(calls(i, until));
         }
-        co_await world_.sleep(settle);
+        co_await loop_.sleep(settle);
         const ProcessUse before = use();
         const double log_before = log_bytes();
         const auto bytes_before = invokers_.bytes(), connections_before = invokers_.connections(),
                    runs_before = invokers_.runs(), probes_before = invokers_.probes();
-        co_await world_.sleep(case_.busy - 100ms);
+        co_await loop_.sleep(case_.busy - 100ms);
         const double span = std::chrono::duration<double>(case_.busy - 100ms).count();
         const ProcessUse after = use();
         note("busy_resident", "bytes", after.resident_bytes);
@@ -287,7 +287,7 @@
              per_process(static_cast<double>(invokers_.connections() - connections_before)) / span);
         note("busy_attempts", "1/s", per_process(static_cast<double>(invokers_.runs() - runs_before)) / span);
         note("busy_probes", "1/s", per_process(static_cast<double>(invokers_.probes() - probes_before)) / span);
-        co_await world_.sleep(settle);
+        co_await loop_.sleep(settle);
         double sent = 0, served = 0, ended = 0, mean = 0;
         for (const auto& client : clients_) {
             sent += static_cast<double>(client->sent());
@@ -303,21 +303,21 @@
 
     // A record of one invoker that has started anew under its address.
     std::string record(std::size_t number) const {
-        const auto started = static_cast<std::uint64_t>(world_.wall() / 1ms);
+        const auto started = static_cast<std::uint64_t>(loop_.wall_clock() / 1ms);
         return bytes::row({static_cast<std::uint32_t>(number), invoker_host(number), invoker_port, 0, started});
     }
 
     void heard(std::uint64_t number) {
         if (number == awaited_)
-            heard_after_.push_back(std::chrono::duration<double, std::milli>(world_.now() - told_).count());
+            heard_after_.push_back(std::chrono::duration<double, std::milli>(loop_.now() - told_).count());
     }
 
     net::Task<> await_watchers(std::uint64_t number) {
         awaited_ = number;
         heard_after_.clear();
-        const net::Time begun = world_.now();
-        while (heard_after_.size() < watchers_.size() && world_.now() - begun < reconnect_limit)
-            co_await world_.sleep(5ms);
+        const net::Time begun = loop_.now();
+        while (heard_after_.size() < watchers_.size() && loop_.now() - begun < reconnect_limit)
+            co_await loop_.sleep(5ms);
     }
 
     void note_spread(const char* what, std::vector<double> values) {
@@ -332,13 +332,13 @@
     }
 
     net::Task<> changes() {
-        const double wall_told = std::chrono::duration<double>(world_.wall()).count();
-        told_ = world_.now();
+        const double wall_told = std::chrono::duration<double>(loop_.wall_clock()).count();
+        told_ = loop_.now();
         awaited_ = 0;
         const std::uint64_t single = discovery_.tell(record(0));
         co_await await_watchers(single);
         note_spread("one_change", heard_after_);
-        co_await world_.sleep(settle / 2);
+        co_await loop_.sleep(settle / 2);
         double in_force = 0;
         for (const auto& controller : controllers_) {
             const auto took = controller->took_change(single);
@@ -348,12 +348,12 @@
 
         const ProcessUse before = use();
         const auto bytes_before = discovery_.bytes_sent();
-        told_ = world_.now();
+        told_ = loop_.now();
         std::uint64_t last = 0;
         for (std::size_t i = 0; i < case_.changes; ++i) last = discovery_.tell(record(i % case_.invokers));
         co_await await_watchers(last);
         note_spread("burst", heard_after_);
-        co_await world_.sleep(settle);
+        co_await loop_.sleep(settle);
         note("burst_processor_a_change", "us",
              1e6 * (use().processor_s - before.processor_s) / static_cast<double>(case_.changes));
         note("burst_bytes_a_watcher_a_change", "bytes",
@@ -363,34 +363,34 @@
 
     net::Task<> outage_of_discovery() {
         discovery_.vanish();
-        co_await world_.sleep(outage);
+        co_await loop_.sleep(outage);
         const auto connections_before = discovery_.connections();
         if (const net::Error error = discovery_.open()) {
             fault_ = "discovery can't listen again: " + error.message();
             co_return;
         }
-        const net::Time back = world_.now();
+        const net::Time back = loop_.now();
         const auto all = [&] {
             return discovery_.connections() - connections_before >= case_.processes + case_.watchers;
         };
-        while (!all() && world_.now() - back < reconnect_limit) co_await world_.sleep(5ms);
+        while (!all() && loop_.now() - back < reconnect_limit) co_await loop_.sleep(5ms);
         note("reconnected_all", "ms",
-             all() ? std::chrono::duration<double, std::milli>(world_.now() - back).count() : 1e9);
+             all() ? std::chrono::duration<double, std::milli>(loop_.now() - back).count() : 1e9);
     }
 
     net::Task<> end() {
         for (const auto& client : clients_) client->close();
         for (const auto& controller : controllers_) controller->ask_to_end();
-        const net::Time begun = world_.now();
+        const net::Time begun = loop_.now();
         const auto any_running = [&] {
             return std::any_of(controllers_.begin(), controllers_.end(), [](const auto& it) { return it->running(); });
         };
-        while (any_running() && world_.now() - begun < end_limit) co_await world_.sleep(20ms);
+        while (any_running() && loop_.now() - begun < end_limit) co_await loop_.sleep(20ms);
     }
 
     const PlatformCase case_;
     const std::filesystem::path folder_;
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     HollowDiscovery discovery_;
     HollowInvokers invokers_;
     const Popularity popularity_;
--- a/scale/popularity.hpp
+++ b/scale/popularity.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "chance/pcg.hpp"
+#include "random/pcg.hpp"
 
 namespace plumkeel::scale {
 
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 
 #include "soak/lines.hpp"
-#include "stand/platform_bytes.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::soak {
 namespace {
@@ -27,7 +27,7 @@
 struct Clients::State : std::enable_shared_from_this<Clients::State> {
     struct Connection {
         std::shared_ptr<net::Stream> stream;
-        std::shared_ptr<net::Outbox> outbox;
+        std::shared_ptr<net::WriteQueue> write_queue;
         std::map<int, std::size_t> open;  // requests in the books, by their number here
         std::map<int, std::string> text;  // of their answers, as far as they have come
         Time used{};
@@ -36,32 +36,32 @@
         bool ended{};
     };
 
-    State(net::World& w, ClientPlan p, std::vector<Request>& b)
-        : world(w), plan(std::move(p)), books(b), random(plan.seed), next_id(plan.first_id) {}
+    State(net::EventLoop& w, ClientPlan p, std::vector<Request>& b)
+        : loop(w), plan(std::move(p)), books(b), random(plan.seed), next_id(plan.first_id) {}
 
     Task<> start(std::function<void()> ready) {
         const auto self = shared_from_this();
-        while (!ended && !(co_await healthy())) co_await world.sleep(health_poll);
+        while (!ended && !(co_await healthy())) co_await loop.sleep(health_poll);
         if (ended) co_return;
         ready();
-        world.spawn(send_on());
+        loop.spawn(send_on());
     }
 
     Task<bool> healthy() {
-        const auto connected = co_await world.connect(plan.controller, connect_limit);
+        const auto connected = co_await loop.connect(plan.controller, connect_limit);
         if (connected.error) co_return false;
-        const auto outbox = std::make_shared<net::Outbox>(world, connected.stream);
-        outbox->send(bytes::message(1, {{"SCRIPT_NAME", "/_health"}}));
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, connected.stream);
+        write_queue->send(bytes::message(1, {{"SCRIPT_NAME", "/_health"}}));
         std::string got;
         std::vector<char> room(512);
         auto stream = connected.stream;
-        auto limit = world.at(world.now() + connect_limit, [stream] { stream->close(); });
+        auto limit = loop.call_at(loop.now() + connect_limit, [stream] { stream->close(); });
         while (got.find("\r\n\r\n") == std::string::npos) {
-            const net::Moved moved = co_await stream->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
             if (moved.error) break;
             got.append(room.data(), moved.bytes);
         }
-        world.drop(limit);
+        loop.cancel(limit);
         stream->close();
         co_return got.find("Status: 200") != std::string::npos;
     }
@@ -69,7 +69,7 @@
     Task<> send_on() {
         const auto self = shared_from_this();
         while (!ended) {
-            co_await world.sleep(Time(static_cast<Time::rep>(-std::log(1 - random.next()) / plan.per_second * 1e6)));
+            co_await loop.sleep(Time(static_cast<Time::rep>(-std::log(1 - random.next()) / plan.per_second * 1e6)));
             if (ended) co_return;
             send_one();
         }
@@ -90,7 +90,7 @@
         const Time patience(static_cast<Time::rep>(random.next() * it.budget_ms * 1000));
         std::string text_key = bytes::hex16(static_cast<std::uint64_t>(functions * random.next() * random.next()));
         bodies[at] = {text_key, std::string(random.next() < 0.2 ? 9000 : 40, 'b')};
-        world.spawn(send(at, closes, leaves ? std::optional<Time>(patience) : std::nullopt));
+        loop.spawn(send(at, closes, leaves ? std::optional<Time>(patience) : std::nullopt));
     }
 
     std::string message_of(std::size_t at, int number) const {
@@ -120,7 +120,7 @@
         const auto self = shared_from_this();
         std::shared_ptr<Connection> connection = alone ? nullptr : free_connection();
         if (!connection) {
-            const auto connected = co_await world.connect(plan.controller, connect_limit);
+            const auto connected = co_await loop.connect(plan.controller, connect_limit);
             if (connected.error) {
                 books[at].well = true;
                 books[at].with_the_process = true;  // it was never sent: nobody took it
@@ -130,33 +130,33 @@
             }
             connection = std::make_shared<Connection>();
             connection->stream = connected.stream;
-            connection->outbox = std::make_shared<net::Outbox>(world, connected.stream);
+            connection->write_queue = std::make_shared<net::WriteQueue>(loop, connected.stream);
             connection->alone = alone;
             connections.push_back(connection);
-            world.spawn(read(connection));
+            loop.spawn(read(connection));
         }
         const int number = connection->next_number++;
         connection->open[number] = at;
-        connection->used = world.now();
-        connection->outbox->send(message_of(at, number));
+        connection->used = loop.now();
+        connection->write_queue->send(message_of(at, number));
         books[at].sent_us = now_us();
         if (!leaves_after) co_return;
-        co_await world.sleep(*leaves_after);
+        co_await loop.sleep(*leaves_after);
         if (books[at].answers > 0 || connection->ended || !connection->open.count(number)) co_return;
         books[at].gone_us = now_us();
         if (alone)
             end(connection);
         else
-            connection->outbox->send(bytes::record(2, number, ""));
+            connection->write_queue->send(bytes::record(2, number, ""));
     }
 
     Task<> read(std::shared_ptr<Connection> it) {
         const auto self = shared_from_this();
         std::string got;
         std::vector<char> room(16 * 1024);
-        world.spawn(close_idle(it));
+        loop.spawn(close_idle(it));
         for (;;) {
-            const net::Moved moved = co_await it->stream->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await it->stream->read(net::asio::buffer(room));
             if (moved.error) break;
             got.append(room.data(), moved.bytes);
             take(got, *it);
@@ -167,8 +167,8 @@
     Task<> close_idle(std::shared_ptr<Connection> it) {
         const auto self = shared_from_this();
         while (!it->ended) {
-            co_await world.sleep(200ms);
-            if (!it->ended && it->open.empty() && world.now() - it->used > idle_for) end(it);
+            co_await loop.sleep(200ms);
+            if (!it->ended && it->open.empty() && loop.now() - it->used > idle_for) end(it);
         }
     }
 
@@ -199,7 +199,7 @@
         Request& request = books[found->second];
         it_answered[{&it, number}] = found->second;
         it.open.erase(found);
-        it.used = world.now();
+        it.used = loop.now();
         if (request.gone_us != never && text.empty()) return;  // it was taken back
         ++request.answers;
         request.answered_us = now_us();
@@ -221,7 +221,7 @@
                 request.with_the_process = true;
             } else if (!request.sent_again && now_us() - request.sent_us < crossing / 1us && open.size() == 1) {
                 request.sent_again = true;
-                world.spawn(send(at, false, std::nullopt));
+                loop.spawn(send(at, false, std::nullopt));
             } else {
                 request.cut_us = now_us();
             }
@@ -230,7 +230,7 @@
 
     void end(const std::shared_ptr<Connection>& it) {
         if (std::exchange(it->ended, true)) return;
-        it->outbox->abandon();
+        it->write_queue->abandon();
         it->stream->close();
         std::erase(connections, it);
         std::erase_if(it_answered, [&](const auto& each) { return each.first.first == it.get(); });
@@ -241,16 +241,16 @@
     // while.
     Task<> bad(std::string text, Reading reading) {
         const auto self = shared_from_this();
-        const auto connected = co_await world.connect(plan.controller, connect_limit);
+        const auto connected = co_await loop.connect(plan.controller, connect_limit);
         if (connected.error) co_return;
         const auto stream = connected.stream;
-        const auto outbox = std::make_shared<net::Outbox>(world, stream);
-        outbox->send(std::move(text));
-        if (reading == Reading::nothing) co_await world.sleep(deaf_for);
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+        write_queue->send(std::move(text));
+        if (reading == Reading::nothing) co_await loop.sleep(deaf_for);
         std::vector<char> room(4096);
         while (reading == Reading::until_closed && !(co_await stream->read(net::asio::buffer(room))).error) {
         }
-        outbox->abandon();
+        write_queue->abandon();
         stream->close();
     }
 
@@ -266,13 +266,13 @@
         books.push_back(it);
         bodies[at] = {bytes::hex16(1), "b"};
         co_await send(at, true, std::nullopt);
-        co_await world.sleep(5ms);
+        co_await loop.sleep(5ms);
         for (const auto& each : connections)
             if (each->alone && each->open.size() == 1 && each->open.begin()->second == at)
-                each->outbox->send("\x07 no record at all");
+                each->write_queue->send("\x07 no record at all");
     }
 
-    net::World& world;
+    net::EventLoop& loop;
     const ClientPlan plan;
     std::vector<Request>& books;
     Pcg random;
@@ -283,15 +283,15 @@
     bool ended{}, gone_with_process{};
 };
 
-Clients::Clients(net::World& world, ClientPlan plan, std::vector<Request>& books)
-    : state_(std::make_shared<State>(world, std::move(plan), books)) {}
+Clients::Clients(net::EventLoop& loop, ClientPlan plan, std::vector<Request>& books)
+    : state_(std::make_shared<State>(loop, std::move(plan), books)) {}
 
 Clients::~Clients() {
     state_->ended = true;
 }
 
 void Clients::begin(std::function<void()> ready) {
-    state_->world.spawn(state_->start(std::move(ready)));
+    state_->loop.spawn(state_->start(std::move(ready)));
 }
 
 void Clients::end_sending() {
@@ -309,23 +309,23 @@
             bytes::message(number, {{"SCRIPT_NAME", "/invoke/preview"}}, std::string(15'000, 'h'));
         halves += whole.substr(0, whole.size() - 8);
     }
-    for (int i = 0; i < count; ++i) state_->world.spawn(state_->bad(halves, State::Reading::until_closed));
+    for (int i = 0; i < count; ++i) state_->loop.spawn(state_->bad(halves, State::Reading::until_closed));
 }
 
 void Clients::idle(int count) {
     for (int i = 0; i < count; ++i)
-        state_->world.spawn(
+        state_->loop.spawn(
             state_->bad(i % 2 ? "" : bytes::message(1, {{"SCRIPT_NAME", "/_health"}}), State::Reading::until_closed));
 }
 
 void Clients::read_nothing(int count) {
     std::string text;
     for (int i = 0; i < 400; ++i) text += bytes::message(1 + i % 20, {{"SCRIPT_NAME", "/invoke/nothing"}});
-    for (int i = 0; i < count; ++i) state_->world.spawn(state_->bad(text, State::Reading::nothing));
+    for (int i = 0; i < count; ++i) state_->loop.spawn(state_->bad(text, State::Reading::nothing));
 }
 
 void Clients::malformed_behind_a_request() {
-    state_->world.spawn(state_->malformed());
+    state_->loop.spawn(state_->malformed());
 }
 
 }  // namespace plumkeel::soak
--- a/soak/clients.hpp
+++ b/soak/clients.hpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <string>
 
-#include "chance/pcg.hpp"
-#include "net/outbox.hpp"
-#include "net/real.hpp"
+#include "random/pcg.hpp"
+#include "net/write_queue.hpp"
+#include "net/socket_event_loop.hpp"
 #include "soak/books.hpp"
 
 namespace plumkeel::soak {
@@ -27,7 +27,7 @@
 class Clients {
 public:
     // Requests are appended to `books`, which outlives this, as the world does.
-    Clients(net::World& world, ClientPlan plan, std::vector<Request>& books);
+    Clients(net::EventLoop& loop, ClientPlan plan, std::vector<Request>& books);
     ~Clients();
     Clients(const Clients&) = delete;
     Clients& operator=(const Clients&) = delete;
--- a/soak/events.cpp
+++ b/soak/events.cpp
@@ -6,12 +6,12 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "net/real.hpp"
+#include "net/socket_event_loop.hpp"
 
 namespace plumkeel::soak {
 
 std::int64_t now_us() {
-    return net::common_clock().count();
+    return net::machine_clock().count();
 }
 
 EventFile::EventFile(const std::string& path)
--- a/soak/events.hpp
+++ b/soak/events.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::soak {
 
--- a/soak/invoker.cpp
+++ b/soak/invoker.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <set>
 
-#include "chance/pcg.hpp"
-#include "net/outbox.hpp"
-#include "net/real.hpp"
+#include "random/pcg.hpp"
+#include "net/write_queue.hpp"
+#include "net/socket_event_loop.hpp"
 #include "soak/control.hpp"
 #include "soak/events.hpp"
 #include "soak/lines.hpp"
@@ -29,13 +29,13 @@
         : plan_(plan), events_(plan.record), control_(plan.control, ControlFile::Mode::open), random_(plan.seed) {}
 
     net::Error open() {
-        auto listened = world_.listen(*net::Address::parse(plan_.listen));
+        auto listened = loop_.listen(*net::Address::parse(plan_.listen));
         if (listened.error) return listened.error;
         listener_ = std::move(listened.listener);
-        world_.spawn(accept());
+        loop_.spawn(accept());
         return {};
     }
-    void run() { world_.run(); }
+    void run() { loop_.run(); }
 
 private:
     struct Running {
@@ -43,7 +43,7 @@
     };
     struct Connection {
         std::shared_ptr<net::Stream> stream;
-        std::shared_ptr<net::Outbox> outbox;
+        std::shared_ptr<net::WriteQueue> write_queue;
         std::map<std::string, std::shared_ptr<Running>> running;
     };
 
@@ -53,8 +53,8 @@
             if (accepted.error) continue;
             const auto connection = std::make_shared<Connection>();
             connection->stream = accepted.stream;
-            connection->outbox = std::make_shared<net::Outbox>(world_, accepted.stream);
-            world_.spawn(serve(connection));
+            connection->write_queue = std::make_shared<net::WriteQueue>(loop_, accepted.stream);
+            loop_.spawn(serve(connection));
         }
     }
 
@@ -62,14 +62,14 @@
         std::string got;
         std::vector<char> room(16 * 1024);
         for (;;) {
-            const net::Moved moved = co_await connection->stream->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await connection->stream->read(net::asio::buffer(room));
             if (moved.error) break;
             got.append(room.data(), moved.bytes);
             const auto has_body = [](const std::vector<std::string>& words) { return words.front() == "RUN"; };
             while (const auto message = take_message(got, has_body)) take(*message, connection);
         }
         for (auto& [id, running] : connection->running) running->stopped = true;
-        connection->outbox->abandon();
+        connection->write_queue->abandon();
         connection->stream->close();
     }
 
@@ -78,12 +78,12 @@
         if (message.words.size() < 2) return;
         const std::string& id = message.words[1];
         if (word == "INFO" || word == "NOOP") {
-            connection->outbox->send(id + " well l=active:" + std::to_string(active_) + ";waiting:0 0\r\n\r\n");
+            connection->write_queue->send(id + " well l=active:" + std::to_string(active_) + ";waiting:0 0\r\n\r\n");
         } else if (word == "STOP") {
             if (const auto found = connection->running.find(id); found != connection->running.end())
                 found->second->stopped = true;
         } else if (word == "RUN") {
-            world_.spawn(work(message, id, connection));
+            loop_.spawn(work(message, id, connection));
         }
     }
 
@@ -112,7 +112,7 @@
             if (loaded_.size() >= loaded_most) loaded_.erase(loaded_.begin());
             loaded_.insert(function);
         }
-        co_await world_.sleep(Time(static_cast<Time::rep>(takes)));
+        co_await loop_.sleep(Time(static_cast<Time::rep>(takes)));
         --active_;
         connection->running.erase(id);
         events_.write(What::run_ended, request, plan_.number);
@@ -125,13 +125,13 @@
                 const std::string& fields, const std::string& body) {
         const std::string text =
             id + " " + word + " " + fields + " " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
-        connection->outbox->send(text);
+        connection->write_queue->send(text);
         if (!happens(control_.slot(plan_.number).twice)) return;
-        world_.at(world_.now() + 3ms, [connection, text] { connection->outbox->send(text); });
+        loop_.call_at(loop_.now() + 3ms, [connection, text] { connection->write_queue->send(text); });
     }
 
     const InvokerPlan plan_;
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     EventFile events_;
     ControlFile control_;
     Pcg random_;
--- a/soak/proxy.cpp
+++ b/soak/proxy.cpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <set>
 
-#include "net/outbox.hpp"
-#include "net/real.hpp"
+#include "net/write_queue.hpp"
+#include "net/socket_event_loop.hpp"
 #include "soak/control.hpp"
 #include "soak/events.hpp"
 #include "soak/lines.hpp"
@@ -28,20 +28,20 @@
 
     net::Error open() {
         for (const auto& way : plan_.ways) {
-            auto listened = world_.listen(*net::Address::parse(way.listen));
+            auto listened = loop_.listen(*net::Address::parse(way.listen));
             if (listened.error) return listened.error;
-            world_.spawn(accept(listened.listener, way));
+            loop_.spawn(accept(listened.listener, way));
         }
         look();
         return {};
     }
-    void run() { world_.run(); }
+    void run() { loop_.run(); }
 
 private:
     struct Connection {
         std::uint32_t invoker{};
         std::shared_ptr<net::Stream> near, far;  // of the controller, and of the invoker
-        std::shared_ptr<net::Outbox> to_near, to_far;
+        std::shared_ptr<net::WriteQueue> to_near, to_far;
         std::string held_near, held_far;  // bytes for them, while the network is cut
         std::set<std::string> out;
         bool ended{};
@@ -57,7 +57,7 @@
                 accepted.stream->reset();
                 continue;
             }
-            world_.spawn(pass(accepted.stream, way));
+            loop_.spawn(pass(accepted.stream, way));
         }
     }
 
@@ -65,14 +65,14 @@
         const auto connection = std::make_shared<Connection>();
         connection->invoker = way.invoker;
         connection->near = near;
-        connection->to_near = std::make_shared<net::Outbox>(world_, near);
+        connection->to_near = std::make_shared<net::WriteQueue>(loop_, near);
         const net::Address to = *net::Address::parse(way.to);
-        const auto connected = co_await world_.connect(to, connect_limit);
+        const auto connected = co_await loop_.connect(to, connect_limit);
         if (connected.error) co_return near->reset();
         connection->far = connected.stream;
-        connection->to_far = std::make_shared<net::Outbox>(world_, connected.stream);
+        connection->to_far = std::make_shared<net::WriteQueue>(loop_, connected.stream);
         connections_.insert(connection);
-        world_.spawn(read_far(connection));
+        loop_.spawn(read_far(connection));
         co_await read_near(connection);
         end(connection, false);
     }
@@ -84,18 +84,18 @@
         while (!it->ended) {
             bool waited = false;
             while (!it->ended && (slot(it->invoker).passing == Passing::unread || it->held_far.size() > held_most)) {
-                co_await world_.sleep(look_every);
+                co_await loop_.sleep(look_every);
                 waited = true;
             }
-            if (waited) unsure_until = world_.now() + unsure_for;
-            const net::Moved moved = co_await it->near->read(net::asio::buffer(room));
+            if (waited) unsure_until = loop_.now() + unsure_for;
+            const net::TransferResult moved = co_await it->near->read(net::asio::buffer(room));
             if (moved.error) co_return;
             const std::string_view bytes(room.data(), moved.bytes);
             got += bytes;
-            const bool unsure = world_.now() < unsure_until || slot(it->invoker).passing == Passing::unread;
+            const bool unsure = loop_.now() < unsure_until || slot(it->invoker).passing == Passing::unread;
             note(got, *it, unsure ? held_up : 0);
             if (const std::uint32_t delay = slot(it->invoker).delay_ms; delay > 0)
-                co_await world_.sleep(std::chrono::milliseconds(delay));
+                co_await loop_.sleep(std::chrono::milliseconds(delay));
             if (slot(it->invoker).passing == Passing::held || !it->held_far.empty())
                 it->held_far += bytes;
             else
@@ -123,7 +123,7 @@
         std::string got;
         std::vector<char> room(16 * 1024);
         while (!it->ended) {
-            const net::Moved moved = co_await it->far->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await it->far->read(net::asio::buffer(room));
             if (moved.error) break;
             const std::string_view bytes(room.data(), moved.bytes);
             got += bytes;
@@ -135,7 +135,7 @@
                 it->to_near->send(std::string(bytes));
         }
         // A machine that is cut off says nothing of its end either.
-        while (!it->ended && slot(it->invoker).passing == Passing::held) co_await world_.sleep(look_every);
+        while (!it->ended && slot(it->invoker).passing == Passing::held) co_await loop_.sleep(look_every);
         end(it, true);
     }
 
@@ -164,7 +164,7 @@
                 if (reset || (idle_end && each->out.empty())) end(each, reset);
             }
         }
-        world_.at(world_.now() + look_every, [this] { look(); });
+        loop_.call_at(loop_.now() + look_every, [this] { look(); });
     }
 
     static void release(Connection& it) {
@@ -173,7 +173,7 @@
     }
 
     const ProxyPlan plan_;
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     EventFile events_;
     ControlFile control_;
     std::set<std::shared_ptr<Connection>> connections_;
--- a/soak/run.cpp
+++ b/soak/run.cpp
@@ -13,9 +13,9 @@
 #include "scale/hollow_peers.hpp"
 #include "soak/clients.hpp"
 #include "soak/control.hpp"
-#include "stand/faults/fault_plan.hpp"
-#include "stand/faults/process.hpp"
-#include "stand/platform_bytes.hpp"
+#include "emulator/faults/fault_plan.hpp"
+#include "emulator/faults/process.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::soak {
 namespace {
@@ -74,10 +74,10 @@
             it.faults->plan().seed = plan_.seed * 1000 + i;
             start(it);
         }
-        world_.at(world_.now() + first_trouble, [this] { trouble(); });
-        world_.at(world_.now() + std::chrono::seconds(plan_.seconds), [this] { calm_down(); });
+        loop_.call_at(loop_.now() + first_trouble, [this] { trouble(); });
+        loop_.call_at(loop_.now() + std::chrono::seconds(plan_.seconds), [this] { calm_down(); });
         look();
-        world_.run();
+        loop_.run();
         return result();
     }
 
@@ -86,7 +86,7 @@
     Time between(Time least, Time most) {
         return least + Time(static_cast<Time::rep>(random_.next() * static_cast<double>((most - least).count())));
     }
-    void after(Time span, std::function<void()> what) { world_.at(world_.now() + span, std::move(what)); }
+    void after(Time span, std::function<void()> what) { loop_.call_at(loop_.now() + span, std::move(what)); }
 
     // ---------------------------------------------------------------- the fleet and its list
 
@@ -111,7 +111,7 @@
         }
         for (const std::uint32_t i : {0u, 1u}) {
             discovery_.push_back(
-                std::make_unique<scale::HollowDiscovery>(world_, net::Address{host(3, i), discovery_port}));
+                std::make_unique<scale::HollowDiscovery>(loop_, net::Address{host(3, i), discovery_port}));
             if (const net::Error error = discovery_.back()->open())
                 throw std::runtime_error("discovery: " + error.message());
         }
@@ -249,7 +249,7 @@
         plan.per_second = plan_.per_second;
         plan.seed = plan_.seed * 7919 + it.number * 131 + plan.life;
         plan.first_id = (static_cast<std::uint64_t>(it.number + 1) * 1000 + plan.life) * ids_of_a_life;
-        it.clients = std::make_unique<Clients>(world_, plan, books_.requests);
+        it.clients = std::make_unique<Clients>(loop_, plan, books_.requests);
         it.clients->begin([this, &it] {
             if (it.state == Controller::State::starting) it.state = Controller::State::up;
             life_of(it).ready = true;
@@ -494,12 +494,12 @@
     void discovery_gone(Time span) {
         // Whoever is told in a moment between two outages, too short to come again in, can't know: none is so short
         // here.
-        if (discovery_down_ || world_.now() < discovery_back_ + discovery_rest) return;
+        if (discovery_down_ || loop_.now() < discovery_back_ + discovery_rest) return;
         discovery_down_ = true;
         for (const auto& each : discovery_) each->vanish();
         after(span * 2, [this] {
             discovery_down_ = false;
-            discovery_back_ = world_.now();
+            discovery_back_ = loop_.now();
             for (const auto& each : discovery_)
                 if (const net::Error error = each->open()) say("discovery: " + error.message());
         });
@@ -534,7 +534,7 @@
             for (Controller& it : controllers_)
                 if (it.state == Controller::State::up) term(it);
         });
-        after(settle + last_answers + 3s, [this] { world_.stop(); });
+        after(settle + last_answers + 3s, [this] { loop_.stop(); });
     }
 
     RunResult result() {
@@ -573,12 +573,12 @@
 
     void say(const std::string& what) const {
         if (!plan_.quiet)
-            std::cerr << fmt::format("{:7.2f} {}\n", static_cast<double>(world_.now().count()) / 1e6, what);
+            std::cerr << fmt::format("{:7.2f} {}\n", static_cast<double>(loop_.now().count()) / 1e6, what);
     }
 
     const RunPlan plan_;
     Pcg random_;
-    net::RealWorld world_;
+    net::SocketEventLoop loop_;
     ControlFile control_;
     Books books_;
     std::deque<Controller> controllers_;
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Told answers[] = {
+constexpr RejectionResponse answers[] = {
     {200, "none", "", false},
     {400, "malformed", "not HTTP/1.1 as this door reads it", false},
     {431, "head_too_big", "the head is over its limit", false},
@@ -31,89 +31,89 @@
     {408, "unread_answer", "the answer was not read", false},
     {503, "closing", "this controller takes no more jobs", true},
 };
-static_assert(std::size(answers) == static_cast<std::size_t>(Objection::count_));
+static_assert(std::size(answers) == static_cast<std::size_t>(RejectionReason::count_));
 
 constexpr Time pace_grace = 2s;
 
 }  // namespace
 
-const Told& told(Objection objection) {
+const RejectionResponse& response_for(RejectionReason objection) {
     return answers[static_cast<std::size_t>(objection)];
 }
 
-Objection Admission::connection_came() {
-    if (connections_ >= rules_.connections) return Objection::too_many_connections;
+RejectionReason Admission::admit_connection() {
+    if (connections_ >= limits_.max_connections) return RejectionReason::too_many_connections;
     ++connections_;
-    return Objection::none;
+    return RejectionReason::none;
 }
 
-void Admission::connection_left() {
+void Admission::release_connection() {
     --connections_;
 }
 
-Objection Admission::head_read(std::size_t known) const {
-    if (closing_) return Objection::closing;
-    if (known > rules_.body_bytes) return Objection::body_too_big;
-    if (jobs_ >= rules_.open_jobs) return Objection::too_many_jobs;
-    if (held_ + known > rules_.memory_bytes) return Objection::no_memory;
-    return Objection::none;
+RejectionReason Admission::admit_body(std::size_t known) const {
+    if (closing_) return RejectionReason::closing;
+    if (known > limits_.max_body_bytes) return RejectionReason::body_too_big;
+    if (requests_ >= limits_.max_requests) return RejectionReason::too_many_requests;
+    if (reserved_bytes_ + known > limits_.max_memory_bytes) return RejectionReason::no_memory;
+    return RejectionReason::none;
 }
 
-Objection Admission::time_left(std::string_view digits, Time& left) const {
+RejectionReason Admission::parse_remaining(std::string_view digits, Time& left) const {
     if (digits.empty()) {
-        if (!rules_.assumed_left) return Objection::time_left_absent;
-        left = *rules_.assumed_left;
-        return Objection::none;
+        if (!limits_.default_remaining) return RejectionReason::remaining_missing;
+        left = *limits_.default_remaining;
+        return RejectionReason::none;
     }
     std::int64_t ms = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), ms);
-    if (error != std::errc{} || end != digits.data() + digits.size()) return Objection::time_left_absurd;
+    if (error != std::errc{} || end != digits.data() + digits.size()) return RejectionReason::remaining_invalid;
     // Compared in milliseconds: what a client says may not fit into microseconds.
-    if (ms > rules_.longest_left / 1ms || std::chrono::milliseconds(ms) < rules_.shortest_left)
-        return Objection::time_left_absurd;
+    if (ms > limits_.max_remaining / 1ms || std::chrono::milliseconds(ms) < limits_.min_remaining)
+        return RejectionReason::remaining_invalid;
     left = std::chrono::milliseconds(ms);
-    return Objection::none;
+    return RejectionReason::none;
 }
 
-Objection Admission::name(std::string_view text) const {
+RejectionReason Admission::check_name(std::string_view text) const {
     const bool odd = std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-    return text.empty() || text.size() > rules_.name_bytes || odd ? Objection::bad_function : Objection::none;
+    return text.empty() || text.size() > limits_.max_name_bytes || odd ? RejectionReason::bad_function : RejectionReason::none;
 }
 
-Objection Admission::hold(std::size_t bytes) {
-    if (held_ + bytes > rules_.memory_bytes) return Objection::no_memory;
-    held_ += bytes;
-    return Objection::none;
+RejectionReason Admission::reserve(std::size_t bytes) {
+    if (reserved_bytes_ + bytes > limits_.max_memory_bytes) return RejectionReason::no_memory;
+    reserved_bytes_ += bytes;
+    return RejectionReason::none;
 }
 
-void Admission::let_go(std::size_t bytes) {
-    held_ -= std::min(bytes, held_);
+void Admission::release(std::size_t bytes) {
+    reserved_bytes_ -= std::min(bytes, reserved_bytes_);
 }
 
-Objection Admission::job_came() {
-    if (closing_) return Objection::closing;
-    if (jobs_ >= rules_.open_jobs) return Objection::too_many_jobs;
-    ++jobs_;
-    return Objection::none;
+RejectionReason Admission::admit_request() {
+    if (closing_) return RejectionReason::closing;
+    if (requests_ >= limits_.max_requests) return RejectionReason::too_many_requests;
+    ++requests_;
+    return RejectionReason::none;
 }
 
-void Admission::job_left() {
-    --jobs_;
+void Admission::release_request() {
+    --requests_;
 }
 
-Objection Admission::pace(Time since, Time now, std::size_t got) const {
-    if (now - since < pace_grace) return Objection::none;
+RejectionReason Admission::check_body_rate(Time since, Time now, std::size_t got) const {
+    if (now - since < pace_grace) return RejectionReason::none;
     const double seconds = std::chrono::duration<double>(now - since).count();
-    return static_cast<double>(got) < static_cast<double>(rules_.least_rate) * (seconds - 1)
-               ? Objection::body_too_slow
-               : Objection::none;
+    return static_cast<double>(got) < static_cast<double>(limits_.min_body_rate) * (seconds - 1)
+               ? RejectionReason::body_too_slow
+               : RejectionReason::none;
 }
 
 // To 160 ms: who waits in the backlog has a deadline, and a try in vain costs little.
 Time Admission::accept_pause() {
-    count(Objection::no_descriptors);
-    short_of_ = std::min(short_of_ + 1, 4);
-    return 10ms * (1 << short_of_);
+    count(RejectionReason::no_descriptors);
+    failed_accepts_ = std::min(failed_accepts_ + 1, 4);
+    return 10ms * (1 << failed_accepts_);
 }
 
 }  // namespace plumkeel
--- a/src/cli/alerts.cpp
+++ b/src/cli/alerts.cpp
@@ -9,8 +9,8 @@
 #include <iostream>
 #include <sstream>
 
-#include "charter/reader.hpp"
-#include "stand/promql.hpp"
+#include "config/jsonnet_reader.hpp"
+#include "emulator/promql.hpp"
 
 namespace plumkeel::cli {
 namespace {
@@ -45,7 +45,7 @@
         text << in.rdbuf();
         return text.str();
     }
-    const json::value value = evaluate(file);
+    const json::value value = evaluate_jsonnet(file);
     if (!value.is_object() || !value.as_object().contains("groups")) throw promql::Fault(file + ": has no groups");
     YAML::Emitter out;
     emit(out, json::object{{"groups", value.at("groups")}});
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -4,10 +4,10 @@
 #include <iostream>
 #include <iterator>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "web/protocol.hpp"
 #include "http/exchange.hpp"
-#include "net/real.hpp"
+#include "net/socket_event_loop.hpp"
 
 namespace plumkeel::cli {
 namespace {
@@ -19,15 +19,15 @@
 std::optional<http::bh::response<http::bh::string_body>> ask(const std::string& at, std::string head,
                                                              std::string body, Time limit) {
     const auto address = net::Address::parse(at);
-    if (!address) throw CharterFault("--at " + at + ": is no address such as 127.0.0.1:7400");
-    net::RealWorld world;
+    if (!address) throw ConfigError("--at " + at + ": is no address such as 127.0.0.1:7400");
+    net::SocketEventLoop loop;
     http::Exchanged got;
     auto run = [&]() -> net::Task<> {
-        got = co_await http::exchange(world, *address, std::move(head), std::move(body), limit);
-        world.stop();
+        got = co_await http::exchange(loop, *address, std::move(head), std::move(body), limit);
+        loop.stop();
     };
-    world.spawn(run());
-    world.run();
+    loop.spawn(run());
+    loop.run();
     if (!got.error) return std::move(got.answer);
     std::cerr << "plumkeel: no answer from " << at << ": " << got.error.message() << '\n';
     return {};
@@ -37,7 +37,7 @@
     if (from.empty()) return {};
     if (from == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
     std::ifstream in(from, std::ios::binary);
-    if (!in) throw CharterFault(from + ": can't be read");
+    if (!in) throw ConfigError(from + ": can't be read");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -51,23 +51,23 @@
     return answer->result_int() == 200 ? 0 : 1;
 }
 
-int send(const std::string& at, const Job& job) {
-    const Time left = span_of_text(job.time_left);
-    std::string body = read_body(job.body);
-    http::HeadWriter head("POST /v1/jobs/" + http::encoded(job.function) + " HTTP/1.1");
-    head.add("Host", at).add("Connection", "close").add(field::use_case, job.use_case);
-    head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{job.lanes});
-    if (!job.tenant.empty()) head.add(field::tenant, job.tenant);
-    if (!job.mark.empty()) head.add(field::mark, job.mark);
-    if (job.memory > 0) head.add(field::memory, std::int64_t{job.memory});
-    if (job.again) head.add(field::again, "1");
+int send(const std::string& at, const Job& request) {
+    const Time left = parse_duration(request.time_left);
+    std::string body = read_body(request.body);
+    http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
+    head.add("Host", at).add("Connection", "close").add(field::request_class, request.request_class);
+    head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.lanes});
+    if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
+    if (!request.mark.empty()) head.add(field::mark, request.mark);
+    if (request.memory > 0) head.add(field::memory, std::int64_t{request.memory});
+    if (request.again) head.add(field::again, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body.size()));
     const auto answer = ask(at, head.done(), std::move(body), left + 2s);
     if (!answer) return 1;
     const std::string_view outcome = http::field(*answer, field::outcome);
     const std::string_view objection = http::field(*answer, field::objection);
     std::cerr << (objection.empty() ? outcome : objection) << ", status " << answer->result_int();
-    if (const auto hops = http::field(*answer, field::hops); !hops.empty()) std::cerr << ", hops " << hops;
+    if (const auto attempts = http::field(*answer, field::attempts); !attempts.empty()) std::cerr << ", hops " << attempts;
     if (const auto later = http::field(*answer, field::retry_after_ms); !later.empty())
         std::cerr << ", come back after " << later << " ms";
     std::cerr << '\n';
