--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -7,15 +7,15 @@
 #include <iterator>
 #include <random>
 
-#include "charter/charter.hpp"
+#include "config/gateway_config.hpp"
 #include "cli/alerts.hpp"
 #include "cli/client.hpp"
 #include "cli/trace.hpp"
-#include "web/service.hpp"
+#include "web/server.hpp"
 #include "log/log.hpp"
-#include "net/real.hpp"
-#include "platform/platform.hpp"
-#include "remote/ship.hpp"
+#include "net/socket_event_loop.hpp"
+#include "platform/serve.hpp"
+#include "remote_write/exporter.hpp"
 
 namespace {
 
@@ -25,58 +25,58 @@
     std::map<std::string, std::string> out;
     for (const std::string& each : given) {
         const auto equals = each.find('=');
-        if (equals == std::string::npos) throw CharterFault("--var " + each + ": is no NAME=VALUE");
+        if (equals == std::string::npos) throw ConfigError("--var " + each + ": is no NAME=VALUE");
         out[each.substr(0, equals)] = each.substr(equals + 1);
     }
     return out;
 }
 
-int serve(const Charter& charter, std::optional<std::uint64_t> seed) {
+int serve(const GatewayConfig& config, std::optional<std::uint64_t> seed) {
     // A file at its size limit is an error of that write, not the end of the controller.
     std::signal(SIGXFSZ, SIG_IGN);
-    net::RealWorld world;
-    Log log(world, charter.log);
+    net::SocketEventLoop loop;
+    Log log(loop, config.log);
     const std::uint64_t chosen = seed ? *seed : std::random_device{}() | std::uint64_t{std::random_device{}()} << 32;
     std::unique_ptr<trace::Recorder> recorder;
-    trace::Recorded recorded;
-    if (!charter.trace.folder.empty()) {
-        recorder = std::make_unique<trace::Recorder>(charter.trace, charter.name, world.wall());
+    trace::RecordCallback recorded;
+    if (!config.trace.folder.empty()) {
+        recorder = std::make_unique<trace::Recorder>(config.trace, config.name, loop.wall_clock());
         recorded = [&recorder](const trace::Record& record) { recorder->offer(record); };
     }
-    web::Service gateway(world, charter, log, chosen, std::move(recorded));
-    gateway.measure_also([&](metrics::Levels& levels) {
+    web::Server gateway(loop, config, log, chosen, std::move(recorded));
+    gateway.set_extra_levels([&](metrics::Levels& levels) {
         if (recorder) levels.recorder_dropped = static_cast<double>(recorder->dropped());
     });
     if (const net::Error error = gateway.open()) {
         std::string why = error.message();
         if (error == net::asio::error::address_in_use)
-            if (const std::string who = net::holder_of(net::Address::parse(charter.listen)->port); !who.empty())
+            if (const std::string who = net::listening_process(net::Address::parse(config.listen)->port); !who.empty())
                 why += ": held by " + who;
-        std::cerr << "plumkeel: can't listen on " << charter.listen << ": " << why << '\n';
+        std::cerr << "plumkeel: can't listen on " << config.listen << ": " << why << '\n';
         return 1;
     }
-    log.line(Log::Level::info, "serving",
-             {{"listen", gateway.address().text()}, {"name", charter.name}, {"seed", std::to_string(chosen)}});
+    log.write(Log::Level::info, "serving",
+             {{"listen", gateway.address().text()}, {"name", config.name}, {"seed", std::to_string(chosen)}});
     std::function<void()> hand_over = [&] {
         recorder->flush();
-        world.at(world.now() + std::chrono::milliseconds(500), hand_over);
+        loop.call_at(loop.now() + std::chrono::milliseconds(500), hand_over);
     };
     if (recorder) hand_over();
-    std::unique_ptr<remote::Ship> ship;
-    if (gateway.meters() && !charter.remote.receivers.empty())
-        ship = std::make_unique<remote::Ship>(
-            charter.remote, [&gateway] { return gateway.meters()->collect(); },
-            [&world, &log](const std::string& kind, const std::string& what) {
-                net::asio::post(world.executor(), [&log, kind, what] { log.line(Log::Level::warn, kind, {{"what", what}}); });
+    std::unique_ptr<remote_write::Exporter> ship;
+    if (gateway.metrics() && !config.remote_write.receivers.empty())
+        ship = std::make_unique<remote_write::Exporter>(
+            config.remote_write, [&gateway] { return gateway.metrics()->collect(); },
+            [&loop, &log](const std::string& kind, const std::string& what) {
+                net::asio::post(loop.executor(), [&log, kind, what] { log.write(Log::Level::warn, kind, {{"what", what}}); });
             });
-    world.on_end_signal([&] {
-        log.line(Log::Level::info, "closing");
+    loop.on_termination([&] {
+        log.write(Log::Level::info, "closing");
         gateway.close([&] {
-            log.line(Log::Level::info, "closed");
-            world.stop();
+            log.write(Log::Level::info, "closed");
+            loop.stop();
         });
     });
-    world.run();
+    loop.run();
     return 0;
 }
 
@@ -109,30 +109,30 @@
     CLI::App* send_command = app.add_subcommand("send", "send one job and print its answer");
     for (CLI::App* command : {status_command, send_command})
         command->add_option("--at", at, "address of the controller")->capture_default_str();
-    cli::Job job;
-    send_command->add_option("function", job.function)->required();
-    send_command->add_option("--use-case", job.use_case)->required();
-    send_command->add_option("--body", job.body, "a file, or - for the standard input");
-    send_command->add_option("--tenant", job.tenant);
-    send_command->add_option("--time-left", job.time_left, "such as 4s")->capture_default_str();
-    send_command->add_option("--lanes", job.lanes);
-    send_command->add_option("--memory", job.memory, "MB of a loaded copy");
-    send_command->add_option("--mark", job.mark, "by which a repeat of a referenced job is known");
-    send_command->add_flag("--again", job.again, "this job was tried before");
+    cli::Job request;
+    send_command->add_option("function", request.function)->required();
+    send_command->add_option("--use-case", request.request_class)->required();
+    send_command->add_option("--body", request.body, "a file, or - for the standard input");
+    send_command->add_option("--tenant", request.tenant);
+    send_command->add_option("--time-left", request.time_left, "such as 4s")->capture_default_str();
+    send_command->add_option("--lanes", request.lanes);
+    send_command->add_option("--memory", request.memory, "MB of a loaded copy");
+    send_command->add_option("--mark", request.mark, "by which a repeat of a referenced job is known");
+    send_command->add_flag("--again", request.again, "this job was tried before");
     const auto run_trace = cli::add_trace(app);
     const auto run_alerts = cli::add_alerts(app);
     CLI11_PARSE(app, argc, argv);
 
     try {
-        if (*serve_command) return serve(read_charter(file, variables(vars)), seed);
+        if (*serve_command) return serve(load_config(file, variables(vars)), seed);
         if (*platform_command) return platform::serve(config, log_level);
         if (*check_command) {
-            read_charter(file, variables(vars));
+            load_config(file, variables(vars));
             std::cout << file << ": good\n";
             return 0;
         }
         if (*status_command) return cli::status(at);
-        if (*send_command) return cli::send(at, job);
+        if (*send_command) return cli::send(at, request);
         return app.got_subcommand("alerts") ? run_alerts() : run_trace();
     } catch (const std::exception& fault) {
         std::cerr << "plumkeel: " << fault.what() << '\n';
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -6,22 +6,22 @@
 #include <iostream>
 #include <random>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "cli/progress.hpp"
-#include "tale/anonymous.hpp"
-#include "tale/chart.hpp"
-#include "tale/stream.hpp"
-#include "tale/telling.hpp"
-#include "trace/calls.hpp"
+#include "trace_analysis/pseudonymizer.hpp"
+#include "trace_analysis/chart.hpp"
+#include "trace_analysis/merged_stream.hpp"
+#include "trace_analysis/history_format.hpp"
+#include "trace/recording_scheduler.hpp"
 #include "trace/file.hpp"
-#include "trace/words.hpp"
+#include "trace/names.hpp"
 
 namespace plumkeel::cli {
 namespace {
 
-using tale::Chapters;
-using tale::Tale;
-using trace::Fault;
+using trace_analysis::ControllerTrace;
+using trace_analysis::RequestHistory;
+using trace::TraceError;
 using trace::Record;
 using trace::Time;
 
@@ -32,16 +32,16 @@
 // What the command line said; a command uses what it offers.
 struct Given {
     std::vector<std::string> files, changes, offsets;
-    std::string job, from, to, out, svg, key, format = "json", step = "10s";
-    tale::Filter filter;
+    std::string request, from, to, out, svg, key, format = "json", step = "10s";
+    trace_analysis::HistoryFilter filter;
     std::size_t limit = 1000, top = 15;
     bool reasons{};
 };
 
-tale::Filter filter_of(const Given& given) {
-    tale::Filter filter = given.filter;
-    if (!given.from.empty()) filter.from = span_of_text(given.from);
-    if (!given.to.empty()) filter.to = span_of_text(given.to);
+trace_analysis::HistoryFilter filter_of(const Given& given) {
+    trace_analysis::HistoryFilter filter = given.filter;
+    if (!given.from.empty()) filter.from = parse_duration(given.from);
+    if (!given.to.empty()) filter.to = parse_duration(given.to);
     filter.check();
     return filter;
 }
@@ -56,8 +56,8 @@
 // The files given, as one stream.
 class Reading {
 public:
-    explicit Reading(const Given& given, std::optional<Time> from = {}) : parts_(tale::open_all(given.files, tale::files_on_disk())) {
-        std::vector<Chapters*> all;
+    explicit Reading(const Given& given, std::optional<Time> from = {}) : parts_(trace_analysis::open_all(given.files, trace_analysis::files_on_disk())) {
+        std::vector<ControllerTrace*> all;
         for (const auto& each : parts_) all.push_back(each.get());
         if (all.size() == 1) {
             all.front()->rewind(from);
@@ -65,7 +65,7 @@
         }
         std::vector<Time> offsets(all.size());
         for (const std::string& each : given.offsets) take_offset(each, offsets);
-        braid_ = tale::merged(all, offsets, from);
+        braid_ = trace_analysis::merge_traces(all, offsets, from);
     }
     ~Reading() {
         for (const auto& each : parts_)
@@ -73,8 +73,8 @@
     }
     Reading(const Reading&) = delete;
 
-    tale::Stream& stream() { return braid_ ? *braid_ : static_cast<tale::Stream&>(*parts_.front()); }
-    std::vector<std::unique_ptr<Chapters>>& parts() { return parts_; }
+    trace_analysis::RecordStream& stream() { return braid_ ? *braid_ : static_cast<trace_analysis::RecordStream&>(*parts_.front()); }
+    std::vector<std::unique_ptr<ControllerTrace>>& parts() { return parts_; }
 
     // All records, with progress; `each` returns false to stop.
     void walk(const char* what, const std::function<bool(const Record&)>& each) {
@@ -91,34 +91,34 @@
         for (std::size_t i = 0; equals != std::string::npos && i < parts_.size(); ++i) {
             if (parts_[i]->controller() != text.substr(0, equals)) continue;
             const std::string span = text.substr(equals + 1);
-            offsets[i] = span.starts_with('-') ? -span_of_text(span.substr(1)) : span_of_text(span);
+            offsets[i] = span.starts_with('-') ? -parse_duration(span.substr(1)) : parse_duration(span);
             return;
         }
-        throw Fault("--offset " + text + ": is no CONTROLLER=SPAN, or no such controller is in the files");
+        throw TraceError("--offset " + text + ": is no CONTROLLER=SPAN, or no such controller is in the files");
     }
 
 private:
-    std::vector<std::unique_ptr<Chapters>> parts_;
-    std::unique_ptr<tale::Stream> braid_;
+    std::vector<std::unique_ptr<ControllerTrace>> parts_;
+    std::unique_ptr<trace_analysis::RecordStream> braid_;
 };
 
 // Tales that fit, in the order in which they ended, until the filter's time is over.
-void tales_of(Reading& reading, const tale::Filter& filter, const char* what, const std::function<bool(const Tale&, const tale::Names&)>& each,
-              const std::function<void(const Record&, const tale::Names&)>& beside = {}) {
+void tales_of(Reading& reading, const trace_analysis::HistoryFilter& filter, const char* what, const std::function<bool(const RequestHistory&, const trace_analysis::NameTable&)>& each,
+              const std::function<void(const Record&, const trace_analysis::NameTable&)>& beside = {}) {
     bool more = true;
-    tale::Tales* names = nullptr;
-    tale::Tales tales(
-        [&](const Tale& tale) {
-            if (more && filter.fits(tale)) more = each(tale, names->names());
+    trace_analysis::HistoryBuilder* names = nullptr;
+    trace_analysis::HistoryBuilder histories(
+        [&](const RequestHistory& history) {
+            if (more && filter.matches(history)) more = each(history, names->names());
         },
         true);
-    names = &tales;
+    names = &histories;
     reading.walk(what, [&](const Record& record) {
-        tales.feed(record);
-        if (beside) beside(record, tales.names());
-        return more && !(filter.to && record.at > *filter.to + tales.longest() + std::chrono::seconds(1));
+        histories.feed(record);
+        if (beside) beside(record, histories.names());
+        return more && !(filter.to && record.at > *filter.to + histories.max_remaining() + std::chrono::seconds(1));
     });
-    tales.finish();
+    histories.finish();
 }
 
 // ---------------------------------------------------------------- verify, show, find
@@ -138,8 +138,8 @@
                 ++records;
                 if (!first) first = record.at;
                 last = record.at;
-                gaps += record.kind == trace::gap;
-                if (record.kind == trace::resumed) part = trace::unpack<trace::Resumed>(record.body).part;
+                gaps += record.type == trace::gap;
+                if (record.type == trace::resumed) part = trace::unpack<trace::Resumed>(record.body).part;
             }
             progress.at(static_cast<double>(at) / static_cast<double>(reader.places().size()));
         }
@@ -154,19 +154,19 @@
 }
 
 // The job's records, with the reasons that deciding again gives in place of those recorded.
-std::vector<Record> with_reasons(Chapters& chapters, std::uint64_t job) {
+std::vector<Record> with_reasons(ControllerTrace& chapters, std::uint64_t request) {
     std::vector<Record> out;
     std::size_t turns = 0;  // still to come
     for (const auto& file : chapters.files())
-        file.reader->of_job(job, [&](const Record& record) {
-            if (record.kind == trace::turned)
+        file.reader->of_job(request, [&](const Record& record) {
+            if (record.type == trace::transition)
                 ++turns;
-            else if (record.kind != trace::answered)
+            else if (record.type != trace::actions)
                 out.push_back(record);
             return true;
         });
-    trace::Again again({}, [&](const Record& record) {
-        if (record.job == job) out.push_back(record);
+    trace::Replayer again({}, [&](const Record& record) {
+        if (record.request == request) out.push_back(record);
     });
     Progress progress("deciding again");
     chapters.rewind();
@@ -174,7 +174,7 @@
         const auto record = chapters.next();
         if (!record) break;
         again.feed(*record);
-        if (record->job == job && record->kind == trace::turned) --turns;
+        if (record->request == request && record->type == trace::transition) --turns;
         progress.at(chapters.part_read());
     }
     if (again.compare().first)
@@ -186,28 +186,28 @@
 
 int show(const Given& given) {
     Reading reading(given);
-    const auto at = given.job.find('@');
-    const std::string who = at == std::string::npos ? "" : given.job.substr(at + 1);
+    const auto at = given.request.find('@');
+    const std::string who = at == std::string::npos ? "" : given.request.substr(at + 1);
     std::uint64_t number = 0;
     try {
-        number = std::stoull(given.job.substr(0, at));
+        number = std::stoull(given.request.substr(0, at));
     } catch (const std::logic_error&) {
-        throw Fault("'" + given.job + "' is no job's number, nor NUMBER@CONTROLLER");
+        throw TraceError("'" + given.request + "' is no job's number, nor NUMBER@CONTROLLER");
     }
     bool any = false, reasons = false;
     for (const auto& chapters : reading.parts()) {
         std::vector<std::uint64_t> wanted = {number};
-        tale::Names names(true);
-        tale::Tales tales(
-            [&](const Tale& tale) {
+        trace_analysis::NameTable names(true);
+        trace_analysis::HistoryBuilder histories(
+            [&](const RequestHistory& history) {
                 any = true;
-                for (const tale::TurnTale& turn : tale.turns) reasons = reasons || !turn.told.weighed.empty();
-                std::cout << tale::story_of(tale, names);
+                for (const trace_analysis::StateTransition& turn : history.transitions) reasons = reasons || !turn.transition.candidates.empty();
+                std::cout << trace_analysis::format_history(history, names);
             },
             true);
         for (const auto& file : chapters->files())
             file.reader->names([&](const Record& record) {
-                if (record.kind != trace::function_forgotten) names.feed(record), tales.feed(record);
+                if (record.type != trace::function_released) names.feed(record), histories.feed(record);
                 return true;
             });
         if (const auto& controllers = names.controllers(); !controllers.empty()) {
@@ -217,31 +217,31 @@
         } else if (!who.empty() && chapters->controller() != who) {
             continue;
         }
-        for (const std::uint64_t job : wanted) {
+        for (const std::uint64_t request : wanted) {
             if (given.reasons) {
-                for (const Record& record : with_reasons(*chapters, job)) tales.feed(record);
+                for (const Record& record : with_reasons(*chapters, request)) histories.feed(record);
                 continue;
             }
             for (const auto& file : chapters->files())
-                file.reader->of_job(job, [&](const Record& record) {
-                    tales.feed(record);
+                file.reader->of_job(request, [&](const Record& record) {
+                    histories.feed(record);
                     return true;
                 });
         }
-        tales.finish();
+        histories.finish();
     }
-    if (!any) fmt::print(stderr, "plumkeel: no record of job {}\n", given.job);
+    if (!any) fmt::print(stderr, "plumkeel: no record of job {}\n", given.request);
     if (any && !reasons && !given.reasons)
         fmt::print("The invokers weighed were not recorded; --reasons finds them by deciding again.\n");
     return any ? 0 : 1;
 }
 
 int find(const Given& given) {
-    const tale::Filter filter = filter_of(given);
+    const trace_analysis::HistoryFilter filter = filter_of(given);
     Reading reading(given, filter.from);
     std::size_t found = 0;
-    tales_of(reading, filter, "finding", [&](const Tale& tale, const tale::Names& names) {
-        std::cout << tale::line_of(tale, names) << '\n';
+    tales_of(reading, filter, "finding", [&](const RequestHistory& history, const trace_analysis::NameTable& names) {
+        std::cout << trace_analysis::format_line(history, names) << '\n';
         return ++found < given.limit;
     });
     fmt::print("{} jobs{}\n", found, found == given.limit ? ", and perhaps more: see --limit" : "");
@@ -256,7 +256,7 @@
     // What is written is a part of a trace: the first record says which.
     void add(const Record& record, const std::string& part) {
         Record out = record;
-        if (record.kind == trace::resumed) {
+        if (record.type == trace::resumed) {
             auto told = trace::unpack<trace::Resumed>(record.body);
             if (told.part.find(part) == std::string::npos) told.part += (told.part.empty() ? "" : ", and ") + part;
             out.body = trace::pack(told);
@@ -278,19 +278,19 @@
 };
 
 int cut(const Given& given) {
-    const tale::Filter filter = filter_of(given);
+    const trace_analysis::HistoryFilter filter = filter_of(given);
     std::unordered_map<std::uint64_t, bool> wanted;
     {
         Reading reading(given);
-        tales_of(reading, filter, "choosing", [&](const Tale& tale, const tale::Names&) { return wanted.emplace(tale.job, true).second || true; });
+        tales_of(reading, filter, "choosing", [&](const RequestHistory& history, const trace_analysis::NameTable&) { return wanted.emplace(history.request, true).second || true; });
     }
     Reading reading(given);
     Output out(given.out, reading.stream().begun());
     reading.walk("cutting", [&](const Record& record) {
-        if (record.kind == trace::answered || record.kind == trace::wake) return true;
-        const bool name = record.kind > 0 && record.kind <= trace::last_of_names && record.kind != trace::gap;
+        if (record.type == trace::actions || record.type == trace::wake) return true;
+        const bool name = record.type > 0 && record.type <= trace::last_name_type && record.type != trace::gap;
         const bool in_time = (!filter.from || record.at >= *filter.from) && (!filter.to || record.at < *filter.to);
-        if (name || (record.job ? wanted.count(record.job) > 0 : in_time)) out.add(record, "a cut");
+        if (name || (record.request ? wanted.count(record.request) > 0 : in_time)) out.add(record, "a cut");
         return true;
     });
     fmt::print("{}: {} jobs, {} records\n", given.out, wanted.size(), out.finish());
@@ -298,12 +298,12 @@
 }
 
 int merge(const Given& given) {
-    auto parts = tale::open_all(given.files, tale::files_on_disk());
-    std::vector<Chapters*> all;
+    auto parts = trace_analysis::open_all(given.files, trace_analysis::files_on_disk());
+    std::vector<ControllerTrace*> all;
     for (const auto& each : parts) all.push_back(each.get());
     std::vector<Time> offsets(all.size());
     if (given.offsets.empty()) {
-        const auto estimated = tale::estimate_offsets(all);
+        const auto estimated = trace_analysis::estimate_offsets(all);
         for (std::size_t i = 0; i < all.size(); ++i) {
             offsets[i] = estimated[i].offset;
             if (i == 0) continue;
@@ -317,7 +317,7 @@
         const Reading names(given);
         for (const std::string& each : given.offsets) names.take_offset(each, offsets);
     }
-    const auto stream = tale::merged(all, offsets);
+    const auto stream = trace_analysis::merge_traces(all, offsets);
     Output out(given.out, stream->begun());
     Progress progress("merging");
     std::uint64_t n = 0;
@@ -333,7 +333,7 @@
     if (!given.key.empty()) {
         std::ifstream in(given.key);
         std::string key;
-        if (!std::getline(in, key)) throw Fault(given.key + ": can't be read, or its first line is empty");
+        if (!std::getline(in, key)) throw TraceError(given.key + ": can't be read, or its first line is empty");
         return key;
     }
     std::random_device dice;  // a key that nobody keeps: the tokens fit no other file
@@ -343,11 +343,11 @@
 }
 
 int anonymise(const Given& given) {
-    tale::Anonymous anonymous(key_of(given));
+    trace_analysis::Pseudonymizer anonymous(key_of(given));
     Reading reading(given);
     Output out(given.out, reading.stream().begun());
     reading.walk("anonymising", [&](const Record& record) {
-        if (const auto veiled = anonymous.veiled(record)) out.add(*veiled, "without its names");
+        if (const auto veiled = anonymous.pseudonymize(record)) out.add(*veiled, "without its names");
         return true;
     });
     fmt::print("{}: {} records\n", given.out, out.finish());
@@ -369,12 +369,12 @@
                "abandoned", "open", "hops/job", "p50 ms", "p99 ms", "p99.9 ms", "parked p99");
 }
 
-void job_row(const std::string& name, const tale::Jobs& jobs) {
-    const tale::Outcomes& o = jobs.outcomes;
-    fmt::print("{:<22} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>7} {:>8.2f} {:>9} {:>9} {:>9} {:>9}\n", name.empty() ? "(none)" : name, o.all(),
-               share(o.honoured, o.all()), o.late, o.bounced, o.written_off, o.abandoned, o.unfinished,
-               o.all() ? static_cast<double>(jobs.hops) / static_cast<double>(o.all()) : 0, ms_of(jobs.took.at(0.5)), ms_of(jobs.took.at(0.99)),
-               ms_of(jobs.took.at(0.999)), ms_of(jobs.parked.at(0.99)));
+void job_row(const std::string& name, const trace_analysis::RequestStats& requests) {
+    const trace_analysis::Outcomes& o = requests.outcomes;
+    fmt::print("{:<22} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>7} {:>8.2f} {:>9} {:>9} {:>9} {:>9}\n", name.empty() ? "(none)" : name, o.total(),
+               share(o.succeeded, o.total()), o.late, o.rejected, o.failed, o.cancelled, o.unfinished,
+               o.total() ? static_cast<double>(requests.attempts) / static_cast<double>(o.total()) : 0, ms_of(requests.duration.quantile(0.5)), ms_of(requests.duration.quantile(0.99)),
+               ms_of(requests.duration.quantile(0.999)), ms_of(requests.parked.quantile(0.99)));
 }
 
 template <class Row, class Key, class Print>
@@ -386,60 +386,60 @@
     if (order.size() > top) fmt::print("and {} more: see --top\n", order.size() - top);
 }
 
-void tell_summary(const tale::Summary& summary, const Given& given, Time step) {
-    const auto jobs = [](const tale::Jobs& row) { return row.outcomes.all(); };
+void tell_summary(const trace_analysis::Summary& summary, const Given& given, Time step) {
+    const auto requests = [](const trace_analysis::RequestStats& row) { return row.outcomes.total(); };
     job_head("");
     job_row("all", summary.all());
-    for (const auto& [what, rows] : {std::pair{"by use case", &summary.use_cases()}, {"by tenant", &summary.tenants()},
+    for (const auto& [what, rows] : {std::pair{"by use case", &summary.request_classes()}, {"by tenant", &summary.tenants()},
                                      {"by function", &summary.functions()}}) {
         job_head(what);
-        table(*rows, given.top, jobs, job_row);
+        table(*rows, given.top, requests, job_row);
     }
     fmt::print("\n{:<22} {:>9} {:>9} {:>9} {:>7} {:>11} {:>7} {:>10} {:>6} {:>6} {:>6} {:>9} {:>9}\n", "by invoker", "hops", "honoured", "turned", "cut",
                "unreachable", "overdue", "called off", "other", "out", "loads", "p50 ms", "p99 ms");
-    table(summary.invokers(), given.top, [](const tale::Hops& row) { return row.sent; }, [](const std::string& name, const tale::Hops& h) {
-        fmt::print("{:<22} {:>9} {:>9} {:>9} {:>7} {:>11} {:>7} {:>10} {:>6} {:>6} {:>6} {:>9} {:>9}\n", name, h.sent, share(h.honoured, h.sent),
-                   h.turned_away, h.cut_off, h.unreachable, h.overdue, h.called_off, h.other, h.out, h.loads, ms_of(h.took.at(0.5)),
-                   ms_of(h.took.at(0.99)));
+    table(summary.invokers(), given.top, [](const trace_analysis::AttemptStats& row) { return row.sent; }, [](const std::string& name, const trace_analysis::AttemptStats& h) {
+        fmt::print("{:<22} {:>9} {:>9} {:>9} {:>7} {:>11} {:>7} {:>10} {:>6} {:>6} {:>6} {:>9} {:>9}\n", name, h.sent, share(h.succeeded, h.sent),
+                   h.rejected, h.connection_lost, h.unreachable, h.timed_out, h.cancelled, h.other, h.in_flight, h.loads, ms_of(h.duration.quantile(0.5)),
+                   ms_of(h.duration.quantile(0.99)));
     });
     const auto& line = summary.seconds();
     const auto step_s = std::max<std::size_t>(1, static_cast<std::size_t>(step / std::chrono::seconds(1)));
     fmt::print("\n{:<22} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>9}\n", "over time", "taken", "in time", "late", "bounced", "written", "abandoned", "parked");
     for (std::size_t from = 0; from < line.size(); from += step_s) {
-        tale::Outcomes sum;
+        trace_analysis::Outcomes sum;
         std::uint64_t taken = 0, parked = 0;
         for (std::size_t i = from; i < std::min(line.size(), from + step_s); ++i) {
             sum.add(line[i].ended);
-            taken += line[i].taken;
+            taken += line[i].received;
             parked = std::max(parked, line[i].parked);
         }
         fmt::print("{:<22} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>9}\n", fmt::format("{} to {} s", from, from + step_s), taken,
-                   share(sum.honoured, sum.all()), sum.late, sum.bounced, sum.written_off, sum.abandoned, parked);
+                   share(sum.succeeded, sum.total()), sum.late, sum.rejected, sum.failed, sum.cancelled, parked);
     }
     if (const auto worst = summary.worst())
         fmt::print("\nworst 10 s: from {:.0f} s, {} of {} jobs ended badly ({} late, {} bounced, {} written off, {} abandoned)\n",
-                   seconds(worst->from), worst->ended.badly(), worst->ended.all(), worst->ended.late, worst->ended.bounced,
-                   worst->ended.written_off, worst->ended.abandoned);
-    if (!summary.marks().empty()) fmt::print("\nmarks\n");
-    for (std::size_t i = 0; i < std::min(given.top * 2, summary.marks().size()); ++i)
-        fmt::print("{:12.3f} s  {}\n", seconds(summary.marks()[i].at), summary.marks()[i].what);
-    if (summary.marks().size() > given.top * 2) fmt::print("and {} more\n", summary.marks().size() - given.top * 2);
+                   seconds(worst->from), worst->ended.ended_badly(), worst->ended.total(), worst->ended.late, worst->ended.rejected,
+                   worst->ended.failed, worst->ended.cancelled);
+    if (!summary.annotations().empty()) fmt::print("\nmarks\n");
+    for (std::size_t i = 0; i < std::min(given.top * 2, summary.annotations().size()); ++i)
+        fmt::print("{:12.3f} s  {}\n", seconds(summary.annotations()[i].at), summary.annotations()[i].what);
+    if (summary.annotations().size() > given.top * 2) fmt::print("and {} more\n", summary.annotations().size() - given.top * 2);
 }
 
 int summarise(const Given& given) {
-    const tale::Filter filter = filter_of(given);
-    const Time step = span_of_text(given.step);
+    const trace_analysis::HistoryFilter filter = filter_of(given);
+    const Time step = parse_duration(given.step);
     Reading reading(given, filter.from);
-    tale::Summary summary;
+    trace_analysis::Summary summary;
     tales_of(
         reading, filter, "summing up",
-        [&](const Tale& tale, const tale::Names&) {
-            summary.add(tale);
+        [&](const RequestHistory& history, const trace_analysis::NameTable&) {
+            summary.add(history);
             return true;
         },
-        [&](const Record& record, const tale::Names& names) { summary.note(record, names); });
+        [&](const Record& record, const trace_analysis::NameTable& names) { summary.note(record, names); });
     summary.finish();
-    if (summary.all().outcomes.all() == 0) {
+    if (summary.all().outcomes.total() == 0) {
         fmt::print(stderr, "plumkeel: no job fits\n");
         return 1;
     }
@@ -447,43 +447,43 @@
     if (given.svg.empty()) return 0;
     std::string who;
     for (const auto& each : reading.parts()) who += (who.empty() ? "" : ", ") + each->controller();
-    tale::draw(summary, fmt::format("{}: {} jobs", who, summary.all().outcomes.all()), given.svg);
+    trace_analysis::draw_summary(summary, fmt::format("{}: {} jobs", who, summary.all().outcomes.total()), given.svg);
     fmt::print("\ndrawn in {}\n", given.svg);
     return 0;
 }
 
 int export_all(const Given& given) {
-    const tale::Filter filter = filter_of(given);
-    if (given.format != "json" && given.format != "chrome") throw Fault("--format " + given.format + ": neither json nor chrome");
+    const trace_analysis::HistoryFilter filter = filter_of(given);
+    if (given.format != "json" && given.format != "chrome") throw TraceError("--format " + given.format + ": neither json nor chrome");
     const bool chrome = given.format == "chrome";
     std::ofstream file;
     if (given.out != "-") {
         file.open(given.out);
-        if (!file) throw Fault(given.out + ": can't be written");
+        if (!file) throw TraceError(given.out + ": can't be written");
     }
     std::ostream& out = given.out == "-" ? std::cout : file;
     Reading reading(given, filter.from);
-    tale::Summary marks;  // only for these
+    trace_analysis::Summary marks;  // only for these
     if (chrome) out << "[\n";
-    std::uint64_t jobs = 0;
+    std::uint64_t requests = 0;
     tales_of(
         reading, filter, "exporting",
-        [&](const Tale& tale, const tale::Names& names) {
-            ++jobs;
+        [&](const RequestHistory& history, const trace_analysis::NameTable& names) {
+            ++requests;
             if (chrome)
-                out << tale::chrome_events(tale, names);
+                out << trace_analysis::chrome_events(history, names);
             else
-                out << tale::json_of(tale, names) << '\n';
+                out << trace_analysis::format_json(history, names) << '\n';
             return true;
         },
-        [&](const Record& record, const tale::Names& names) {
+        [&](const Record& record, const trace_analysis::NameTable& names) {
             if (chrome) marks.note(record, names);
         });
-    for (const tale::Mark& mark : marks.marks()) out << tale::chrome_mark(mark.at, mark.what);
+    for (const trace_analysis::Annotation& mark : marks.annotations()) out << trace_analysis::chrome_annotation(mark.at, mark.what);
     if (chrome) out << "{}]\n";
     out.flush();
-    if (!out) throw Fault(given.out + ": could not be written whole");
-    fmt::print(stderr, "{} jobs\n", jobs);
+    if (!out) throw TraceError(given.out + ": could not be written whole");
+    fmt::print(stderr, "{} jobs\n", requests);
     return 0;
 }
 
@@ -492,25 +492,25 @@
 // Allowances and rules that may be altered, by the names that the settings give them.
 void alter(trace::Start& start, const std::string& change) {
     const auto equals = change.find('=');
-    if (equals == std::string::npos) throw CharterFault("--change " + change + ": is no NAME=VALUE");
+    if (equals == std::string::npos) throw ConfigError("--change " + change + ": is no NAME=VALUE");
     const std::string name = change.substr(0, equals), value = change.substr(equals + 1);
-    Allowances& may = start.may;
-    Rulebook& rules = start.rules;
-    const std::map<std::string, Time*> times = {{"keep_alive", &may.keep_alive}, {"tick", &may.tick},
-                                                {"longest_retry_after", &may.longest_retry_after},
-                                                {"cold_for", &rules.cold_for}, {"push_span", &rules.push_span},
-                                                {"load_span", &rules.load_span}};
-    const std::map<std::string, double*> figures = {{"memory_price", &may.memory_price}, {"cold_share", &rules.cold_share},
-                                                    {"push_multiple", &rules.push_multiple},
-                                                    {"free_loads", &rules.free_loads}, {"loads_per_job", &rules.loads_per_job}};
-    const std::map<std::string, int*> counts = {{"hops", &may.hops}, {"controllers", &may.controllers}};
-    const std::map<std::string, bool*> flags = {{"call_off", &may.call_off}, {"probe", &may.probe},
-                                                {"second_copies", &may.second_copies}, {"retry_after", &may.retry_after},
-                                                {"order_copies", &may.order_copies}, {"loads_on_demand", &may.loads_on_demand},
-                                                {"steady_units", &may.steady_units}};
+    Capabilities& may = start.capabilities;
+    SafetyRules& rules = start.rules;
+    const std::map<std::string, Time*> times = {{"keep_alive", &may.keep_alive}, {"tick", &may.clock_resolution},
+                                                {"longest_retry_after", &may.max_retry_after},
+                                                {"cold_for", &rules.slow_start_duration}, {"push_span", &rules.slow_start_window},
+                                                {"load_span", &rules.load_budget_window}};
+    const std::map<std::string, double*> figures = {{"memory_price", &may.memory_price}, {"cold_share", &rules.slow_start_initial_share},
+                                                    {"push_multiple", &rules.slow_start_rate_multiple},
+                                                    {"free_loads", &rules.load_budget_base}, {"loads_per_job", &rules.load_budget_per_request}};
+    const std::map<std::string, int*> counts = {{"hops", &may.max_attempts}, {"controllers", &may.controller_count}};
+    const std::map<std::string, bool*> flags = {{"call_off", &may.cancellation}, {"probe", &may.health_checks},
+                                                {"second_copies", &may.hedging}, {"retry_after", &may.retry_after},
+                                                {"order_copies", &may.preload}, {"loads_on_demand", &may.on_demand_loading},
+                                                {"steady_units", &may.stable_capacity}};
     try {
         if (times.count(name))
-            *times.at(name) = span_of_text(value);
+            *times.at(name) = parse_duration(value);
         else if (figures.count(name))
             *figures.at(name) = std::stod(value);
         else if (counts.count(name))
@@ -518,16 +518,16 @@
         else if (flags.count(name) && (value == "true" || value == "false"))
             *flags.at(name) = value == "true";
         else
-            throw CharterFault("--change " + change + ": no such rule or allowance, or no such value of it");
+            throw ConfigError("--change " + change + ": no such rule or allowance, or no such value of it");
     } catch (const std::logic_error&) {
-        throw CharterFault("--change " + change + ": '" + value + "' is no number");
+        throw ConfigError("--change " + change + ": '" + value + "' is no number");
     }
 }
 
 int redecide(const Given& given) {
     int status = 0;
-    for (const auto& chapters : tale::open_all(given.files, tale::files_on_disk())) {
-        trace::Again again([&](trace::Start& start) {
+    for (const auto& chapters : trace_analysis::open_all(given.files, trace_analysis::files_on_disk())) {
+        trace::Replayer again([&](trace::Start& start) {
             for (const std::string& change : given.changes) alter(start, change);
         });
         chapters->rewind();
@@ -538,7 +538,7 @@
             while (const auto record = chapters->next()) {
                 try {
                     again.feed(*record);
-                } catch (const Fault& fault) {
+                } catch (const TraceError& fault) {
                     stopped = fmt::format("at {:.3f} s {}", seconds(record->at), fault.what());
                     break;
                 }
@@ -547,15 +547,15 @@
         }
         for (const auto& file : chapters->files()) tell_damage(file.name, *file.reader);
         const trace::Comparison found = again.compare();
-        fmt::print("{}: {} calls, {} jobs: {}", chapters->controller(), found.calls, found.jobs,
-                   found.first ? fmt::format("{} answers differ, {} jobs decided otherwise", found.different_calls, found.different_jobs) : "identical");
+        fmt::print("{}: {} calls, {} jobs: {}", chapters->controller(), found.calls, found.requests,
+                   found.first ? fmt::format("{} answers differ, {} jobs decided otherwise", found.different_calls, found.different_requests) : "identical");
         fmt::print("{}\n", stopped ? "; " + *stopped : "");
         if (found.first) {
-            fmt::print("  the first at call {}, {:.6f} s{}\n  then: {}\n  now:  {}\n", found.first->call, seconds(found.first->told.at),
-                       found.first->told.job ? fmt::format(", job {}", found.first->told.job) : "", found.first->then, found.first->now);
-            for (const auto& [job, ways] : found.elsewhere)
-                fmt::print("  job {}: then {}; now {}\n", job, ways.first, ways.second);
-            if (found.different_jobs > found.elsewhere.size()) fmt::print("  and {} jobs more\n", found.different_jobs - found.elsewhere.size());
+            fmt::print("  the first at call {}, {:.6f} s{}\n  then: {}\n  now:  {}\n", found.first->call, seconds(found.first->record.at),
+                       found.first->record.request ? fmt::format(", job {}", found.first->record.request) : "", found.first->recorded, found.first->replayed);
+            for (const auto& [request, ways] : found.diverged)
+                fmt::print("  job {}: then {}; now {}\n", request, ways.first, ways.second);
+            if (found.different_requests > found.diverged.size()) fmt::print("  and {} jobs more\n", found.different_requests - found.diverged.size());
         }
         if (found.first || stopped) status = 1;
     }
@@ -565,7 +565,7 @@
 void offer_filter(CLI::App& command, Given& given) {
     command.add_option("--from", given.from, "jobs taken at or after this span from the trace's start, as 90s or 5m");
     command.add_option("--to", given.to, "and before this");
-    command.add_option("--use-case", given.filter.use_case);
+    command.add_option("--use-case", given.filter.request_class);
     command.add_option("--tenant", given.filter.tenant);
     command.add_option("--function", given.filter.function);
     command.add_option("--invoker", given.filter.invoker, "that any of the job's hops went to");
@@ -587,7 +587,7 @@
     };
     add("verify", "say what is in them, and what is damaged", verify);
     CLI::App* show_command = add("show", "one job's story", show);
-    show_command->add_option("job", given->job, "as in plumkeel-job, or NUMBER@CONTROLLER")->required();
+    show_command->add_option("job", given->request, "as in plumkeel-job, or NUMBER@CONTROLLER")->required();
     show_command->add_flag("--reasons", given->reasons, "decide again, for the invokers that were weighed");
     CLI::App* find_command = add("find", "a line for each job that fits", find);
     find_command->add_option("--limit", given->limit, "stop after so many")->capture_default_str();
--- a/src/charter/reader.cpp
+++ b/src/config/jsonnet_reader.cpp
@@ -1,4 +1,4 @@
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 
 #include <libjsonnet++.h>
 
@@ -7,80 +7,80 @@
 
 namespace plumkeel {
 
-boost::json::value evaluate(const std::string& file, const std::map<std::string, std::string>& given) {
+boost::json::value evaluate_jsonnet(const std::string& file, const std::map<std::string, std::string>& given) {
     jsonnet::Jsonnet engine;
-    if (!engine.init()) throw CharterFault(file + ": the Jsonnet engine can't be started");
+    if (!engine.init()) throw ConfigError(file + ": the Jsonnet engine can't be started");
     for (const auto& [name, value] : given) engine.bindExtVar(name, value);
     std::string text;
     if (!engine.evaluateFile(file, &text)) {
         std::string why = engine.lastError();
         while (!why.empty() && why.back() == '\n') why.pop_back();
-        throw CharterFault(file + ": " + why);
+        throw ConfigError(file + ": " + why);
     }
     return boost::json::parse(text);
 }
 
-Time span_of_text(std::string_view text) {
+Time parse_duration(std::string_view text) {
     static const std::map<std::string_view, double> units = {
         {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}};
     double figure = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), figure);
     const auto unit = units.find(text.substr(static_cast<std::size_t>(end - text.data())));
     if (error != std::errc{} || unit == units.end() || !(figure >= 0) || figure * unit->second > 1e15)
-        throw CharterFault("'" + std::string(text) + "' is no time such as \"250ms\", \"1.5s\" or \"2min\"");
+        throw ConfigError("'" + std::string(text) + "' is no time such as \"250ms\", \"1.5s\" or \"2min\"");
     return Time(std::llround(figure * unit->second));
 }
 
-Reader::Reader(const boost::json::value& value, std::string file, std::string path)
+JsonnetReader::JsonnetReader(const boost::json::value& value, std::string file, std::string path)
     : object_(value.if_object()), file_(std::move(file)), path_(std::move(path)) {
-    if (!object_) throw CharterFault(file_ + ": " + (path_.empty() ? "the settings" : path_) + ": is no object");
+    if (!object_) throw ConfigError(file_ + ": " + (path_.empty() ? "the settings" : path_) + ": is no object");
 }
 
-void Reader::complain(std::string_view key, const std::string& what) const {
-    throw CharterFault(file_ + ": " + (path_.empty() ? "" : path_ + ".") + std::string(key) + ": " + what);
+void JsonnetReader::complain(std::string_view key, const std::string& what) const {
+    throw ConfigError(file_ + ": " + (path_.empty() ? "" : path_ + ".") + std::string(key) + ": " + what);
 }
 
-const boost::json::value* Reader::find(std::string_view key) {
+const boost::json::value* JsonnetReader::find(std::string_view key) {
     asked_.emplace(key);
     const auto* value = object_->if_contains({key.data(), key.size()});
     return value && !value->is_null() ? value : nullptr;
 }
 
-bool Reader::has(std::string_view key) const {
+bool JsonnetReader::has(std::string_view key) const {
     const auto* value = object_->if_contains({key.data(), key.size()});
     return value && !value->is_null();
 }
 
-const boost::json::value* Reader::raw(std::string_view key) {
+const boost::json::value* JsonnetReader::raw(std::string_view key) {
     return find(key);
 }
 
-void Reader::read(std::string_view key, std::string& into) {
+void JsonnetReader::read(std::string_view key, std::string& into) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_string()) complain(key, "is no text");
     into = std::string(value->as_string());
 }
 
-void Reader::read(std::string_view key, bool& into) {
+void JsonnetReader::read(std::string_view key, bool& into) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_bool()) complain(key, "is neither true nor false");
     into = value->as_bool();
 }
 
-void Reader::read(std::string_view key, Time& into) {
+void JsonnetReader::read(std::string_view key, Time& into) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_string()) complain(key, "is no time such as \"250ms\", \"1.5s\" or \"2min\"");
     try {
-        into = span_of_text(std::string_view(value->as_string()));
-    } catch (const CharterFault& fault) {
+        into = parse_duration(std::string_view(value->as_string()));
+    } catch (const ConfigError& fault) {
         complain(key, fault.what());
     }
 }
 
-void Reader::read(std::string_view key, double& into) {
+void JsonnetReader::read(std::string_view key, double& into) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_number()) complain(key, "is no number");
@@ -88,14 +88,14 @@
     if (!(into >= 0)) complain(key, "is below 0");
 }
 
-void Reader::read(std::string_view key, int& into, int least) {
+void JsonnetReader::read(std::string_view key, int& into, int least) {
     std::size_t figure = static_cast<std::size_t>(std::max(0, into));
     read(key, figure, static_cast<std::size_t>(least));
     if (figure > 1'000'000'000) complain(key, "is too large");
     into = static_cast<int>(figure);
 }
 
-void Reader::read(std::string_view key, std::size_t& into, std::size_t least) {
+void JsonnetReader::read(std::string_view key, std::size_t& into, std::size_t least) {
     const auto* value = find(key);
     if (!value) return;
     double figure = -1;
@@ -105,7 +105,7 @@
     if (into < least) complain(key, "is below " + std::to_string(least));
 }
 
-void Reader::read_word(std::string_view key, const std::map<std::string, int>& words, int& into) {
+void JsonnetReader::read_word(std::string_view key, const std::map<std::string, int>& words, int& into) {
     std::string word;
     read(key, word);
     if (word.empty()) return;
@@ -119,39 +119,39 @@
     complain(key, "'" + word + "' is none of: " + known);
 }
 
-void Reader::within(std::string_view key, const std::function<void(Reader&)>& what) {
+void JsonnetReader::within(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
     static const boost::json::value nothing = boost::json::object();
     const auto* value = find(key);
-    Reader inner(value ? *value : nothing, file_, (path_.empty() ? "" : path_ + ".") + std::string(key));
+    JsonnetReader inner(value ? *value : nothing, file_, (path_.empty() ? "" : path_ + ".") + std::string(key));
     what(inner);
     inner.finish();
 }
 
-void Reader::each(std::string_view key, const std::function<void(Reader&)>& what) {
+void JsonnetReader::each(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_array()) complain(key, "is no list");
     std::size_t place = 0;
     for (const auto& entry : value->as_array()) {
-        Reader inner(entry, file_,
+        JsonnetReader inner(entry, file_,
                      (path_.empty() ? "" : path_ + ".") + std::string(key) + "[" + std::to_string(place++) + "]");
         what(inner);
         inner.finish();
     }
 }
 
-void Reader::members(std::string_view key, const std::function<void(const std::string&, Reader&)>& what) {
+void JsonnetReader::members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& what) {
     const auto* value = find(key);
     if (!value) return;
     if (!value->is_object()) complain(key, "is no object");
     for (const auto& [name, entry] : value->as_object()) {
-        Reader inner(entry, file_, (path_.empty() ? "" : path_ + ".") + std::string(key) + "." + std::string(name));
+        JsonnetReader inner(entry, file_, (path_.empty() ? "" : path_ + ".") + std::string(key) + "." + std::string(name));
         what(std::string(name), inner);
         inner.finish();
     }
 }
 
-void Reader::finish() const {
+void JsonnetReader::finish() const {
     for (const auto& [name, value] : *object_)
         if (!asked_.count(std::string_view(name))) complain(std::string_view(name), "is not known here");
 }
--- a/src/charter/reader.hpp
+++ b/src/config/jsonnet_reader.hpp
@@ -16,20 +16,20 @@
 
 using Time = std::chrono::microseconds;
 
-struct CharterFault : std::runtime_error {
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // Evaluates a Jsonnet file to a JSON value. `given` are its external variables (std.extVar), as texts.
-boost::json::value evaluate(const std::string& file, const std::map<std::string, std::string>& given = {});
+boost::json::value evaluate_jsonnet(const std::string& file, const std::map<std::string, std::string>& given = {});
 
 // "250ms", "1.5s", "2min", "1h"; throws with the text named.
-Time span_of_text(std::string_view text);
+Time parse_duration(std::string_view text);
 
 // One object of the settings. Ask for each field, then finish().
-class Reader {
+class JsonnetReader {
 public:
-    Reader(const boost::json::value& value, std::string file, std::string path = "");
+    JsonnetReader(const boost::json::value& value, std::string file, std::string path = "");
 
     bool has(std::string_view key) const;
     void read(std::string_view key, std::string& into);
@@ -54,9 +54,9 @@
         into = static_cast<T>(chosen);
     }
     // An object within, empty where left out; a list of objects; the members of an object by name.
-    void within(std::string_view key, const std::function<void(Reader&)>& what);
-    void each(std::string_view key, const std::function<void(Reader&)>& what);
-    void members(std::string_view key, const std::function<void(const std::string&, Reader&)>& what);
+    void within(std::string_view key, const std::function<void(JsonnetReader&)>& what);
+    void each(std::string_view key, const std::function<void(JsonnetReader&)>& what);
+    void members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& what);
     const boost::json::value* raw(std::string_view key);
 
     void finish() const;
--- a/src/fleet/follower.cpp
+++ b/src/consul/blocking_query.cpp
@@ -1,4 +1,4 @@
-#include "fleet/follower.hpp"
+#include "consul/blocking_query.hpp"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-namespace plumkeel::fleet {
+namespace plumkeel::consul {
 namespace {
 
 using namespace std::chrono_literals;
@@ -39,10 +39,10 @@
     return true;
 }
 
-std::optional<Entry> entry_of(const json::value& value) {
+std::optional<Endpoint> entry_of(const json::value& value) {
     const json::value* service = part(&value, "Service");
     const json::value* node = part(&value, "Node");
-    Entry entry;
+    Endpoint entry;
     entry.name = text(part(service, "ID"));
     std::string host = text(part(service, "Address"));
     if (host.empty()) host = text(part(node, "Address"));
@@ -58,21 +58,21 @@
     };
     entry.ready = well(part(&value, "Checks"));
     entry.zone = meta("zone");
-    entry.kind = meta("kind");
-    if (const auto units = figure<double>(meta("units")); units && *units > 0 && *units < 1e9) entry.units = *units;
+    entry.type = meta("kind");
+    if (const auto units = figure<double>(meta("units")); units && *units > 0 && *units < 1e9) entry.capacity = *units;
     if (const auto cell = figure<int>(meta("cell"))) entry.cell = *cell;
     if (const auto start = figure<std::int64_t>(meta("start")); start && *start > 0 && *start < 1LL << 50)
-        entry.started = std::chrono::milliseconds(*start);
+        entry.started_at = std::chrono::milliseconds(*start);
     return entry;
 }
 
 }  // namespace
 
-std::optional<std::vector<Entry>> read_health(std::string_view body, std::size_t& left_out) {
+std::optional<std::vector<Endpoint>> read_health(std::string_view body, std::size_t& left_out) {
     boost::system::error_code error;
     const json::value value = json::parse({body.data(), body.size()}, error);
     if (error || !value.is_array()) return {};
-    std::vector<Entry> entries;
+    std::vector<Endpoint> entries;
     std::set<std::string> names;
     for (const auto& each : value.as_array()) {
         auto entry = entry_of(each);
@@ -81,65 +81,65 @@
         else
             ++left_out;
     }
-    std::sort(entries.begin(), entries.end(), [](const Entry& a, const Entry& b) { return a.name < b.name; });
+    std::sort(entries.begin(), entries.end(), [](const Endpoint& a, const Endpoint& b) { return a.name < b.name; });
     return entries;
 }
 
-Follower::Follower(Time wait, std::uint64_t seed) : wait_(wait), chance_(seed) {}
+BlockingQuery::BlockingQuery(Time wait, std::uint64_t seed) : wait_(wait), random_(seed) {}
 
-Follower::Ask Follower::again(bool at_once) {
+BlockingQuery::Poll BlockingQuery::again(bool at_once) {
     // A source that answers at once although nothing changed must not be asked in a tight loop.
     return {at_once ? 0 : index_, wait_, spin_pause};
 }
 
-Follower::Step Follower::lost(Time) {
-    ++lost_;
+BlockingQuery::Step BlockingQuery::lost(Time) {
+    ++failures_;
     Step step;
-    step.heard = Heard::lost;
-    const Time pause = std::min(longest_pause, first_pause * (1 << std::min(lost_ - 1, 6)));
+    step.result = PollResult::failed;
+    const Time pause = std::min(longest_pause, first_pause * (1 << std::min(failures_ - 1, 6)));
     // Spread, so that all controllers do not come back to a source in one moment.
-    step.next = {index_, wait_, Time(static_cast<Time::rep>(static_cast<double>(pause.count()) * (0.5 + chance_.next())))};
+    step.next = {index_, wait_, Time(static_cast<Time::rep>(static_cast<double>(pause.count()) * (0.5 + random_.next())))};
     return step;
 }
 
-Follower::Step Follower::answered(Time now, const Answer& answer) {
+BlockingQuery::Step BlockingQuery::answered(Time now, const Answer& answer) {
     if (answer.status != 200) {
         Step step = lost(now);
-        step.heard = Heard::nonsense;
+        step.result = PollResult::malformed;
         return step;
     }
-    auto entries = read_health(answer.body, left_out_);
+    auto entries = read_health(answer.body, skipped_);
     if (!entries) {
         Step step = lost(now);
-        step.heard = Heard::nonsense;
+        step.result = PollResult::malformed;
         step.next.index = 0;
         return step;
     }
-    lost_ = 0;
+    failures_ = 0;
     Step step;
     const std::uint64_t index = answer.index.value_or(0);
     const bool back = index < index_, emptied = entries->empty() && !list_.empty();
-    if ((back || emptied) && !doubting_) {
-        doubting_ = true;
-        step.heard = Heard::doubted;
+    if ((back || emptied) && !unconfirmed_) {
+        unconfirmed_ = true;
+        step.result = PollResult::unconfirmed;
         step.next = again(true);
         return step;
     }
-    doubting_ = false;
+    unconfirmed_ = false;
     index_ = index;  // 0 is never waited on: the next answer comes at once, after a pause
-    told_ = now;
+    confirmed_at_ = now;
     step.next = again(false);
     if (index_ == 0) step.next.pause = 1s;
     if (*entries == list_) {
-        step.heard = Heard::same;
+        step.result = PollResult::unchanged;
         return step;
     }
-    step.heard = Heard::list;
-    std::map<std::string, const Entry*> before, after;
-    for (const Entry& entry : list_) before[entry.name] = &entry;
-    for (const Entry& entry : *entries) after[entry.name] = &entry;
-    step.complete = std::any_of(list_.begin(), list_.end(), [&](const Entry& e) { return !after.count(e.name); });
-    for (const Entry& entry : *entries) {
+    step.result = PollResult::updated;
+    std::map<std::string, const Endpoint*> before, after;
+    for (const Endpoint& entry : list_) before[entry.name] = &entry;
+    for (const Endpoint& entry : *entries) after[entry.name] = &entry;
+    step.complete = std::any_of(list_.begin(), list_.end(), [&](const Endpoint& e) { return !after.count(e.name); });
+    for (const Endpoint& entry : *entries) {
         const auto old = before.find(entry.name);
         if (step.complete || old == before.end() || !(*old->second == entry)) step.changed.push_back(entry);
     }
@@ -147,4 +147,4 @@
     return step;
 }
 
-}  // namespace plumkeel::fleet
+}  // namespace plumkeel::consul
--- a/src/fleet/follower.hpp
+++ b/src/consul/blocking_query.hpp
@@ -12,21 +12,14 @@
 #include <string_view>
 #include <vector>
 
-#include "chance/pcg.hpp"
+#include "gateway/endpoint.hpp"
+#include "random/pcg.hpp"
 
-namespace plumkeel::fleet {
+namespace plumkeel::consul {
 
 using Time = std::chrono::microseconds;
 
-struct Entry {
-    std::string name, address, zone, kind;
-    bool ready = true;  // false: it drains
-    double units = 1;
-    int cell{};
-    std::optional<Time> started;  // since the Unix epoch
-
-    bool operator==(const Entry&) const = default;
-};
+using gateway::Endpoint;
 
 struct Answer {
     int status{};
@@ -36,42 +29,42 @@
 
 // What the endpoint told, or nothing where the text is not what it publishes. Entries without a name or a port
 // are left out and counted, and so are names that come twice.
-std::optional<std::vector<Entry>> read_health(std::string_view body, std::size_t& left_out);
+std::optional<std::vector<Endpoint>> read_health(std::string_view body, std::size_t& left_out);
 
-class Follower {
+class BlockingQuery {
 public:
-    struct Ask {
+    struct Poll {
         std::uint64_t index{};  // 0: answer at once
         Time wait{}, pause{};   // how long the source may hold it; how long to wait before asking
     };
-    enum class Heard { list, same, doubted, nonsense, lost };
+    enum class PollResult { updated, unchanged, unconfirmed, malformed, failed };
     struct Step {
-        Ask next;
-        Heard heard{};
+        Poll next;
+        PollResult result{};
         bool complete{};             // `changed` is the whole list; else those whose facts changed
-        std::vector<Entry> changed;  // empty but for Heard::list
+        std::vector<Endpoint> changed;  // empty but for Heard::list
     };
 
-    Follower(Time wait, std::uint64_t seed);
-    Ask first() const { return {0, wait_, Time{}}; }
+    BlockingQuery(Time wait, std::uint64_t seed);
+    Poll first() const { return {0, wait_, Time{}}; }
     Step answered(Time now, const Answer& answer);
     Step lost(Time now);  // no answer: no connection, cut off, or too late
 
-    const std::vector<Entry>& list() const { return list_; }
-    std::optional<Time> told() const { return told_; }  // when the list was last confirmed
-    std::size_t left_out() const { return left_out_; }
+    const std::vector<Endpoint>& list() const { return list_; }
+    std::optional<Time> confirmed_at() const { return confirmed_at_; }  // when the list was last confirmed
+    std::size_t skipped() const { return skipped_; }
 
 private:
-    Ask again(bool at_once);
+    Poll again(bool at_once);
 
     const Time wait_;
-    Pcg chance_;
-    std::vector<Entry> list_;
+    Pcg random_;
+    std::vector<Endpoint> list_;
     std::uint64_t index_{};
-    bool doubting_{};
-    int lost_{};
-    std::optional<Time> told_;
-    std::size_t left_out_{};
+    bool unconfirmed_{};
+    int failures_{};
+    std::optional<Time> confirmed_at_;
+    std::size_t skipped_{};
 };
 
-}  // namespace plumkeel::fleet
+}  // namespace plumkeel::consul
--- a/src/fleet/roster.cpp
+++ b/src/consul/health_watcher.cpp
@@ -1,52 +1,52 @@
-#include "fleet/roster.hpp"
+#include "consul/health_watcher.hpp"
 
 #include <fmt/format.h>
 
 #include "http/exchange.hpp"
 
-namespace plumkeel::fleet {
+namespace plumkeel::consul {
 
 using namespace std::chrono_literals;
 
 constexpr std::size_t most_list_bytes = 64 * 1024 * 1024;
 
-Roster::Roster(net::World& world, const ListSource& source, std::string asker, Log& log, std::uint64_t seed,
+HealthWatcher::HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string asker, Log& log, std::uint64_t seed,
                Told told)
-    : world_(world),
+    : loop_(loop),
       source_(source),
       asker_(std::move(asker)),
       log_(log),
       follower_(source.wait, seed),
       told_(std::move(told)) {}
 
-void Roster::follow() {
-    world_.spawn(run());
+void HealthWatcher::follow() {
+    loop_.spawn(run());
 }
 
-net::Task<> Roster::run() {
-    Follower::Ask next = follower_.first();
+net::Task<> HealthWatcher::run() {
+    BlockingQuery::Poll next = follower_.first();
     for (;;) {
-        if (next.pause > Time{}) co_await world_.sleep(next.pause);
+        if (next.pause > Time{}) co_await loop_.sleep(next.pause);
         const Got got = co_await ask(next);
-        Follower::Step step = got.whole
-                                  ? follower_.answered(world_.now(), {got.status, got.index, got.body})
-                                  : follower_.lost(world_.now());
-        switch (step.heard) {
-            case Follower::Heard::list:
-                log_.line(Log::Level::info, "list_changed",
+        BlockingQuery::Step step = got.whole
+                                  ? follower_.answered(loop_.now(), {got.status, got.index, got.body})
+                                  : follower_.lost(loop_.now());
+        switch (step.result) {
+            case BlockingQuery::PollResult::updated:
+                log_.write(Log::Level::info, "list_changed",
                           {{"entries", follower_.list().size()}, {"changed", step.changed.size()}});
                 told_(step.changed, step.complete);
                 break;
-            case Follower::Heard::same:
+            case BlockingQuery::PollResult::unchanged:
                 break;
-            case Follower::Heard::doubted:
-                log_.line(Log::Level::warn, "list_doubted", {{"known", follower_.list().size()}});
+            case BlockingQuery::PollResult::unconfirmed:
+                log_.write(Log::Level::warn, "list_doubted", {{"known", follower_.list().size()}});
                 break;
-            case Follower::Heard::nonsense:
-                log_.line(Log::Level::warn, "list_nonsense", {{"status", got.status}});
+            case BlockingQuery::PollResult::malformed:
+                log_.write(Log::Level::warn, "list_nonsense", {{"status", got.status}});
                 break;
-            case Follower::Heard::lost:
-                log_.line(Log::Level::warn, "list_source_gone", {{"known", follower_.list().size()}});
+            case BlockingQuery::PollResult::failed:
+                log_.write(Log::Level::warn, "list_source_gone", {{"known", follower_.list().size()}});
                 break;
         }
         next = step.next;
@@ -54,10 +54,10 @@
 }
 
 // One poll on a connection of its own: an answer that comes after we gave up on it finds nobody.
-net::Task<Roster::Got> Roster::ask(Follower::Ask ask) {
+net::Task<HealthWatcher::Got> HealthWatcher::ask(BlockingQuery::Poll ask) {
     Got got;
     // A blocking query may be held for the wait and, by the publisher's word, a sixteenth more.
-    const Time limit = (ask.index ? ask.wait + ask.wait / 16 : Time{}) + source_.answer_slack;
+    const Time limit = (ask.index ? ask.wait + ask.wait / 16 : Time{}) + source_.response_slack;
     std::string target = "/v1/health/service/" + http::encoded(source_.service);
     if (ask.index) target += fmt::format("?index={}&wait={}ms", ask.index, ask.wait / 1ms);
     std::string head = http::HeadWriter("GET " + target + " HTTP/1.1")
@@ -67,7 +67,7 @@
                            .add("User-Agent", "plumkeel")
                            .add("Plumkeel-Controller", asker_)
                            .done();
-    auto exchanged = co_await http::exchange(world_, *net::Address::parse(source_.consul), std::move(head), "", limit,
+    auto exchanged = co_await http::exchange(loop_, *net::Address::parse(source_.consul), std::move(head), "", limit,
                                              most_list_bytes);
     if (exchanged.error) co_return got;
     got.whole = true;
@@ -77,4 +77,4 @@
     co_return got;
 }
 
-}  // namespace plumkeel::fleet
+}  // namespace plumkeel::consul
--- a/src/discovery/frames.cpp
+++ b/src/discovery/frame_decoder.cpp
@@ -1,4 +1,4 @@
-#include "discovery/frames.hpp"
+#include "discovery/frame_decoder.hpp"
 
 #include <fmt/format.h>
 
@@ -19,22 +19,22 @@
     return at < names.size() ? names[at] : std::string();
 }
 
-void put(Event& event, fleet::Entry entry, bool is_gone) {
+void put(WatchEvent& event, gateway::Endpoint entry, bool is_gone) {
     if (is_gone)
-        event.gone.push_back(std::move(entry.name));
+        event.removed.push_back(std::move(entry.name));
     else
-        event.entries.push_back(std::move(entry));
+        event.endpoints.push_back(std::move(entry));
 }
 
 }  // namespace
 
-const char* word_of(Broken broken) {
+const char* name_of(FrameError broken) {
     static constexpr const char* words[] = {"none", "length", "kind", "record"};
     return words[static_cast<int>(broken)];
 }
 
-bool Frames::next(std::string_view& bytes, Event& event) {
-    while (!bytes.empty() && broken_ == Broken::none) {
+bool FrameDecoder::next(std::string_view& bytes, WatchEvent& event) {
+    while (!bytes.empty() && error_ == FrameError::none) {
         const std::size_t wanted = length_bytes + (frame_.size() < length_bytes ? 0 : big(frame_, 0, length_bytes));
         const std::string_view part = bytes.substr(0, wanted - frame_.size());
         frame_ += part;
@@ -42,7 +42,7 @@
         if (frame_.size() < wanted) return false;
         if (wanted == length_bytes) {
             const std::size_t length = big(frame_, 0, length_bytes);
-            if (length < fixed_bytes || length > fixed_bytes + most_records * record_bytes) broken_ = Broken::length;
+            if (length < fixed_bytes || length > fixed_bytes + max_records * record_bytes) error_ = FrameError::length;
             continue;
         }
         const bool read_it = read(event);
@@ -52,79 +52,79 @@
     return false;
 }
 
-bool Frames::read(Event& event) {
+bool FrameDecoder::read(WatchEvent& event) {
     const std::string_view it = std::string_view(frame_).substr(length_bytes);
     const auto kind = static_cast<unsigned char>(it[8]);
     event = {};
     event.number = big(it, 0, 8);
-    event.news = kind != nothing;
-    event.whole = kind == whole_list;
+    event.has_changes = kind != nothing;
+    event.is_complete = kind == whole_list;
     std::string_view records = it.substr(fixed_bytes);
-    if (kind > changes) broken_ = Broken::kind;
-    if (records.size() % record_bytes || (kind == nothing && !records.empty())) broken_ = Broken::record;
-    for (; !records.empty() && broken_ == Broken::none; records.remove_prefix(record_bytes)) {
+    if (kind > changes) error_ = FrameError::kind;
+    if (records.size() % record_bytes || (kind == nothing && !records.empty())) error_ = FrameError::record;
+    for (; !records.empty() && error_ == FrameError::none; records.remove_prefix(record_bytes)) {
         const auto state = static_cast<unsigned char>(records[10]);
-        if (state > gone) broken_ = Broken::record;
-        fleet::Entry entry;
+        if (state > gone) error_ = FrameError::record;
+        gateway::Endpoint entry;
         entry.name = fmt::format("s-{:08x}", big(records, 0, 4));
         entry.address = fmt::format("{}.{}.{}.{}:{}", big(records, 4, 1), big(records, 5, 1), big(records, 6, 1), big(records, 7, 1),
                                     big(records, 8, 2));
         entry.ready = state == up;
-        entry.zone = place_of(places_.zones, big(records, 11, 1));
-        entry.kind = place_of(places_.kinds, big(records, 12, 1));
+        entry.zone = place_of(labels_.zones, big(records, 11, 1));
+        entry.type = place_of(labels_.types, big(records, 12, 1));
         entry.cell = static_cast<int>(big(records, 13, 2));
-        entry.units = static_cast<double>(big(records, 15, 4)) / 1000;
+        entry.capacity = static_cast<double>(big(records, 15, 4)) / 1000;
         if (const std::uint64_t started = big(records, 19, 8); started > 0 && started < 1ULL << 50)
-            entry.started = std::chrono::milliseconds(started);
+            entry.started_at = std::chrono::milliseconds(started);
         put(event, std::move(entry), state == gone);
     }
-    return broken_ == Broken::none;
+    return error_ == FrameError::none;
 }
 
-std::string asking(std::uint64_t last) {
+std::string encode_subscription(std::uint64_t last) {
     std::string out;
     for (int shift = 56; shift >= 0; shift -= 8) out += static_cast<char>(last >> shift & 255);
     return out;
 }
 
-std::vector<Event> read_known(const settings::json& known) {
-    using settings::get;
-    using settings::json;
-    using settings::need;
-    std::vector<Event> out;
+std::vector<WatchEvent> parse_initial_events(const platform_settings::json& known) {
+    using platform_settings::get;
+    using platform_settings::json;
+    using platform_settings::need;
+    std::vector<WatchEvent> out;
     for (const json& notice : get<json>(known, "notices", json::array())) {
-        Event& event = out.emplace_back();
-        const json& pool = settings::part(notice, "pool");
+        WatchEvent& event = out.emplace_back();
+        const json& pool = platform_settings::part(notice, "pool");
         event.number = need<std::uint64_t>(notice, "rev");
-        event.news = true;
-        event.whole = out.size() == 1 || get<bool>(pool, "all");
+        event.has_changes = true;
+        event.is_complete = out.size() == 1 || get<bool>(pool, "all");
         const json targets = get<json>(pool, "targets", json::array());
-        if (targets.size() > most_records)
-            throw settings::Fault(fmt::format("field 'targets' of 'known' names {} invokers; {} at most", targets.size(), most_records));
+        if (targets.size() > max_records)
+            throw platform_settings::SettingsError(fmt::format("field 'targets' of 'known' names {} invokers; {} at most", targets.size(), max_records));
         for (const json& target : targets) {
-            fleet::Entry entry;
+            gateway::Endpoint entry;
             entry.name = need<std::string>(target, "uid");
             entry.address = need<std::string>(target, "endpoint");
             const auto state = need<std::string>(target, "state");
             entry.ready = state == "up";
             entry.zone = get<std::string>(target, "az");
-            entry.kind = get<std::string>(target, "model");
+            entry.type = get<std::string>(target, "model");
             entry.cell = get<int>(target, "pod_group");
-            entry.units = get<double>(target, "capacity_hint", 1.0);
-            if (const auto started = get<double>(target, "boot_ms"); started > 0) entry.started = settings::from_ms(started);
+            entry.capacity = get<double>(target, "capacity_hint", 1.0);
+            if (const auto started = get<double>(target, "boot_ms"); started > 0) entry.started_at = platform_settings::from_ms(started);
             put(event, std::move(entry), state == "removed");
         }
     }
     return out;
 }
 
-Heard Order::hear(const Event& event) {
-    if (!event.news) return event.number > last_ ? Heard::gap : Heard::nothing;
-    if (event.number <= last_) return Heard::repeat;
+SequenceCheck EventSequence::check(const WatchEvent& event) {
+    if (!event.has_changes) return event.number > last_ ? SequenceCheck::gap : SequenceCheck::heartbeat;
+    if (event.number <= last_) return SequenceCheck::duplicate;
     // A whole list makes good whatever was missed before it.
-    if (event.number > last_ + 1 && !event.whole) return Heard::gap;
+    if (event.number > last_ + 1 && !event.is_complete) return SequenceCheck::gap;
     last_ = event.number;
-    return Heard::news;
+    return SequenceCheck::accepted;
 }
 
 }  // namespace plumkeel::discovery
--- a/src/fastcgi/records.cpp
+++ b/src/fastcgi/records.cpp
@@ -46,13 +46,13 @@
 
 }  // namespace
 
-bool Intake::feed(std::string_view bytes, Told& told) {
+bool RequestParser::feed(std::string_view bytes, ParserHandler& told) {
     while (!bytes.empty()) {
         if (left_ == 0) {
             const std::size_t wanted = std::min(head_bytes - head_.size(), bytes.size());
             head_.append(bytes.substr(0, wanted));
             bytes.remove_prefix(wanted);
-            ahead_ = bytes.size();
+            bytes_ahead_ = bytes.size();
             if (head_.size() < head_bytes) return true;
             if (!head_whole(told)) return false;
             if (left_ == 0) record_whole(told);
@@ -62,14 +62,14 @@
         if (of_content > 0) content(bytes.substr(0, of_content), told);
         const std::size_t used = std::min(left_, of_content > 0 ? of_content : bytes.size());
         bytes.remove_prefix(used);
-        ahead_ = bytes.size();
+        bytes_ahead_ = bytes.size();
         left_ -= used;
         if (left_ == 0) record_whole(told);
     }
     return true;
 }
 
-bool Intake::head_whole(Told&) {
+bool RequestParser::head_whole(ParserHandler&) {
     const std::string_view it = head_;
     if (it[0] != 1) return false;  // no other version exists: what follows can't be told apart either
     type_ = static_cast<std::uint8_t>(it[1]);
@@ -82,56 +82,56 @@
     return true;
 }
 
-void Intake::content(std::string_view bytes, Told& told) {
-    const auto found = number_ ? coming_.find(number_) : coming_.end();
+void RequestParser::content(std::string_view bytes, ParserHandler& told) {
+    const auto found = number_ ? incomplete_.find(number_) : incomplete_.end();
     const bool stream = type_ == params || type_ == input;
     if (!stream) {
-        small_.append(bytes.substr(0, bounds_.values - std::min(bounds_.values, small_.size())));
-    } else if (found == coming_.end()) {
-        thrown_away_ += bytes.size();  // of one that is not taken, or answered already
+        small_.append(bytes.substr(0, bounds_.values_bytes - std::min(bounds_.values_bytes, small_.size())));
+    } else if (found == incomplete_.end()) {
+        discarded_bytes_ += bytes.size();  // of one that is not taken, or answered already
     } else if ((type_ == params) == found->second.params_whole) {
-        refuse(number_, Wrong::params, found->second.message.keep, told);  // in the wrong order
+        reject(number_, RequestError::bad_parameters, found->second.message.keep_connection, told);  // in the wrong order
     } else {
-        Message& message = found->second.message;
+        RequestMessage& message = found->second.message;
         std::string& into = type_ == params ? message.params : message.body;
-        if (into.size() + bytes.size() > (type_ == params ? bounds_.params : bounds_.body)) {
-            thrown_away_ += bytes.size();
-            return refuse(number_, type_ == params ? Wrong::params : Wrong::too_big, message.keep, told);
+        if (into.size() + bytes.size() > (type_ == params ? bounds_.params_bytes : bounds_.body_bytes)) {
+            discarded_bytes_ += bytes.size();
+            return reject(number_, type_ == params ? RequestError::bad_parameters : RequestError::body_too_big, message.keep_connection, told);
         }
         into.append(bytes);
-        held_ += bytes.size();
+        held_bytes_ += bytes.size();
     }
 }
 
-void Intake::record_whole(Told& told) {
+void RequestParser::record_whole(ParserHandler& told) {
     ++records_;
     if (number_ == 0) {
         if (type_ == get_values)
-            told.asks_values(small_);
+            told.on_get_values(small_);
         else
-            told.unknown(type_);
+            told.on_unknown_type(type_);
         return;
     }
-    const auto found = coming_.find(number_);
+    const auto found = incomplete_.find(number_);
     switch (type_) {
         case begin_request:
             return begin(told);
         case abort_request:
             forget(number_);
-            return told.taken_back(number_);
+            return told.on_abort(number_);
         case params:
-            if (length_ > 0 || found == coming_.end()) return;
-            if (found->second.params_whole) return refuse(number_, Wrong::params, found->second.message.keep, told);
+            if (length_ > 0 || found == incomplete_.end()) return;
+            if (found->second.params_whole) return reject(number_, RequestError::bad_parameters, found->second.message.keep_connection, told);
             found->second.params_whole = true;
             return;
         case input:
-            if (length_ > 0 || found == coming_.end()) return;
-            if (!found->second.params_whole) return refuse(number_, Wrong::params, found->second.message.keep, told);
+            if (length_ > 0 || found == incomplete_.end()) return;
+            if (!found->second.params_whole) return reject(number_, RequestError::bad_parameters, found->second.message.keep_connection, told);
             {
-                Message message = std::move(found->second.message);
-                held_ -= message.params.size() + message.body.size();
-                coming_.erase(found);
-                told.whole(std::move(message));
+                RequestMessage message = std::move(found->second.message);
+                held_bytes_ -= message.params.size() + message.body.size();
+                incomplete_.erase(found);
+                told.on_request(std::move(message));
             }
             return;
         default:
@@ -139,36 +139,36 @@
     }
 }
 
-void Intake::begin(Told& told) {
+void RequestParser::begin(ParserHandler& told) {
     const bool keep = small_.size() > 2 && (static_cast<unsigned char>(small_[2]) & keep_flag);
-    if (coming_.count(number_) || told.answering(number_)) return refuse(number_, Wrong::twice, keep, told);
-    if (small_.size() < 8 || two(small_, 0) != responder) return refuse(number_, Wrong::role, keep, told);
-    if (coming_.size() >= bounds_.open) return refuse(number_, Wrong::too_many, keep, told);
-    Message& message = coming_[number_].message;
-    message.number = number_;
-    message.keep = keep;
-    told.begun(number_);
+    if (incomplete_.count(number_) || told.is_pending(number_)) return reject(number_, RequestError::duplicate_id, keep, told);
+    if (small_.size() < 8 || two(small_, 0) != responder) return reject(number_, RequestError::unsupported_role, keep, told);
+    if (incomplete_.size() >= bounds_.max_requests) return reject(number_, RequestError::too_many_requests, keep, told);
+    RequestMessage& message = incomplete_[number_].message;
+    message.request_id = number_;
+    message.keep_connection = keep;
+    told.on_request_begun(number_);
 }
 
-void Intake::refuse(std::uint16_t number, Wrong why, bool keep, Told& told) {
+void RequestParser::reject(std::uint16_t number, RequestError why, bool keep, ParserHandler& told) {
     forget(number);
-    told.wrong(number, why, keep);
+    told.on_request_error(number, why, keep);
 }
 
-void Intake::forget(std::uint16_t number) {
-    const auto found = coming_.find(number);
-    if (found == coming_.end()) return;
-    held_ -= found->second.message.params.size() + found->second.message.body.size();
-    coming_.erase(found);
+void RequestParser::forget(std::uint16_t number) {
+    const auto found = incomplete_.find(number);
+    if (found == incomplete_.end()) return;
+    held_bytes_ -= found->second.message.params.size() + found->second.message.body.size();
+    incomplete_.erase(found);
 }
 
-std::vector<std::uint16_t> Intake::unfinished() const {
+std::vector<std::uint16_t> RequestParser::unfinished() const {
     std::vector<std::uint16_t> out;
-    for (const auto& [number, coming] : coming_) out.push_back(number);
+    for (const auto& [number, coming] : incomplete_) out.push_back(number);
     return out;
 }
 
-std::optional<std::vector<std::pair<std::string_view, std::string_view>>> pairs(std::string_view text) {
+std::optional<std::vector<std::pair<std::string_view, std::string_view>>> parse_pairs(std::string_view text) {
     std::vector<std::pair<std::string_view, std::string_view>> out;
     while (!text.empty()) {
         std::size_t name = 0, value = 0;
@@ -180,7 +180,7 @@
     return out;
 }
 
-std::string out_records(std::uint16_t number, std::string_view text) {
+std::string encode_stdout(std::uint16_t number, std::string_view text) {
     std::string out;
     out.reserve(text.size() + head_bytes * (text.size() / most_content + 1));
     while (!text.empty()) {
@@ -192,7 +192,7 @@
     return out;
 }
 
-std::string end_records(std::uint16_t number, std::uint32_t app_status, std::uint8_t protocol_status, bool close_out) {
+std::string encode_end_request(std::uint16_t number, std::uint32_t app_status, std::uint8_t protocol_status, bool close_out) {
     std::string out;
     if (close_out) out += head(output, number, 0);
     out += head(end_request, number, 8);
@@ -202,12 +202,12 @@
     return out;
 }
 
-std::string values_record(std::string_view asked, std::size_t connections, std::size_t messages) {
+std::string encode_values(std::string_view asked, std::size_t connections, std::size_t messages) {
     std::string content;
     const std::pair<std::string_view, std::string> known[] = {{"FCGI_MAX_CONNS", std::to_string(connections)},
                                                               {"FCGI_MAX_REQS", std::to_string(messages)},
                                                               {"FCGI_MPXS_CONNS", "1"}};
-    if (const auto names = pairs(asked))
+    if (const auto names = parse_pairs(asked))
         for (const auto& [name, value] : known)
             if (std::any_of(names->begin(), names->end(), [&](const auto& each) { return each.first == name; })) {
                 content += static_cast<char>(name.size());
@@ -217,7 +217,7 @@
     return head(get_values_result, 0, content.size()) + content;
 }
 
-std::string unknown_record(std::uint8_t type) {
+std::string encode_unknown_type(std::uint8_t type) {
     return head(unknown_type, 0, 8) + static_cast<char>(type) + std::string(7, '\0');
 }
 
--- a/src/fastcgi/front.hpp
+++ b/src/fastcgi/server.hpp
@@ -10,52 +10,52 @@
 
 namespace plumkeel::fastcgi {
 
-class Visit;
+class Connection;
 
 struct Paths {
-    std::string health = "/_health", jobs = "/invoke/";
+    std::string health = "/_health", requests = "/invoke/";
 };
 
-class Front {
+class Server {
 public:
-    explicit Front(gateway::Gateway& gateway, Paths paths = {});
-    ~Front();
+    explicit Server(gateway::Gateway& gateway, Paths paths = {});
+    ~Server();
 
     net::Error open();
     // Accepts no more connections and takes no more jobs; calls `then` once every open job has its answer and every
     // answer has left.
     void close(std::function<void()> then);
     net::Address address() const { return listener_->address(); }
-    std::size_t connections() const { return visits_.size(); }
+    std::size_t connections() const { return connections_.size(); }
 
     gateway::Gateway& gateway() { return gateway_; }
     const Paths& paths() const { return paths_; }
-    void visit_gone(const std::shared_ptr<Visit>& visit);
+    void connection_closed(const std::shared_ptr<Connection>& sink);
     // The names of open jobs: a second one under a name that is open is not taken.
-    std::unordered_set<std::string>& names() { return names_; }
+    std::unordered_set<std::string>& open_request_ids() { return open_request_ids_; }
 
 private:
     net::Task<> accept();
     // Waits until a connection has left, or for so long.
-    net::Task<> visit_leaves(net::Time at_most);
-    net::Task<> make_place();
+    net::Task<> wait_connection_closed(net::Time at_most);
+    net::Task<> make_room();
     void note_backlog(net::Time waited);
     net::Time waited_unaccepted() const;
-    std::shared_ptr<Visit> least_needed() const;
-    void shut(int looks);
-    void see_whether_done();
+    std::shared_ptr<Connection> least_needed() const;
+    void close_idle(int looks);
+    void check_drained();
 
     gateway::Gateway& gateway_;
     const Paths paths_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::shared_ptr<Visit>> visits_;  // in the order in which they came
-    std::unordered_set<std::string> names_;
-    std::uint64_t visit_numbers_{};
-    int waiting_for_place_{};  // connections that are accepted and not read yet
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // in the order in which they came
+    std::unordered_set<std::string> open_request_ids_;
+    std::uint64_t connection_ids_{};
+    int waiting_connections_{};  // connections that are accepted and not read yet
     std::optional<net::Time> backlog_since_;
-    bool answered_all_{};
-    net::Signal visit_left_;
-    std::function<void()> then_;
+    bool gateway_drained_{};
+    net::Notification connection_closed_;
+    std::function<void()> on_drained_;
 };
 
 }  // namespace plumkeel::fastcgi
--- a/src/gateway/edges.cpp
+++ b/src/gateway/edges.cpp
@@ -2,43 +2,43 @@
 
 namespace plumkeel::gateway {
 
-void ConnectionPool::send(std::shared_ptr<Errand> errand) {
-    errand->limit_ = world_.at(errand->until, [this, weak = errand->weak_from_this()] {
-        if (const auto late = weak.lock()) stop(*late, proof::Cause::time_ran_out);
+void ConnectionPool::send(std::shared_ptr<UpstreamCall> call) {
+    call->deadline_timer_ = loop_.call_at(call->deadline, [this, weak = call->weak_from_this()] {
+        if (const auto late = weak.lock()) stop(*late, delivery::StopCause::timed_out);
     });
-    if (!carry(errand)) end_soon(errand, Ending::never_sent);
+    if (!enqueue(call)) finish_soon(call, AttemptOutcome::never_sent);
 }
 
-void ConnectionPool::end(const std::shared_ptr<Errand>& errand, Outcome outcome) {
-    if (!errand || errand->state_ == Errand::State::ended) return;
-    errand->state_ = Errand::State::ended;
-    unlimit(*errand);
-    errand->ended(std::move(outcome));
+void ConnectionPool::finish(const std::shared_ptr<UpstreamCall>& call, CallResult outcome) {
+    if (!call || call->state_ == UpstreamCall::State::ended) return;
+    call->state_ = UpstreamCall::State::ended;
+    clear_deadline(*call);
+    call->on_ended(std::move(outcome));
 }
 
-void ConnectionPool::end(const std::shared_ptr<Errand>& errand, Ending ending) {
-    Outcome outcome;
-    outcome.ending = ending;
-    end(errand, std::move(outcome));
+void ConnectionPool::finish(const std::shared_ptr<UpstreamCall>& call, AttemptOutcome ending) {
+    CallResult outcome;
+    outcome.outcome = ending;
+    finish(call, std::move(outcome));
 }
 
-void ConnectionPool::end_soon(std::shared_ptr<Errand> errand, Ending ending) {
-    world_.at(world_.now(), [this, errand = std::move(errand), ending] { end(errand, ending); });
+void ConnectionPool::finish_soon(std::shared_ptr<UpstreamCall> call, AttemptOutcome ending) {
+    loop_.call_at(loop_.now(), [this, call = std::move(call), ending] { finish(call, ending); });
 }
 
-proof::Cause ConnectionPool::cause_of(const net::Error& error) {
+delivery::StopCause ConnectionPool::cause_of(const net::Error& error) {
     namespace asio = net::asio;
     for (const net::Error& nobody : {net::Error(asio::error::connection_refused), net::Error(asio::error::timed_out),
                                      net::Error(asio::error::host_unreachable)})
-        if (error == nobody) return proof::Cause::no_connection;
-    return proof::Cause::connection_broke;
+        if (error == nobody) return delivery::StopCause::no_connection;
+    return delivery::StopCause::connection_lost;
 }
 
 // The errand is no longer wanted, or out of time.
-void ConnectionPool::stop(Errand& errand, proof::Cause cause) {
-    if (errand.state_ == Errand::State::ended) return;
-    const auto self = errand.shared_from_this();
-    end_soon(self, proof::ending_of(take_off(errand, cause), cause));
+void ConnectionPool::stop(UpstreamCall& call, delivery::StopCause cause) {
+    if (call.state_ == UpstreamCall::State::ended) return;
+    const auto self = call.shared_from_this();
+    finish_soon(self, delivery::outcome_of(remove(call, cause), cause));
 }
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/edges.hpp
+++ b/src/gateway/edges.hpp
@@ -11,134 +11,134 @@
 #include <string>
 #include <string_view>
 
-#include "dispatch/types.hpp"
-#include "gateway/proof.hpp"
-#include "net/outbox.hpp"
-#include "net/world.hpp"
+#include "scheduler/types.hpp"
+#include "gateway/delivery.hpp"
+#include "net/write_queue.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::gateway {
 
-struct Ward;
+struct ActiveRequest;
 
 // What an edge tells of an errand's end.
-struct Outcome {
-    Ending ending{};
-    Note note{};
-    int company{}, copies{};
-    Report report;
+struct CallResult {
+    AttemptOutcome outcome{};
+    LoadEvent load_event{};
+    int concurrent_requests{}, copies{};
+    LoadReport report;
     unsigned status{};   // 0: no whole answer came
-    std::string passed;  // its fields that go on to the client, as lines
+    std::string forwarded_headers;  // its fields that go on to the client, as lines
     std::string body;
 };
 
-class Visit {
+class ResponseSink {
 public:
-    virtual ~Visit() = default;
+    virtual ~ResponseSink() = default;
     // The job's final answer, whole: an invoker's, or the module's own (bounced or written off, by ward.state).
-    virtual void honoured(const Ward& ward, unsigned status, std::string_view passed, std::string body) = 0;
-    virtual void turned(const Ward& ward) = 0;
+    virtual void send_response(const ActiveRequest& request, unsigned status, std::string_view passed, std::string body) = 0;
+    virtual void send_rejection(const ActiveRequest& request) = 0;
     // An answer that streams: its head, its parts, its end; cut where the rest can't come.
-    virtual void begin(const Ward& ward, unsigned status, std::string_view passed) = 0;
-    virtual void part(const Ward& ward, std::string bytes) = 0;
-    virtual void end(const Ward& ward, bool whole) = 0;
+    virtual void begin_stream(const ActiveRequest& request, unsigned status, std::string_view passed) = 0;
+    virtual void write_chunk(const ActiveRequest& request, std::string bytes) = 0;
+    virtual void end_stream(const ActiveRequest& request, bool whole) = 0;
     // Whether its client has said something, its end perhaps, that is not read yet.
-    virtual bool unread() { return false; }
+    virtual bool has_unread_input() { return false; }
     // Waits until there is room for more parts; false when the client is gone.
-    virtual net::Task<bool> room() = 0;
+    virtual net::Task<bool> wait_writable() = 0;
 };
 
-class Errand : public std::enable_shared_from_this<Errand> {
+class UpstreamCall : public std::enable_shared_from_this<UpstreamCall> {
 public:
-    enum class Kind { hop, probe, hold_copies, drop_copies };
-    enum class State { waiting, out, streaming, ended };
-    explicit Errand(Kind of) : kind(of) {}
-    virtual ~Errand() = default;
+    enum class Kind { attempt, health_check, load_copies, unload_copies };
+    enum class State { queued, in_flight, streaming, ended };
+    explicit UpstreamCall(Kind of) : kind(of) {}
+    virtual ~UpstreamCall() = default;
 
-    virtual void ended(Outcome outcome) = 0;
+    virtual void on_ended(CallResult outcome) = 0;
     // Its first byte leaves now.
-    virtual void leaves() {}
+    virtual void on_sent() {}
     // A large answer has begun, with this status and these lines to pass on. False: nobody wants it, and the
     // errand ends as called off.
-    virtual bool begins(unsigned, const std::string&) { return false; }
-    virtual void part(std::string) {}
+    virtual bool on_stream_begin(unsigned, const std::string&) { return false; }
+    virtual void on_chunk(std::string) {}
     // Waits until the receiver of parts has room for more; false when it is gone.
-    virtual net::Task<bool> room() { co_return true; }
+    virtual net::Task<bool> wait_writable() { co_return true; }
 
     const Kind kind;
-    Ward* ward{};          // of a hop, as is the next
-    const Hop* hop{};
+    ActiveRequest* request{};          // of a hop, as is the next
+    const Attempt* attempt{};
     std::string function;  // of an order, as is the next
     int copies{};
     std::string_view invoker;  // its name
-    net::Time until{};     // it ends as overdue then, unless its answer streams
+    net::Time deadline{};     // it ends as overdue then, unless its answer streams
     bool fresh_connection{};     // asks for a connection that nothing else has used
 
     // A probe or an order: goes first, and past the cap on lines.
-    bool light() const { return kind != Kind::hop; }
+    bool has_priority() const { return kind != Kind::attempt; }
     State state() const { return state_; }
 
 private:
     friend class ConnectionPool;
     State state_{};
-    net::World::Ticket limit_{};
-    std::shared_ptr<void> carrier_;  // the connection it is on
+    net::EventLoop::TimerKey deadline_timer_{};
+    std::shared_ptr<void> connection_;  // the connection it is on
 };
 
 struct ConnectionCounts {
-    std::uint64_t opened{}, reused{}, broke_idle{}, unreachable{}, late{}, spoilt{};
+    std::uint64_t opened{}, reused{}, closed_idle{}, unreachable{}, late_responses{}, malformed{};
     // A connection had to be given up: to which address, why in a word, and with how many errands out.
-    std::function<void(const std::string&, const char*, std::size_t)> tell_spoilt;
+    std::function<void(const std::string&, const char*, std::size_t)> on_malformed;
 };
 
 class ConnectionPool {
 public:
-    explicit ConnectionPool(net::World& world) : world_(world) {}
+    explicit ConnectionPool(net::EventLoop& loop) : loop_(loop) {}
     virtual ~ConnectionPool() = default;
     ConnectionPool(const ConnectionPool&) = delete;
     ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-    void send(std::shared_ptr<Errand> errand);
-    virtual void call_off(Errand& errand) { stop(errand, proof::Cause::called_off); }
+    void send(std::shared_ptr<UpstreamCall> call);
+    virtual void cancel(UpstreamCall& call) { stop(call, delivery::StopCause::cancelled); }
     // Its job is over. What has not begun to leave is not sent any more, whether or not invokers may be told to stop.
-    void take_back(Errand& errand) {
-        if (errand.state_ == Errand::State::waiting) stop(errand, proof::Cause::withdrawn);
+    void cancel_if_unsent(UpstreamCall& call) {
+        if (call.state_ == UpstreamCall::State::queued) stop(call, delivery::StopCause::cancelled_unsent);
     }
     // Hops whose bytes have not begun to leave end as never sent: the list says that the invoker takes no more.
-    virtual void withdraw() = 0;
+    virtual void cancel_unsent() = 0;
     // The invoker has a new address; what is out at the old one is awaited there.
-    virtual void move_to(net::Address address) = 0;
+    virtual void set_address(net::Address address) = 0;
     // The invoker is gone for good: a connection closes once nothing is out on it.
     virtual void close() = 0;
-    virtual std::size_t open() const = 0;     // connections
-    virtual std::size_t waiting() const = 0;  // hops without one
-    virtual std::size_t out() const = 0;      // hops that left and have not ended
+    virtual std::size_t connection_count() const = 0;     // connections
+    virtual std::size_t queued_count() const = 0;  // hops without one
+    virtual std::size_t in_flight_count() const = 0;      // hops that left and have not ended
 
 protected:
     // Puts it on a connection, or in a bounded queue. False: the queue is full.
-    virtual bool carry(const std::shared_ptr<Errand>& errand) = 0;
+    virtual bool enqueue(const std::shared_ptr<UpstreamCall>& call) = 0;
     // Takes it off its connection or out of the queue, and says how far it got.
-    virtual proof::Reached take_off(Errand& errand, proof::Cause cause) = 0;
+    virtual delivery::Progress remove(UpstreamCall& call, delivery::StopCause cause) = 0;
 
-    void stop(Errand& errand, proof::Cause cause);
+    void stop(UpstreamCall& call, delivery::StopCause cause);
     // Why a connection did not come about. Only a refusal and silence say that nobody is there: one reset at once
     // did come up, and where descriptors, ports, buffers or a route are short here, nobody was asked (connect(2)).
-    static proof::Cause cause_of(const net::Error& error);
-    void end(const std::shared_ptr<Errand>& errand, Outcome outcome);
-    void end(const std::shared_ptr<Errand>& errand, Ending ending);
-    void end_soon(std::shared_ptr<Errand> errand, Ending ending);
+    static delivery::StopCause cause_of(const net::Error& error);
+    void finish(const std::shared_ptr<UpstreamCall>& call, CallResult outcome);
+    void finish(const std::shared_ptr<UpstreamCall>& call, AttemptOutcome ending);
+    void finish_soon(std::shared_ptr<UpstreamCall> call, AttemptOutcome ending);
 
     // Its first byte leaves now.
-    static void leaves(Errand& errand) {
-        errand.state_ = Errand::State::out;
-        errand.leaves();
+    static void mark_sent(UpstreamCall& call) {
+        call.state_ = UpstreamCall::State::in_flight;
+        call.on_sent();
     }
-    static void set_state(Errand& errand, Errand::State state) { errand.state_ = state; }
-    static std::shared_ptr<void>& carrier(Errand& errand) { return errand.carrier_; }
-    void unlimit(Errand& errand) { world_.drop(errand.limit_); }
+    static void set_state(UpstreamCall& call, UpstreamCall::State state) { call.state_ = state; }
+    static std::shared_ptr<void>& connection_of(UpstreamCall& call) { return call.connection_; }
+    void clear_deadline(UpstreamCall& call) { loop_.cancel(call.deadline_timer_); }
 
-    net::World& world_;
+    net::EventLoop& loop_;
 };
 
-using PoolFor = std::function<std::unique_ptr<ConnectionPool>(const net::Address&, ConnectionCounts&)>;
+using PoolFactory = std::function<std::unique_ptr<ConnectionPool>(const net::Address&, ConnectionCounts&)>;
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cassert>
 
-#include "trace/words.hpp"
+#include "trace/names.hpp"
 
 namespace plumkeel::gateway {
 
@@ -16,89 +16,89 @@
 constexpr Time longest_quiet = 250ms;  // with no request open: sweeps of the module and looks of its host
 constexpr Time answer_grace = 58ms;  // rules.grace_to_answer as the protocol page gives it, and the 50 ms of sockets
 
-class HopErrand : public Errand {
+class AttemptCall : public UpstreamCall {
 public:
-    HopErrand(Gateway& gateway, Ward& of, Hop& as) : Errand(Kind::hop), gateway_(gateway), ward(of), hop(as) {
-        Errand::ward = &of;
-        Errand::hop = &as;
+    AttemptCall(Gateway& gateway, ActiveRequest& of, Attempt& as) : UpstreamCall(Kind::attempt), gateway_(gateway), request(of), attempt(as) {
+        UpstreamCall::request = &of;
+        UpstreamCall::attempt = &as;
     }
 
-    void ended(Outcome outcome) override { gateway_.hop_ended(*this, std::move(outcome)); }
-    void leaves() override {
-        left = gateway_.world_.now();
-        gateway_.check_leaving(*this);
+    void on_ended(CallResult outcome) override { gateway_.attempt_ended(*this, std::move(outcome)); }
+    void on_sent() override {
+        left = gateway_.loop_.now();
+        gateway_.check_sent(*this);
     }
-    bool begins(unsigned status, const std::string& passed) override {
-        return gateway_.hop_begins(*this, status, passed);
+    bool on_stream_begin(unsigned status, const std::string& passed) override {
+        return gateway_.stream_begins(*this, status, passed);
     }
-    void part(std::string bytes) override {
-        if (ward.visit) ward.visit->part(ward, std::move(bytes));
+    void on_chunk(std::string bytes) override {
+        if (request.sink) request.sink->write_chunk(request, std::move(bytes));
     }
-    net::Task<bool> room() override {
-        if (!ward.visit) co_return false;
-        co_return co_await ward.visit->room();
+    net::Task<bool> wait_writable() override {
+        if (!request.sink) co_return false;
+        co_return co_await request.sink->wait_writable();
     }
 
 private:
     Gateway& gateway_;
 
 public:
-    Ward& ward;
-    Hop& hop;
+    ActiveRequest& request;
+    Attempt& attempt;
     std::optional<Time> left;  // when its first byte did
-    std::optional<Outcome> held_back;  // it ended while another hop's answer streams
+    std::optional<CallResult> held_back;  // it ended while another hop's answer streams
 };
 
-class ProbeErrand : public Errand {
+class HealthCheckCall : public UpstreamCall {
 public:
-    ProbeErrand(Gateway& gateway, Post& post) : Errand(Kind::probe), gateway_(gateway), post_(post) {}
-    void ended(Outcome outcome) override {
-        const bool answered = outcome.status && outcome.ending == Ending::honoured;
-        gateway_.feed([&](trace::Watched& it, Time now) { return it.probe_answered(now, post_, answered, outcome.report); });
+    HealthCheckCall(Gateway& gateway, InvokerEndpoint& post) : UpstreamCall(Kind::health_check), gateway_(gateway), post_(post) {}
+    void on_ended(CallResult outcome) override {
+        const bool answered = outcome.status && outcome.outcome == AttemptOutcome::succeeded;
+        gateway_.call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.health_check_ended(now, post_, answered, outcome.report); });
     }
 
 private:
     Gateway& gateway_;
-    Post& post_;
+    InvokerEndpoint& post_;
 };
 
-class OrderErrand : public Errand {
+class PreloadCall : public UpstreamCall {
 public:
-    OrderErrand(Gateway& gateway, Post& post, const CopyOrder& order)
-        : Errand(order.copies > 0 ? Kind::hold_copies : Kind::drop_copies), gateway_(gateway), post_(post) {
+    PreloadCall(Gateway& gateway, InvokerEndpoint& post, const PreloadCommand& order)
+        : UpstreamCall(order.copies > 0 ? Kind::load_copies : Kind::unload_copies), gateway_(gateway), post_(post) {
         function = order.function->name;
         copies = order.copies;
     }
-    void ended(Outcome outcome) override {
+    void on_ended(CallResult outcome) override {
         const auto it = gateway_.functions_.find(function);
-        if (kind == Kind::drop_copies || it == gateway_.functions_.end()) return;
-        gateway_.feed([&](trace::Watched& controller, Time now) {
-            return controller.load_answered(now, *it->second, post_, outcome.ending, outcome.copies);
+        if (kind == Kind::unload_copies || it == gateway_.functions_.end()) return;
+        gateway_.call_scheduler([&](trace::RecordingScheduler& controller, Time now) {
+            return controller.preload_ended(now, *it->second, post_, outcome.outcome, outcome.copies);
         });
     }
 
 private:
     Gateway& gateway_;
-    Post& post_;
+    InvokerEndpoint& post_;
 };
 
 namespace {
 
 double pace_told(const Invoker& invoker) {
-    return invoker.kind ? invoker.kind->pace * invoker.pace : invoker.pace;
+    return invoker.type ? invoker.type->slowdown_factor * invoker.slowdown_factor : invoker.slowdown_factor;
 }
 
-trace::Start start_of(const Charter& charter, std::uint64_t seed) {
-    trace::Start start{charter.name, seed, charter.rulebook, charter.allowances, {}, {}};
-    for (const auto& [name, use] : charter.use_cases) start.use_cases.emplace_back(name, use);
-    for (const auto& [name, tenant] : charter.tenants) start.tenants.emplace_back(name, tenant.share_per_s);
+trace::Start start_of(const GatewayConfig& config, std::uint64_t seed) {
+    trace::Start start{config.name, seed, config.safety_rules, config.capabilities, {}, {}};
+    for (const auto& [name, use] : config.request_classes) start.request_classes.emplace_back(name, use);
+    for (const auto& [name, tenant] : config.tenants) start.tenants.emplace_back(name, tenant.quota_per_s);
     return start;
 }
 
 // In the order of start_of().
-std::vector<const UseCase*> use_cases_of(const Charter& charter) {
-    std::vector<const UseCase*> out;
-    for (const auto& [name, use] : charter.use_cases) out.push_back(&use);
+std::vector<const RequestClass*> use_cases_of(const GatewayConfig& config) {
+    std::vector<const RequestClass*> out;
+    for (const auto& [name, use] : config.request_classes) out.push_back(&use);
     return out;
 }
 
@@ -110,479 +110,479 @@
 
 }  // namespace
 
-Gateway::Gateway(net::World& world, Charter charter, Log& log, std::uint64_t seed, PoolFor pool_for, trace::Recorded recorded)
-    : world_(world),
-      charter_(std::move(charter)),
+Gateway::Gateway(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, PoolFactory pool_for, trace::RecordCallback recorded)
+    : loop_(loop),
+      config_(std::move(config)),
       log_(log),
       pool_for_(std::move(pool_for)),
-      admission_(charter_.admission),
-      incarnation_(fmt::format("{}/{:x}", charter_.name, world.wall() / 1ms)),
-      tenants_(charter_.tenants),
-      controller_(start_of(charter_, seed), use_cases_of(charter_), tenants_of(tenants_), std::move(recorded),
-                  charter_.trace.reasons),
+      admission_(config_.admission),
+      incarnation_(fmt::format("{}/{:x}", config_.name, loop.wall_clock() / 1ms)),
+      tenants_(config_.tenants),
+      scheduler_(start_of(config_, seed), use_cases_of(config_), tenants_of(tenants_), std::move(recorded),
+                  config_.trace.record_candidates),
       invariants_(log) {
-    start_clock_.look(world_.now(), world_.wall());
-    if (charter_.metrics.on) meters_ = std::make_unique<metrics::Meters>(charter_.metrics.rules, charter_.name);
+    start_clock_.look(loop_.now(), loop_.wall_clock());
+    if (config_.metrics.enabled) metrics_ = std::make_unique<metrics::GatewayMetrics>(config_.metrics.config, config_.name);
 }
 
 Gateway::~Gateway() {
-    world_.drop(look_);
-    world_.drop(pulse_);
+    loop_.cancel(metrics_timer_);
+    loop_.cancel(stall_timer_);
 }
 
-void Gateway::begin() {
-    look_at_ = world_.now();
-    if (meters_) look();
+void Gateway::start() {
+    metrics_due_at_ = loop_.now();
+    if (metrics_) collect_metrics();
 }
 
-void Gateway::close(std::function<void()> then) {
-    then_ = std::move(then);
+void Gateway::shut_down(std::function<void()> then) {
+    on_drained_ = std::move(then);
     admission_.close();
-    see_whether_done();
+    check_drained();
 }
 
-void Gateway::see_whether_done() {
-    if (!then_ || admission_.open_jobs() > 0) return;
-    world_.at(world_.now(), std::exchange(then_, nullptr));
+void Gateway::check_drained() {
+    if (!on_drained_ || admission_.open_requests() > 0) return;
+    loop_.call_at(loop_.now(), std::exchange(on_drained_, nullptr));
 }
 
 // ---------------------------------------------------------------- what happens
 
 template <class Call>
-void Gateway::feed(Call call) {
-    assert(!feeding_);  // carrying out never calls back before it returns
-    feeding_ = true;
-    fed_at_ = world_.now();
-    const Results results = call(controller_, fed_at_);
-    carry_out(results);
-    feeding_ = false;
+void Gateway::call_scheduler(Call call) {
+    assert(!in_call_);  // carrying out never calls back before it returns
+    in_call_ = true;
+    last_call_at_ = loop_.now();
+    const Actions results = call(scheduler_, last_call_at_);
+    apply(results);
+    in_call_ = false;
 }
 
-Ward* Gateway::take(Wanted wanted, std::shared_ptr<Visit> visit) {
+ActiveRequest* Gateway::submit(IncomingRequest wanted, std::shared_ptr<ResponseSink> sink) {
     std::unique_ptr<Function>& function = functions_[wanted.function];
     if (!function) function = std::make_unique<Function>();
     function->name = wanted.function;
-    function->lanes = wanted.lanes;
-    if (wanted.told_load) function->told_load = wanted.told_load;
-
-    auto fresh = std::make_unique<Ward>();
-    Ward& ward = *fresh;
-    ward.id = ++ids_;
-    ward.use_case = wanted.use_case;
-    ward.function = function.get();
-    const Time since_read = wanted.read_at ? world_.now() - *wanted.read_at : Time{};
-    ward.time_left = std::max(Time{}, wanted.left - wanted.waited - since_read);
-    ward.again = wanted.again;
+    function->concurrency = wanted.concurrency;
+    if (wanted.declared_load_time) function->declared_load_time = wanted.declared_load_time;
+
+    auto fresh = std::make_unique<ActiveRequest>();
+    ActiveRequest& request = *fresh;
+    request.id = ++ids_;
+    request.request_class = wanted.request_class;
+    request.function = function.get();
+    const Time since_read = wanted.read_at ? loop_.now() - *wanted.read_at : Time{};
+    request.remaining = std::max(Time{}, wanted.remaining - wanted.waited - since_read);
+    request.is_client_retry = wanted.is_client_retry;
     if (const auto tenant = tenants_.find(wanted.tenant); tenant != tenants_.end()) {
-        ward.tenant = &tenant->second;
-        ward.tenant_name = tenant->first;
+        request.tenant = &tenant->second;
+        request.tenant_name = tenant->first;
     }
-    ward.visit = std::move(visit);
-    ward.held = wanted.held;
-    ward.name = std::move(wanted.name);
-    ward.place = wanted.place;
-    ward.mark = std::move(wanted.mark);
-    ward.passed = std::move(wanted.passed);
-    ward.lanes = wanted.lanes;
-    ward.memory = wanted.memory;
-    ward.body = std::make_shared<const std::string>(std::move(wanted.body));
-    jobs_[ward.id] = std::move(fresh);
-    ++tally_.taken;
-    if (meters_) meters_->job_taken(wanted.again);
-
-    if (!pulse_.second) pulse();
-    feed([&](trace::Watched& it, Time now) { return it.take(now, ward); });
-    const auto still = jobs_.find(ids_);
-    return still == jobs_.end() || ward.answered() ? nullptr : &ward;
+    request.sink = std::move(sink);
+    request.held_bytes = wanted.held_bytes;
+    request.name = std::move(wanted.name);
+    request.sink_key = wanted.sink_key;
+    request.idempotency_key = std::move(wanted.idempotency_key);
+    request.forwarded_headers = std::move(wanted.forwarded_headers);
+    request.concurrency = wanted.concurrency;
+    request.memory = wanted.memory;
+    request.body = std::make_shared<const std::string>(std::move(wanted.body));
+    requests_[request.id] = std::move(fresh);
+    ++counters_.received;
+    if (metrics_) metrics_->request_received(wanted.is_client_retry);
+
+    if (!stall_timer_.second) check_stall();
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.submit(now, request); });
+    const auto still = requests_.find(ids_);
+    return still == requests_.end() || request.is_completed() ? nullptr : &request;
 }
 
 // How long what is read now may have stood in its socket. Its client's time has run since it came.
 Time Gateway::waited_unread(Time late) const {
-    late = std::max(late, world_.late());
-    if (late <= net::World::stood_still) return {};
-    return late + (pulse_.second ? pulse_every : longest_quiet);  // the pause began up to so long before something was due
+    late = std::max(late, loop_.lag());
+    if (late <= net::EventLoop::stall_threshold) return {};
+    return late + (stall_timer_.second ? pulse_every : longest_quiet);  // the pause began up to so long before something was due
 }
 
-void Gateway::pulse() {
-    pulse_ = {};
-    if (admission_.open_jobs() == 0) return;
-    pulse_ = world_.at(world_.now() + pulse_every, [this] { pulse(); });
+void Gateway::check_stall() {
+    stall_timer_ = {};
+    if (admission_.open_requests() == 0) return;
+    stall_timer_ = loop_.call_at(loop_.now() + pulse_every, [this] { check_stall(); });
 }
 
-void Gateway::client_left(Ward& ward) {
-    ward.visit = nullptr;
-    feed([&](trace::Watched& it, Time now) { return it.client_left(now, ward); });
-    count(ward);
-    let_on(ward);
+void Gateway::client_disconnected(ActiveRequest& request) {
+    request.sink = nullptr;
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.client_disconnected(now, request); });
+    count(request);
+    deliver_held_results(request);
 }
 
-bool Gateway::hop_begins(HopErrand& errand, unsigned status, const std::string& passed) {
-    Ward& ward = errand.ward;
-    if (ward.answered() || ward.streams || !ward.visit) return false;
-    ward.streams = &errand;
-    feed([&](trace::Watched& it, Time now) { return it.hop_accepted(now, errand.hop); });
-    ++tally_.streamed;
-    ward.visit->begin(ward, status, passed);
+bool Gateway::stream_begins(AttemptCall& call, unsigned status, const std::string& passed) {
+    ActiveRequest& request = call.request;
+    if (request.is_completed() || request.streaming_call || !request.sink) return false;
+    request.streaming_call = &call;
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.response_started(now, call.attempt); });
+    ++counters_.streamed;
+    request.sink->begin_stream(request, status, passed);
     // The job is bound to this answer: no other hop of it can be of use any more.
-    for (const auto& other : ward.errands)
-        if (other.get() != &errand && other->hop.out) static_cast<Post&>(*other->hop.invoker).pool->call_off(*other);
+    for (const auto& other : request.calls)
+        if (other.get() != &call && other->attempt.in_flight) static_cast<InvokerEndpoint&>(*other->attempt.invoker).pool->cancel(*other);
     return true;
 }
 
-void Gateway::hop_ended(HopErrand& errand, Outcome outcome) {
-    Ward& ward = errand.ward;
+void Gateway::attempt_ended(AttemptCall& call, CallResult outcome) {
+    ActiveRequest& request = call.request;
     // While an answer streams, the module is told of the others' ends behind it: they decide nothing.
-    if (ward.streams && ward.streams != &errand && !ward.answered()) {
-        errand.held_back = std::move(outcome);
+    if (request.streaming_call && request.streaming_call != &call && !request.is_completed()) {
+        call.held_back = std::move(outcome);
         return;
     }
-    const bool late = ward.answered();
-    if (meters_)
-        meters_->hop_ended({outcome.ending, outcome.note, errand.hop.expected_warm, errand.hop.loads, world_.now() - errand.hop.sent});
-    const bool whole = outcome.ending == Ending::honoured;
-    if (late && whole) ++tally_.late;
+    const bool late = request.is_completed();
+    if (metrics_)
+        metrics_->attempt_ended({outcome.outcome, outcome.load_event, call.attempt.expected_warm, call.attempt.starts_load, loop_.now() - call.attempt.sent_at});
+    const bool whole = outcome.outcome == AttemptOutcome::succeeded;
+    if (late && whole) ++counters_.late;
     if (log_.wants(Log::Level::debug))
-        log_.line(Log::Level::debug, "hop_ended",
-                  {{"request", ward.name}, {"job", ward.id}, {"hop", errand.hop.number}, {"invoker", errand.hop.invoker->name},
-                   {"left", errand.left.has_value()}, {"ending", trace::word_of(outcome.ending)}, {"late", late}, {"note", trace::word_of(outcome.note)},
-                   {"company", outcome.company}, {"warm", errand.hop.expected_warm}, {"function", ward.function->name},
-                   {"crowd", errand.hop.crowd}, {"took_ms", static_cast<double>((world_.now() - errand.hop.sent).count()) / 1000}});
-    const std::uint64_t id = ward.id;
+        log_.write(Log::Level::debug, "hop_ended",
+                  {{"request", request.name}, {"job", request.id}, {"hop", call.attempt.number}, {"invoker", call.attempt.invoker->name},
+                   {"left", call.left.has_value()}, {"ending", trace::name_of(outcome.outcome)}, {"late", late}, {"note", trace::name_of(outcome.load_event)},
+                   {"company", outcome.concurrent_requests}, {"warm", call.attempt.expected_warm}, {"function", request.function->name},
+                   {"crowd", call.attempt.estimated_load}, {"took_ms", static_cast<double>((loop_.now() - call.attempt.sent_at).count()) / 1000}});
+    const std::uint64_t id = request.id;
     // The client's answer leaves before what the end of the hop sets going.
-    feed([&](trace::Watched& it, Time now) {
-        Results results = it.hop_ended(now, errand.hop, outcome.ending, outcome.note, outcome.company, outcome.report);
-        if (!late && ward.answered() && ward.state != JobState::bounced && ward.state != JobState::written_off) {
-            if (ward.visit) check_answer(ward);
-            const auto visit = std::exchange(ward.visit, nullptr);
-            if (!visit) {
-            } else if (ward.streams) {
-                visit->end(ward, whole);
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) {
+        Actions results = it.attempt_ended(now, call.attempt, outcome.outcome, outcome.load_event, outcome.concurrent_requests, outcome.report);
+        if (!late && request.is_completed() && request.state != RequestState::rejected && request.state != RequestState::failed) {
+            if (request.sink) check_answer(request);
+            const auto sink = std::exchange(request.sink, nullptr);
+            if (!sink) {
+            } else if (request.streaming_call) {
+                sink->end_stream(request, whole);
             } else if (whole) {
-                visit->honoured(ward, outcome.status, outcome.passed, std::move(outcome.body));
+                sink->send_response(request, outcome.status, outcome.forwarded_headers, std::move(outcome.body));
             }
-            count(ward);
+            count(request);
         }
         return results;
     });
     // An answer that the module gave by itself may have closed the job meanwhile.
-    if (jobs_.count(id)) let_on(ward);
+    if (requests_.count(id)) deliver_held_results(request);
 }
 
 // Tells the module of the ends that were held back behind a streaming answer, and lets a closed job go.
-void Gateway::let_on(Ward& ward) {
-    const auto errands = ward.errands;
-    for (const auto& errand : errands)
-        if (ward.answered() && errand->held_back) {
-            const Outcome then = *std::exchange(errand->held_back, std::nullopt);
-            feed([&](trace::Watched& it, Time now) {
-                return it.hop_ended(now, errand->hop, then.ending, then.note, then.company, then.report);
+void Gateway::deliver_held_results(ActiveRequest& request) {
+    const auto errands = request.calls;
+    for (const auto& call : errands)
+        if (request.is_completed() && call->held_back) {
+            const CallResult then = *std::exchange(call->held_back, std::nullopt);
+            call_scheduler([&](trace::RecordingScheduler& it, Time now) {
+                return it.attempt_ended(now, call->attempt, then.outcome, then.load_event, then.concurrent_requests, then.report);
             });
         }
-    drop_if_closed(ward);
+    erase_if_settled(request);
 }
 
-void Gateway::look_at_clocks() {
+void Gateway::check_clocks() {
     const std::size_t steps = start_clock_.steps();
-    start_clock_.look(world_.now(), world_.wall());
+    start_clock_.look(loop_.now(), loop_.wall_clock());
     if (start_clock_.steps() != steps)
-        log_.line(Log::Level::warn, "wall_clock_stepped", {{"steps", start_clock_.steps()}});
+        log_.write(Log::Level::warn, "wall_clock_stepped", {{"steps", start_clock_.steps()}});
 }
 
-void Gateway::fleet_told(const std::vector<fleet::Entry>& changed, bool complete) {
+void Gateway::update_endpoints(const std::vector<gateway::Endpoint>& changed, bool complete) {
     std::vector<Invoker*> invokers;
-    look_at_clocks();
+    check_clocks();
     std::size_t left_out = 0;
-    for (const fleet::Entry& entry : changed) {
-        if (posts_.size() >= charter_.pool.most_invokers && !posts_.count(entry.name)) {
+    for (const gateway::Endpoint& entry : changed) {
+        if (endpoints_.size() >= config_.pool.max_invokers && !endpoints_.count(entry.name)) {
             ++left_out;
             continue;
         }
-        std::unique_ptr<Post>& post = posts_[entry.name];
-        if (!post) post = std::make_unique<Post>();
+        std::unique_ptr<InvokerEndpoint>& post = endpoints_[entry.name];
+        if (!post) post = std::make_unique<InvokerEndpoint>();
         post->name = entry.name;
         post->ready = entry.ready;
-        post->units = entry.units;
+        post->capacity = entry.capacity;
         post->zone = entry.zone;
-        post->kind = &kinds_[entry.kind];
+        post->type = &invoker_types_[entry.type];
         post->cell = entry.cell;
-        post->drains_since = entry.ready ? std::nullopt : post->drains_since ? post->drains_since : world_.now();
+        post->draining_since = entry.ready ? std::nullopt : post->draining_since ? post->draining_since : loop_.now();
         // The same start told again is the same moment, whatever the clocks have done since.
-        if (entry.started != post->told_start) {
-            post->told_start = entry.started;
-            post->started.reset();
-            if (entry.started) post->started = start_clock_.moment_of(*entry.started, world_.now());
+        if (entry.started_at != post->announced_start) {
+            post->announced_start = entry.started_at;
+            post->started_at.reset();
+            if (entry.started_at) post->started_at = start_clock_.moment_of(*entry.started_at, loop_.now());
         }
         const auto address = net::Address::parse(entry.address);
         if (post->pool)
-            post->pool->move_to(*address);
+            post->pool->set_address(*address);
         else
             post->pool = pool_for_(*address, connection_counts_);
         invokers.push_back(post.get());
     }
     if (left_out > 0)
-        log_.line(Log::Level::error, "list_over_bound", {{"left_out", left_out}, {"most", charter_.pool.most_invokers}});
-    feed([&](trace::Watched& it, Time now) { return it.fleet_changed(now, invokers, complete); });
+        log_.write(Log::Level::error, "list_over_bound", {{"left_out", left_out}, {"most", config_.pool.max_invokers}});
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.endpoints_changed(now, invokers, complete); });
     if (complete)
-        for (const auto& [name, post] : posts_) withdraw(*post);
+        for (const auto& [name, post] : endpoints_) cancel_unsent(*post);
     else
-        for (Invoker* invoker : invokers) withdraw(static_cast<Post&>(*invoker));
+        for (Invoker* invoker : invokers) cancel_unsent(static_cast<InvokerEndpoint&>(*invoker));
 }
 
-void Gateway::fleet_gone(const std::vector<std::string>& names) {
+void Gateway::remove_endpoints(const std::vector<std::string>& names) {
     std::vector<Invoker*> gone;
     for (const std::string& name : names)
-        if (const auto found = posts_.find(name); found != posts_.end() && found->second->listed) gone.push_back(found->second.get());
+        if (const auto found = endpoints_.find(name); found != endpoints_.end() && found->second->is_listed) gone.push_back(found->second.get());
     const auto still_listed = [&] {
         std::vector<Invoker*> out;
-        for (const auto& [name, post] : posts_)
-            if (post->listed && std::find(gone.begin(), gone.end(), post.get()) == gone.end()) out.push_back(post.get());
+        for (const auto& [name, post] : endpoints_)
+            if (post->is_listed && std::find(gone.begin(), gone.end(), post.get()) == gone.end()) out.push_back(post.get());
         return out;
     };
-    feed([&](trace::Watched& it, Time now) { return it.fleet_left(now, gone, still_listed); });
-    for (Invoker* invoker : gone) withdraw(static_cast<Post&>(*invoker));
+    call_scheduler([&](trace::RecordingScheduler& it, Time now) { return it.endpoints_removed(now, gone, still_listed); });
+    for (Invoker* invoker : gone) cancel_unsent(static_cast<InvokerEndpoint&>(*invoker));
 }
 
 // The module sends nothing new to what takes no more; what waits here for a connection is new as well.
-void Gateway::withdraw(Post& post) {
-    if (post.ready && post.listed) return;
-    if (!post.drains_since) post.drains_since = world_.now();
-    post.pool->withdraw();
+void Gateway::cancel_unsent(InvokerEndpoint& post) {
+    if (post.ready && post.is_listed) return;
+    if (!post.draining_since) post.draining_since = loop_.now();
+    post.pool->cancel_unsent();
 }
 
 // ---------------------------------------------------------------- carrying out
 
-void Gateway::carry_out(const Results& results) {
-    for (Hop* hop : results.called_off) {
-        const auto& errand = static_cast<Ward*>(hop->job)->errands[static_cast<std::size_t>(hop->number)];
-        static_cast<Post*>(hop->invoker)->pool->call_off(*errand);
+void Gateway::apply(const Actions& results) {
+    for (Attempt* attempt : results.to_cancel) {
+        const auto& call = static_cast<ActiveRequest*>(attempt->request)->calls[static_cast<std::size_t>(attempt->number)];
+        static_cast<InvokerEndpoint*>(attempt->invoker)->pool->cancel(*call);
     }
-    for (Job* job : results.answered) answer(static_cast<Ward&>(*job));
-    for (Hop* hop : results.started) send_hop(*hop);
-    for (Invoker* invoker : results.probed) send_probe(static_cast<Post&>(*invoker));
-    for (const CopyOrder& order : results.ordered) send_order(order);
-    for (Job* job : results.answered) drop_if_closed(static_cast<Ward&>(*job));
-    for (const Function* function : results.forgotten) functions_.erase(std::string(function->name));
-    for (Invoker* invoker : results.released) let_go(static_cast<Post&>(*invoker));
+    for (Request* request : results.completed) answer(static_cast<ActiveRequest&>(*request));
+    for (Attempt* attempt : results.to_send) send_attempt(*attempt);
+    for (Invoker* invoker : results.to_probe) send_health_check(static_cast<InvokerEndpoint&>(*invoker));
+    for (const PreloadCommand& order : results.to_preload) send_preload(order);
+    for (Request* request : results.completed) erase_if_settled(static_cast<ActiveRequest&>(*request));
+    for (const Function* function : results.released_functions) functions_.erase(std::string(function->name));
+    for (Invoker* invoker : results.released_invokers) remove_endpoint(static_cast<InvokerEndpoint&>(*invoker));
     if (results.next_wake < wake_at_) {
-        world_.drop(wake_);
+        loop_.cancel(wake_);
         wake_at_ = results.next_wake;
-        wake_ = world_.at(wake_at_, [this] {
+        wake_ = loop_.call_at(wake_at_, [this] {
             wake_ = {};
             wake_at_ = Time::max();
-            look_at_clocks();
-            feed([](trace::Watched& it, Time now) { return it.wake(now); });
+            check_clocks();
+            call_scheduler([](trace::RecordingScheduler& it, Time now) { return it.wake(now); });
         });
     }
 }
 
 // Its connections close by themselves, and what waits for its turn there must find it: it goes a little later.
-void Gateway::let_go(Post& post) {
-    const auto found = posts_.find(post.name);
-    const std::shared_ptr<Post> it = std::move(found->second);
-    posts_.erase(found);
+void Gateway::remove_endpoint(InvokerEndpoint& post) {
+    const auto found = endpoints_.find(post.name);
+    const std::shared_ptr<InvokerEndpoint> it = std::move(found->second);
+    endpoints_.erase(found);
     it->pool->close();
-    see_off(it);
+    close_when_drained(it);
 }
 
-void Gateway::see_off(std::shared_ptr<Post> post) {
-    const std::size_t open = post->pool->open() + post->pool->waiting();
-    world_.at(world_.now() + 1s, [this, open, it = std::move(post)] {
-        if (open > 0) see_off(it);
+void Gateway::close_when_drained(std::shared_ptr<InvokerEndpoint> post) {
+    const std::size_t open = post->pool->connection_count() + post->pool->queued_count();
+    loop_.call_at(loop_.now() + 1s, [this, open, it = std::move(post)] {
+        if (open > 0) close_when_drained(it);
     });
 }
 
-void Gateway::dispatch(std::shared_ptr<Errand> errand, Post& post, Time within) {
-    errand->invoker = post.name;
-    errand->until = fed_at_ + within;  // from when it was decided: a pause since then is its own
-    post.pool->send(std::move(errand));
+void Gateway::dispatch(std::shared_ptr<UpstreamCall> call, InvokerEndpoint& post, Time within) {
+    call->invoker = post.name;
+    call->deadline = last_call_at_ + within;  // from when it was decided: a pause since then is its own
+    post.pool->send(std::move(call));
 }
 
-void Gateway::send_hop(Hop& hop) {
-    Ward& ward = static_cast<Ward&>(*hop.job);
-    const auto errand = std::make_shared<HopErrand>(*this, ward, hop);
-    ward.errands.push_back(errand);
+void Gateway::send_attempt(Attempt& attempt) {
+    ActiveRequest& request = static_cast<ActiveRequest&>(*attempt.request);
+    const auto call = std::make_shared<AttemptCall>(*this, request, attempt);
+    request.calls.push_back(call);
     // An invoker may close a connection that idled at the very moment when a hop leaves on it. What may run but
     // once is not put at that risk: it leaves on a connection of its own.
-    errand->fresh_connection = ward.use_case->repeat == Repeat::single_use;
-    ++tally_.hops;
-    dispatch(errand, static_cast<Post&>(*hop.invoker), hop.limit);
+    call->fresh_connection = request.request_class->idempotency == Idempotency::at_most_once;
+    ++counters_.attempts;
+    dispatch(call, static_cast<InvokerEndpoint&>(*attempt.invoker), attempt.timeout);
 }
 
 // Whether the attempt has taken effect for all that is known: it has left, and nothing proves that it never ran.
-static bool may_have_run(const HopErrand& errand) {
-    if (!errand.left) return false;
-    if (errand.hop.out) return true;
-    switch (errand.hop.ending.value_or(Ending::cut_off)) {
-        case Ending::turned_away:
-        case Ending::unreachable:
-        case Ending::never_sent:
-        case Ending::not_loaded:
+static bool may_have_run(const AttemptCall& call) {
+    if (!call.left) return false;
+    if (call.attempt.in_flight) return true;
+    switch (call.attempt.outcome.value_or(AttemptOutcome::connection_lost)) {
+        case AttemptOutcome::rejected:
+        case AttemptOutcome::unreachable:
+        case AttemptOutcome::never_sent:
+        case AttemptOutcome::load_failed:
             return false;
         default:
             return true;
     }
 }
 
-void Gateway::check_leaving(const HopErrand& errand) {
-    const Ward& ward = errand.ward;
-    const Hop& hop = errand.hop;
-    const Post& post = static_cast<const Post&>(*hop.invoker);
-    const Time now = world_.now();
+void Gateway::check_sent(const AttemptCall& call) {
+    const ActiveRequest& request = call.request;
+    const Attempt& attempt = call.attempt;
+    const InvokerEndpoint& post = static_cast<const InvokerEndpoint&>(*attempt.invoker);
+    const Time now = loop_.now();
     const auto fields = [&] {
-        return Invariants::Fields{{"request", ward.name}, {"job", ward.id}, {"attempt", hop.number}, {"invoker", post.name},
-                                  {"state", trace::word_of(ward.state)}, {"age_ms", (now - ward.taken) / 1ms},
-                                  {"left_ms", (ward.expires - now) / 1ms}};
+        return Invariants::Fields{{"request", request.name}, {"job", request.id}, {"attempt", attempt.number}, {"invoker", post.name},
+                                  {"state", trace::name_of(request.state)}, {"age_ms", (now - request.received_at) / 1ms},
+                                  {"left_ms", (request.deadline - now) / 1ms}};
     };
-    const Allowances& may = charter_.allowances;
-    invariants_.check(!ward.answered() && ward.visit, Invariant::attempt_after_end, fields);
-    invariants_.check(now <= ward.expires && errand.until <= ward.expires, Invariant::attempt_past_deadline, fields);
-    invariants_.check(hop.number < may.hops, Invariant::too_many_attempts, fields);
-    invariants_.check(post.ready && post.listed, Invariant::attempt_to_drained, fields);
-    for (const auto& other : ward.errands) {
-        if (other.get() == &errand || !may_have_run(*other)) continue;
-        invariants_.check(may.second_copies || !other->hop.out, Invariant::two_attempts_out, fields);
-        invariants_.check(may_repeat(*ward.use_case, *other->hop.invoker, *other->left, post, now), Invariant::unsafe_repeat, fields);
+    const Capabilities& may = config_.capabilities;
+    invariants_.check(!request.is_completed() && request.sink, Invariant::attempt_after_end, fields);
+    invariants_.check(now <= request.deadline && call.deadline <= request.deadline, Invariant::attempt_past_deadline, fields);
+    invariants_.check(attempt.number < may.max_attempts, Invariant::too_many_attempts, fields);
+    invariants_.check(post.ready && post.is_listed, Invariant::attempt_to_drained, fields);
+    for (const auto& other : request.calls) {
+        if (other.get() == &call || !may_have_run(*other)) continue;
+        invariants_.check(may.hedging || !other->attempt.in_flight, Invariant::two_attempts_out, fields);
+        invariants_.check(may_repeat(*request.request_class, *other->attempt.invoker, *other->left, post, now), Invariant::unsafe_repeat, fields);
     }
 }
 
 // Of a request that gets its final answer now, whoever gives it.
-void Gateway::check_answer(const Ward& ward) {
-    const Time now = world_.now();
+void Gateway::check_answer(const ActiveRequest& request) {
+    const Time now = loop_.now();
     const auto fields = [&] {
-        return Invariants::Fields{{"request", ward.name}, {"job", ward.id}, {"state", trace::word_of(ward.state)},
-                                  {"attempts", ward.errands.size()}, {"late_ms", (now - ward.expires) / 1ms}};
+        return Invariants::Fields{{"request", request.name}, {"job", request.id}, {"state", trace::name_of(request.state)},
+                                  {"attempts", request.calls.size()}, {"late_ms", (now - request.deadline) / 1ms}};
     };
     // What is late since this thread itself was held up has had its answer as soon as it could.
-    invariants_.check(now <= ward.expires + answer_grace + world_.late() || ward.streams, Invariant::answered_late, fields);
-    if (ward.state != JobState::bounced) return;
-    for (const auto& each : ward.errands)
+    invariants_.check(now <= request.deadline + answer_grace + loop_.lag() || request.streaming_call, Invariant::answered_late, fields);
+    if (request.state != RequestState::rejected) return;
+    for (const auto& each : request.calls)
         if (may_have_run(*each))
-            invariants_.check(may_promise_no_effect(*ward.use_case, *each->left, now), Invariant::refused_what_may_have_run, fields);
+            invariants_.check(may_promise_no_effect(*request.request_class, *each->left, now), Invariant::refused_what_may_have_run, fields);
 }
 
-void Gateway::send_probe(Post& post) {
-    ++tally_.probes;
-    if (meters_) meters_->probe_sent();
-    dispatch(std::make_shared<ProbeErrand>(*this, post), post, charter_.pool.probe_within);
+void Gateway::send_health_check(InvokerEndpoint& post) {
+    ++counters_.health_checks;
+    if (metrics_) metrics_->health_check_sent();
+    dispatch(std::make_shared<HealthCheckCall>(*this, post), post, config_.pool.health_check_timeout);
 }
 
-void Gateway::send_order(const CopyOrder& order) {
-    ++tally_.orders;
-    if (meters_) meters_->copies_ordered();
-    Post& post = static_cast<Post&>(*order.invoker);
-    dispatch(std::make_shared<OrderErrand>(*this, post, order), post, charter_.pool.order_within);
+void Gateway::send_preload(const PreloadCommand& order) {
+    ++counters_.preloads;
+    if (metrics_) metrics_->preload_sent();
+    InvokerEndpoint& post = static_cast<InvokerEndpoint&>(*order.invoker);
+    dispatch(std::make_shared<PreloadCall>(*this, post, order), post, config_.pool.preload_timeout);
 }
 
 // A final answer that the module gives by itself.
-void Gateway::answer(Ward& ward) {
-    const bool bounced = ward.state == JobState::bounced;
-    log_.line(Log::Level::info, bounced ? "job_bounced" : "job_written_off",
-              {{"request", ward.name}, {"job", ward.id}, {"function", ward.function->name}, {"use_case", static_cast<const StatedUseCase*>(ward.use_case)->name},
-               {"hops", ward.hops.size()}, {"why", trace::words_of(ward.why)}, {"again", ward.again},
-               {"after_ms", (world_.now() - ward.taken) / 1ms}});
-    if (ward.visit) check_answer(ward);
-    if (const auto visit = std::exchange(ward.visit, nullptr))
-        visit->turned(ward);
-    count(ward);
+void Gateway::answer(ActiveRequest& request) {
+    const bool bounced = request.state == RequestState::rejected;
+    log_.write(Log::Level::info, bounced ? "job_bounced" : "job_written_off",
+              {{"request", request.name}, {"job", request.id}, {"function", request.function->name}, {"use_case", static_cast<const NamedRequestClass*>(request.request_class)->name},
+               {"hops", request.attempts.size()}, {"why", trace::describe(request.reason)}, {"again", request.is_client_retry},
+               {"after_ms", (loop_.now() - request.received_at) / 1ms}});
+    if (request.sink) check_answer(request);
+    if (const auto sink = std::exchange(request.sink, nullptr))
+        sink->send_rejection(request);
+    count(request);
 }
 
 // Once for each job, when it has its final answer or its client has left.
-void Gateway::count(const Ward& ward) {
-    admission_.job_left();
-    admission_.let_go(ward.held);
-    for (const auto& errand : ward.errands) static_cast<Post&>(*errand->hop.invoker).pool->take_back(*errand);
-    if (meters_) {
-        const Time now = world_.now(), left = ward.hops.empty() ? now : ward.hops.front().sent;
-        meters_->job_ended({static_cast<const StatedUseCase*>(ward.use_case)->name, ward.tenant_name, ward.function->name, ward.state, ward.why,
-                            now > ward.promised, now - ward.taken, left - ward.taken, ward.hops.size()});
+void Gateway::count(const ActiveRequest& request) {
+    admission_.release_request();
+    admission_.release(request.held_bytes);
+    for (const auto& call : request.calls) static_cast<InvokerEndpoint&>(*call->attempt.invoker).pool->cancel_if_unsent(*call);
+    if (metrics_) {
+        const Time now = loop_.now(), left = request.attempts.empty() ? now : request.attempts.front().sent_at;
+        metrics_->request_ended({static_cast<const NamedRequestClass*>(request.request_class)->name, request.tenant_name, request.function->name, request.state, request.reason,
+                            now > request.target_at, now - request.received_at, left - request.received_at, request.attempts.size()});
     }
-    switch (ward.state) {
-        case JobState::honoured:
-            ++tally_.honoured;
+    switch (request.state) {
+        case RequestState::succeeded:
+            ++counters_.succeeded;
             break;
-        case JobState::bounced:
-            ++tally_.bounced;
+        case RequestState::rejected:
+            ++counters_.rejected;
             break;
-        case JobState::written_off:
-            ++tally_.written_off;
+        case RequestState::failed:
+            ++counters_.failed;
             break;
         default:
-            ++tally_.abandoned;
+            ++counters_.cancelled;
     }
     if (log_.wants(Log::Level::debug))
-        log_.line(Log::Level::debug, "job_ended",
-                  {{"request", ward.name}, {"job", ward.id}, {"state", trace::word_of(ward.state)}, {"hops", ward.hops.size()}, {"why", trace::words_of(ward.why)},
-                   {"after_ms", (world_.now() - ward.taken) / 1ms}});
-    see_whether_done();
+        log_.write(Log::Level::debug, "job_ended",
+                  {{"request", request.name}, {"job", request.id}, {"state", trace::name_of(request.state)}, {"hops", request.attempts.size()}, {"why", trace::describe(request.reason)},
+                   {"after_ms", (loop_.now() - request.received_at) / 1ms}});
+    check_drained();
 }
 
-void Gateway::drop_if_closed(Ward& ward) {
-    if (ward.closed()) jobs_.erase(ward.id);
+void Gateway::erase_if_settled(ActiveRequest& request) {
+    if (request.is_settled()) requests_.erase(request.id);
 }
 
 // Levels are looked at now and then, by one timer; how late it comes tells how long the controller stood still.
-void Gateway::look() {
+void Gateway::collect_metrics() {
     metrics::Levels now = levels();
-    now.lag_s = std::max(0.0, std::chrono::duration<double>(world_.now() - look_at_).count());
-    if (measure_also_) measure_also_(now);
-    meters_->set(now);
+    now.lag_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - metrics_due_at_).count());
+    if (extra_levels_) extra_levels_(now);
+    metrics_->set_levels(now);
     constexpr std::uint64_t looks_a_review = 5;
-    if (++looks_ % looks_a_review == 0) meters_->review();
-    look_at_ = world_.now() + charter_.metrics.rules.every;
-    look_ = world_.at(look_at_, [this] { look(); });
+    if (++metrics_rounds_ % looks_a_review == 0) metrics_->review();
+    metrics_due_at_ = loop_.now() + config_.metrics.config.interval;
+    metrics_timer_ = loop_.call_at(metrics_due_at_, [this] { collect_metrics(); });
 }
 
 metrics::Levels Gateway::levels() const {
     const auto in_seconds = [](Time t) { return std::chrono::duration<double>(t).count(); };
     metrics::Levels out;
-    out.open_jobs = static_cast<double>(admission_.open_jobs());
-    out.held_bytes = static_cast<double>(admission_.held_bytes());
+    out.open_requests = static_cast<double>(admission_.open_requests());
+    out.reserved_bytes = static_cast<double>(admission_.reserved_bytes());
     out.connections = static_cast<double>(admission_.connections());
     out.functions = static_cast<double>(functions_.size());
-    out.parked = static_cast<double>(controller_.parked());
+    out.parked = static_cast<double>(scheduler_.parked_count());
     std::vector<double> paces;
-    for (const auto& [name, post] : posts_) {
-        out.connections_open += static_cast<double>(post->pool->open());
-        if (post->drains_since && !post->out.empty()) out.oldest_drain_s = std::max(out.oldest_drain_s, in_seconds(world_.now() - *post->drains_since));
-        if (!post->ready || !post->listed) {
+    for (const auto& [name, post] : endpoints_) {
+        out.connections_open += static_cast<double>(post->pool->connection_count());
+        if (post->draining_since && !post->in_flight.empty()) out.longest_drain_s = std::max(out.longest_drain_s, in_seconds(loop_.now() - *post->draining_since));
+        if (!post->ready || !post->is_listed) {
             ++out.not_ready;
             continue;
         }
-        out.cold += post->cold_since.has_value();
-        paces.push_back(post->pace * post->press);
-        double* const by_standing[] = {&out.trusted, &out.suspect, &out.aside, &out.easing};
-        ++*by_standing[static_cast<int>(post->standing)];
-        if (post->standing == Standing::suspect || post->standing == Standing::aside) out.out_at_doubted += static_cast<double>(post->out.size());
+        out.slow_start += post->slow_start_since.has_value();
+        paces.push_back(post->slowdown_factor * post->contention_factor);
+        double* const by_standing[] = {&out.healthy, &out.suspect, &out.ejected, &out.recovering};
+        ++*by_standing[static_cast<int>(post->health)];
+        if (post->health == HealthState::suspect || post->health == HealthState::ejected) out.in_flight_at_unhealthy += static_cast<double>(post->in_flight.size());
     }
     if (!paces.empty()) {
         const auto middle = paces.begin() + static_cast<std::ptrdiff_t>(paces.size() / 2);
         std::nth_element(paces.begin(), middle, paces.end());
-        out.pace_median = *middle;
-        out.pace_worst = *std::max_element(paces.begin(), paces.end());
+        out.slowdown_median = *middle;
+        out.slowdown_worst = *std::max_element(paces.begin(), paces.end());
     }
-    if (const auto told_at = list_told()) out.list_age_s = in_seconds(world_.now() - *told_at);
+    if (const auto told_at = list_confirmed_at()) out.list_age_s = in_seconds(loop_.now() - *told_at);
     for (int i = 0; i < static_cast<int>(Invariant::count_); ++i)
         out.invariants_broken[std::string(word_of(static_cast<Invariant>(i)))] = static_cast<double>(invariants_.broken(static_cast<Invariant>(i)));
-    out.log_lost = static_cast<double>(log_.lost());
+    out.log_dropped = static_cast<double>(log_.dropped_lines());
     out.unreachable = static_cast<double>(connection_counts_.unreachable);
-    for (int i = 1; i < static_cast<int>(Objection::count_); ++i) {
-        const auto objection = static_cast<Objection>(i);
-        if (admission_.counted(objection)) out.turned_back[std::string(told(objection).word)] = static_cast<double>(admission_.counted(objection));
+    for (int i = 1; i < static_cast<int>(RejectionReason::count_); ++i) {
+        const auto objection = static_cast<RejectionReason>(i);
+        if (admission_.counted(objection)) out.refused[std::string(response_for(objection).word)] = static_cast<double>(admission_.counted(objection));
     }
     return out;
 }
 
-boost::json::array Gateway::believed() const {
+boost::json::array Gateway::estimates() const {
     static constexpr const char* words[] = {"trusted", "suspect", "aside", "easing"};
     boost::json::array out;
     const auto tenths = [](double x) { return static_cast<double>(static_cast<long>(x * 10 + 0.5)) / 10; };
-    for (const auto& [name, post] : posts_) {
-        if (!post->listed && post->out.empty() && post->pool->open() == 0) continue;
-        boost::json::object row{{"i", name}, {"s", post->ready && post->listed ? words[static_cast<int>(post->standing)] : "not_ready"},
-                                {"out", post->out.size()}, {"lines_out", post->pool->out()}, {"queued", post->pool->waiting()},
-                                {"lines", post->pool->open()}, {"pace", tenths(pace_told(*post))}};
-        if (post->held) row["told"] = tenths(*post->held);
-        if (post->cold_since) row["cold"] = true;
+    for (const auto& [name, post] : endpoints_) {
+        if (!post->is_listed && post->in_flight.empty() && post->pool->connection_count() == 0) continue;
+        boost::json::object row{{"i", name}, {"s", post->ready && post->is_listed ? words[static_cast<int>(post->health)] : "not_ready"},
+                                {"out", post->in_flight.size()}, {"lines_out", post->pool->in_flight_count()}, {"queued", post->pool->queued_count()},
+                                {"lines", post->pool->connection_count()}, {"pace", tenths(pace_told(*post))}};
+        if (post->reported_load) row["told"] = tenths(*post->reported_load);
+        if (post->slow_start_since) row["cold"] = true;
         out.push_back(std::move(row));
     }
     return out;
@@ -590,45 +590,45 @@
 
 boost::json::object Gateway::status() const {
     boost::json::object admission;
-    for (int i = 1; i < static_cast<int>(Objection::count_); ++i) {
-        const auto objection = static_cast<Objection>(i);
-        if (admission_.counted(objection)) admission[told(objection).word] = admission_.counted(objection);
+    for (int i = 1; i < static_cast<int>(RejectionReason::count_); ++i) {
+        const auto objection = static_cast<RejectionReason>(i);
+        if (admission_.counted(objection)) admission[response_for(objection).word] = admission_.counted(objection);
     }
     std::size_t open_connections = 0;
     boost::json::object standings{{"trusted", 0}, {"suspect", 0}, {"aside", 0}, {"easing", 0}, {"not_ready", 0}};
     static constexpr const char* words[] = {"trusted", "suspect", "aside", "easing"};
-    for (const auto& [name, post] : posts_) {
-        open_connections += post->pool->open();
-        auto& slot = standings[post->ready && post->listed ? words[static_cast<int>(post->standing)] : "not_ready"];
+    for (const auto& [name, post] : endpoints_) {
+        open_connections += post->pool->connection_count();
+        auto& slot = standings[post->ready && post->is_listed ? words[static_cast<int>(post->health)] : "not_ready"];
         slot = slot.as_int64() + 1;
     }
-    const auto told_at = list_told();
+    const auto told_at = list_confirmed_at();
     boost::json::object broken;
     for (int i = 0; i < static_cast<int>(Invariant::count_); ++i) {
         const auto invariant = static_cast<Invariant>(i);
         if (invariants_.broken(invariant)) broken[word_of(invariant)] = invariants_.broken(invariant);
     }
     return {{"controller", incarnation_},
-            {"up_s", static_cast<double>(world_.now().count()) / 1e6},
+            {"up_s", static_cast<double>(loop_.now().count()) / 1e6},
             {"closing", admission_.closing()},
             {"jobs",
-             {{"taken", tally_.taken}, {"honoured", tally_.honoured}, {"bounced", tally_.bounced},
-              {"written_off", tally_.written_off}, {"client_left", tally_.abandoned}, {"open", admission_.open_jobs()},
-              {"parked", controller_.parked()}, {"streamed", tally_.streamed}, {"late_answers", tally_.late}}},
-            {"hops", tally_.hops},
-            {"probes", tally_.probes},
-            {"orders", tally_.orders},
-            {"door", {{"connections", admission_.connections()}, {"held_bytes", admission_.held_bytes()}, {"turned_back", admission}}},
+             {{"taken", counters_.received}, {"honoured", counters_.succeeded}, {"bounced", counters_.rejected},
+              {"written_off", counters_.failed}, {"client_left", counters_.cancelled}, {"open", admission_.open_requests()},
+              {"parked", scheduler_.parked_count()}, {"streamed", counters_.streamed}, {"late_answers", counters_.late}}},
+            {"hops", counters_.attempts},
+            {"probes", counters_.health_checks},
+            {"orders", counters_.preloads},
+            {"door", {{"connections", admission_.connections()}, {"held_bytes", admission_.reserved_bytes()}, {"turned_back", admission}}},
             {"lines",
              {{"open", open_connections}, {"opened", connection_counts_.opened}, {"reused", connection_counts_.reused},
-              {"unreachable", connection_counts_.unreachable}, {"late", connection_counts_.late}, {"spoilt", connection_counts_.spoilt}}},
+              {"unreachable", connection_counts_.unreachable}, {"late", connection_counts_.late_responses}, {"spoilt", connection_counts_.malformed}}},
             {"functions", functions_.size()},
             {"invokers", standings},
-            {"list_age_s", told_at ? boost::json::value(static_cast<double>((world_.now() - *told_at).count()) / 1e6)
+            {"list_age_s", told_at ? boost::json::value(static_cast<double>((loop_.now() - *told_at).count()) / 1e6)
                                    : boost::json::value(nullptr)},
             {"invariants_broken", broken},
             {"wall_clock_steps", start_clock_.steps()},
-            {"log_lost", log_.lost()}};
+            {"log_lost", log_.dropped_lines()}};
 }
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/invariants.cpp
+++ b/src/gateway/invariants.cpp
@@ -19,19 +19,19 @@
 void Invariants::broken(Invariant which, Fields fields) {
     ++counts_[static_cast<std::size_t>(which)];
     fields["invariant"] = word_of(which);
-    log_.line(Log::Level::error, "invariant_broken", std::move(fields));
+    log_.write(Log::Level::error, "invariant_broken", std::move(fields));
 }
 
-bool may_repeat(const UseCase& use, const Invoker& earlier, Time sent, const Invoker& to, Time now) {
-    if (use.repeat == Repeat::replayable) return true;
-    if (use.repeat == Repeat::single_use || now > sent + use.remembered) return false;
-    if (use.reach == Reach::zone) return earlier.zone == to.zone;
-    return use.reach == Reach::everywhere || earlier.cell == to.cell;
+bool may_repeat(const RequestClass& use, const Invoker& earlier, Time sent, const Invoker& to, Time now) {
+    if (use.idempotency == Idempotency::idempotent) return true;
+    if (use.idempotency == Idempotency::at_most_once || now > sent + use.deduplication_window) return false;
+    if (use.deduplication_scope == DeduplicationScope::zone) return earlier.zone == to.zone;
+    return use.deduplication_scope == DeduplicationScope::global || earlier.cell == to.cell;
 }
 
-bool may_promise_no_effect(const UseCase& use, Time sent, Time now) {
-    if (use.repeat == Repeat::replayable) return true;
-    return use.repeat == Repeat::referenced && use.reach == Reach::everywhere && now <= sent + use.remembered;
+bool may_promise_no_effect(const RequestClass& use, Time sent, Time now) {
+    if (use.idempotency == Idempotency::idempotent) return true;
+    return use.idempotency == Idempotency::deduplicated && use.deduplication_scope == DeduplicationScope::global && now <= sent + use.deduplication_window;
 }
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/invariants.hpp
+++ b/src/gateway/invariants.hpp
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "dispatch/types.hpp"
+#include "scheduler/types.hpp"
 #include "log/log.hpp"
 
 namespace plumkeel::gateway {
@@ -51,8 +51,8 @@
 
 // Rule 2: whether an attempt of a request of this use may leave for `to` now, after `earlier` (which may have run, or
 // is out) left at `sent`.
-bool may_repeat(const UseCase& use, const Invoker& earlier, Time sent, const Invoker& to, Time now);
+bool may_repeat(const RequestClass& use, const Invoker& earlier, Time sent, const Invoker& to, Time now);
 // Rule 2: whether the client may be told that nothing took effect, after an attempt that may have run.
-bool may_promise_no_effect(const UseCase& use, Time sent, Time now);
+bool may_promise_no_effect(const RequestClass& use, Time sent, Time now);
 
 }  // namespace plumkeel::gateway
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -1,22 +1,22 @@
 #include "http/exchange.hpp"
 
-#include "net/outbox.hpp"
+#include "net/write_queue.hpp"
 
 namespace plumkeel::http {
 
-net::Task<Exchanged> exchange(net::World& world, net::Address to, std::string head, std::string body,
+net::Task<Exchanged> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
                               std::chrono::microseconds limit, std::size_t most) {
-    const auto until = world.now() + limit;
-    const auto connected = co_await world.connect(std::move(to), std::min<net::Time>(limit, std::chrono::seconds(2)));
+    const auto until = loop.now() + limit;
+    const auto connected = co_await loop.connect(std::move(to), std::min<net::Time>(limit, std::chrono::seconds(2)));
     if (connected.error) co_return Exchanged{connected.error, {}};
     const auto stream = connected.stream;
     bool late = false;
-    auto ticket = world.at(until, [&late, stream] {
+    auto ticket = loop.call_at(until, [&late, stream] {
         late = true;
         stream->close();
     });
-    const auto outbox = std::make_shared<net::Outbox>(world, stream);
-    outbox->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+    write_queue->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
     Inbox inbox(stream, 256 * 1024);
     bh::response_parser<bh::string_body> parser;
     parser.eager(true);
@@ -32,8 +32,8 @@
             error = inbox.feed(parser);
         }
     }
-    world.drop(ticket);
-    outbox->abandon();
+    loop.cancel(ticket);
+    write_queue->abandon();
     stream->close();
     if (late) error = net::asio::error::timed_out;
     if (error) co_return Exchanged{error, {}};
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -12,7 +12,7 @@
     bh::response<bh::string_body> answer;
 };
 
-net::Task<Exchanged> exchange(net::World& world, net::Address to, std::string head, std::string body,
+net::Task<Exchanged> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
                               std::chrono::microseconds limit, std::size_t most = 64 * 1024 * 1024);
 
 }  // namespace plumkeel::http
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::http {
 
--- a/src/runline/words.cpp
+++ b/src/invoker_protocol/codec.cpp
@@ -1,4 +1,4 @@
-#include "runline/words.hpp"
+#include "invoker_protocol/codec.hpp"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <charconv>
 #include <optional>
 
-#include "settings/settings.hpp"
+#include "platform_settings/settings.hpp"
 
-namespace plumkeel::runline {
+namespace plumkeel::invoker_protocol {
 namespace {
 
 template <class Number>
@@ -42,101 +42,101 @@
 
 }  // namespace
 
-std::string run(std::string_view id, std::string_view use_case, std::string_view function, std::string_view idempotency_key,
+std::string encode_run(std::string_view id, std::string_view request_class, std::string_view function, std::string_view idempotency_key,
                 std::int64_t patience_ms, std::size_t body_bytes) {
-    return fmt::format("RUN {} sort={},asset={}{}{},patience={} {}\r\n", id, use_case, function, idempotency_key.empty() ? "" : ",op=",
+    return fmt::format("RUN {} sort={},asset={}{}{},patience={} {}\r\n", id, request_class, function, idempotency_key.empty() ? "" : ",op=",
                        idempotency_key, std::max<std::int64_t>(1, patience_ms), body_bytes);
 }
 
-std::string stop(std::string_view id) {
+std::string encode_stop(std::string_view id) {
     return fmt::format("STOP {}\r\n", id);
 }
 
-std::string probe(std::string_view tag, bool with_report) {
+std::string encode_probe(std::string_view tag, bool with_report) {
     return fmt::format("{} {}\r\n", with_report ? "INFO" : "NOOP", tag);
 }
 
-const char* word_of(Broken broken) {
+const char* name_of(ResponseError broken) {
     static constexpr const char* words[] = {"none", "line_too_long", "not_a_line", "length", "too_big", "no_end"};
     return words[static_cast<int>(broken)];
 }
 
-bool Reader::next(std::string_view& bytes, Answer& answer) {
-    if (broken_ != Broken::none) return false;
+bool ResponseDecoder::next(std::string_view& bytes, ResponseMessage& answer) {
+    if (error_ != ResponseError::none) return false;
     while (!bytes.empty()) {
         if (!in_body_) {
             const auto end = bytes.find('\n');
             const std::string_view part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end + 1);
-            if (line_.size() + part.size() > line_most_) return fault(Broken::line_too_long);
+            if (line_.size() + part.size() > max_line_) return fault(ResponseError::line_too_long);
             line_ += part;
             bytes.remove_prefix(part.size());
             if (end == std::string_view::npos) return false;
             if (!read_line()) return false;
             continue;
         }
-        const std::size_t wanted = left_ > body_end.size() ? left_ - body_end.size() : 0;
+        const std::size_t wanted = body_left_ > body_end.size() ? body_left_ - body_end.size() : 0;
         if (wanted > 0) {
             const std::string_view part = bytes.substr(0, wanted);
-            coming_.body += part;
-            left_ -= part.size();
+            pending_.body += part;
+            body_left_ -= part.size();
             bytes.remove_prefix(part.size());
             continue;
         }
         // Only where its line end stands does the length fit: what stops short or runs over is never an answer.
-        if (bytes[0] != body_end[body_end.size() - left_]) return fault(Broken::no_end);
+        if (bytes[0] != body_end[body_end.size() - body_left_]) return fault(ResponseError::no_end);
         bytes.remove_prefix(1);
-        if (--left_ > 0) continue;
+        if (--body_left_ > 0) continue;
         in_body_ = false;
-        answer = std::move(coming_);
-        coming_ = {};
+        answer = std::move(pending_);
+        pending_ = {};
         return true;
     }
     return false;
 }
 
-bool Reader::read_line() {
+bool ResponseDecoder::read_line() {
     std::string_view line = line_;
-    if (!line.ends_with("\r\n")) return fault(Broken::not_a_line);
+    if (!line.ends_with("\r\n")) return fault(ResponseError::not_a_line);
     line.remove_suffix(2);
     const bool printable = std::all_of(line.begin(), line.end(), [](char c) { return c > 0x1f && c < 0x7f; });
     const std::string_view id = take_word(line), word = take_word(line), fields = take_word(line), length = take_word(line);
     const bool known = std::find(std::begin(known_words), std::end(known_words), word) != std::end(known_words);
-    if (!printable || id.empty() || !known || fields.empty() || !line.empty()) return fault(Broken::not_a_line);
+    if (!printable || id.empty() || !known || fields.empty() || !line.empty()) return fault(ResponseError::not_a_line);
     const auto bytes = number<std::uint64_t>(length);
-    if (!bytes) return fault(Broken::length);
-    if (*bytes > body_most_) return fault(Broken::too_big);
-    coming_.id = id;
-    coming_.word = word;
-    coming_.fields = fields;
-    left_ = static_cast<std::size_t>(*bytes) + body_end.size();
+    if (!bytes) return fault(ResponseError::length);
+    if (*bytes > max_body_) return fault(ResponseError::too_big);
+    pending_.id = id;
+    pending_.result = word;
+    pending_.fields = fields;
+    body_left_ = static_cast<std::size_t>(*bytes) + body_end.size();
     in_body_ = true;
     line_.clear();
     return true;
 }
 
-Ending ending_of(std::string_view word) {
-    if (word == "data") return Ending::honoured;
-    if (word == "absent") return Ending::not_loaded;
-    if (word == "full") return Ending::turned_away;
-    if (word == "moot") return Ending::never_sent;
-    return Ending::errored;
+AttemptOutcome parse_outcome(std::string_view word) {
+    if (word == "data") return AttemptOutcome::succeeded;
+    if (word == "absent") return AttemptOutcome::load_failed;
+    if (word == "full") return AttemptOutcome::rejected;
+    if (word == "moot") return AttemptOutcome::never_sent;
+    return AttemptOutcome::failed;
 }
 
-Note note_of(std::string_view fields) {
+LoadEvent parse_load_event(std::string_view fields) {
     const std::string_view word = value_of(fields, "n");
-    if (word == "reused") return Note::stood_loaded;
-    if (word == "init") return Note::began_load;
-    if (word == "shared_init") return Note::joined_load;
-    if (word == "init_error") return Note::load_broke;
-    return Note::none;
+    if (word == "reused") return LoadEvent::was_loaded;
+    if (word == "init") return LoadEvent::started_load;
+    if (word == "shared_init") return LoadEvent::joined_load;
+    if (word == "init_error") return LoadEvent::load_failed;
+    return LoadEvent::none;
 }
 
-int company_of(std::string_view fields) {
+int parse_concurrency(std::string_view fields) {
     return std::clamp(number<int>(value_of(fields, "peers_in")).value_or(0), 0, 1000);
 }
 
-Report report_of(std::string_view fields, const std::vector<std::string>& names) {
-    Report out;
+LoadReport parse_report(std::string_view fields, const std::vector<std::string>& names) {
+    LoadReport out;
     std::string_view list = value_of(fields, "l");
     while (!list.empty()) {
         const auto end = std::min(list.find(';'), list.size());
@@ -146,9 +146,9 @@
         const auto value = number<double>(each.substr(std::min(colon + 1, each.size())));
         const std::string name(each.substr(0, colon));
         if (value && *value >= 0 && *value < 1e9 && std::find(names.begin(), names.end(), name) != names.end())
-            settings::put_figure(out, name, *value);
+            platform_settings::put_figure(out, name, *value);
     }
     return out;
 }
 
-}  // namespace plumkeel::runline
+}  // namespace plumkeel::invoker_protocol
--- a/src/runline/pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -1,69 +1,69 @@
-#include "runline/pool.hpp"
+#include "invoker_protocol/connection_pool.hpp"
 
 #include <algorithm>
 #include <limits>
 
 #include "gateway/gateway.hpp"
-#include "net/limit.hpp"
-#include "runline/words.hpp"
+#include "net/lazy_timer.hpp"
+#include "invoker_protocol/codec.hpp"
 
-namespace plumkeel::runline {
+namespace plumkeel::invoker_protocol {
 
 using namespace std::chrono_literals;
-using proof::Cause;
-using proof::Reached;
+using delivery::StopCause;
+using delivery::Progress;
 
 constexpr std::size_t read_at_once = 8 * 1024, line_most = 1024;
 constexpr Time half_sent_for = 90ms;  // a client is gone for 0.1 s at most, and time left overstated by 0.15 s, when an attempt begins
 constexpr std::size_t most_borne = 64;  // remembered of a connection: second answers come within milliseconds
 constexpr Time unheard_pause = 1ms;
 
-class Connection : public std::enable_shared_from_this<Connection> {
+class InvokerConnection : public std::enable_shared_from_this<InvokerConnection> {
 public:
-    explicit Connection(ConnectionPool& pool)
+    explicit InvokerConnection(ConnectionPool& pool)
         : pool_(pool),
-          world_(pool.world_),
-          idle_(pool.world_, [this] {
+          loop_(pool.loop_),
+          idle_(pool.loop_, [this] {
               if (out_.empty()) close();
           }),
-          half_(pool.world_, [this] { spoilt("half_an_answer"); }),
-          half_sent_(pool.world_, [this] {
-              if (outbox_ && outbox_->sent() < whole_at_) spoilt("half_an_attempt");
+          half_(pool.loop_, [this] { spoilt("half_an_answer"); }),
+          half_sent_(pool.loop_, [this] {
+              if (write_queue_ && write_queue_->sent_bytes() < whole_at_) spoilt("half_an_attempt");
           }) {
         ++pool_.budget_.open_;
     }
 
-    void start() { world_.spawn(live(shared_from_this(), pool_.address_)); }
+    void start() { loop_.spawn(live(shared_from_this(), pool_.address_)); }
 
-    void take(const std::shared_ptr<Errand>& errand, std::string id) {
-        ConnectionPool::carrier(*errand) = shared_from_this();
+    void take(const std::shared_ptr<UpstreamCall>& call, std::string id) {
+        ConnectionPool::connection_of(*call) = shared_from_this();
         idle_.clear();
-        pool_.budget_.busy(*this);
-        out_.push_back({std::move(id), errand, unwritten, world_.now()});
-        if (outbox_) {
+        pool_.budget_.on_busy(*this);
+        out_.push_back({std::move(id), call, unwritten, loop_.now()});
+        if (write_queue_) {
             ++pool_.counts_.reused;
             put_on();
         }
     }
 
     // The errand ends by word of the module or by its time. It stays known, so that its late answer is no surprise.
-    Reached take_off(Errand& errand, Cause cause) {
-        const auto it = std::find_if(out_.begin(), out_.end(), [&](const Placed& p) { return p.errand.get() == &errand; });
-        if (it == out_.end()) return Reached::may_have_run;
+    Progress take_off(UpstreamCall& call, StopCause cause) {
+        const auto it = std::find_if(out_.begin(), out_.end(), [&](const Placed& p) { return p.call.get() == &call; });
+        if (it == out_.end()) return Progress::may_have_run;
         const Placed placed = *it;
         out_.erase(it);
-        ConnectionPool::carrier(errand).reset();
+        ConnectionPool::connection_of(call).reset();
         if (placed.whole_at == unwritten) {
             rest();
-            return outbox_ ? Reached::not_written : Reached::nothing_connected;
+            return write_queue_ ? Progress::not_written : Progress::not_connected;
         }
-        if (outbox_->broken() && outbox_->sent() < placed.whole_at) return Reached::not_written;
-        if (!errand.light()) bore(placed.id);
-        if (!errand.light()) outbox_->send(stop(placed.id));
+        if (write_queue_->error() && write_queue_->sent_bytes() < placed.whole_at) return Progress::not_written;
+        if (!call.has_priority()) bore(placed.id);
+        if (!call.has_priority()) write_queue_->send(encode_stop(placed.id));
         // Nothing at all heard for the whole of a probe's time: this connection is of no use, whatever the invoker is.
-        if (errand.light() && cause == Cause::time_ran_out && heard_ <= placed.since) spoilt("silent");
+        if (call.has_priority() && cause == StopCause::timed_out && heard_ <= placed.since) spoilt("silent");
         rest();
-        return Reached::may_have_run;
+        return Progress::may_have_run;
     }
 
     void close() {
@@ -72,12 +72,12 @@
         idle_.clear();
         half_.clear();
         half_sent_.clear();
-        pool_.budget_.busy(*this);
+        pool_.budget_.on_busy(*this);
         if (stream_) {
             stream_->close();
             uncount();
         }
-        if (outbox_) outbox_->abandon();
+        if (write_queue_) write_queue_->abandon();
     }
 
     // Takes nothing new; goes once nothing is out on it.
@@ -88,32 +88,32 @@
 
     bool takes() const { return alive_ && !retired_; }
     // Whether it idles and its end has come in, though nobody has read it yet. Whatever was written now would be lost.
-    bool has_ended() const { return out_.empty() && stream_ && stream_->ended(); }
+    bool has_ended() const { return out_.empty() && stream_ && stream_->peer_closed(); }
     std::size_t load() const { return out_.size(); }
     net::Time heard() const { return heard_; }
     bool bears(std::string_view id) const {
         return std::any_of(out_.begin(), out_.end(), [&](const Placed& p) { return p.id == id; });
     }
-    std::size_t hops() const {
-        return static_cast<std::size_t>(std::count_if(out_.begin(), out_.end(), [](const Placed& p) { return !p.errand->light(); }));
+    std::size_t attempts() const {
+        return static_cast<std::size_t>(std::count_if(out_.begin(), out_.end(), [](const Placed& p) { return !p.call->has_priority(); }));
     }
     // Whether an attempt of the request has been on this connection and ended: what else it says of that request may be
     // said of that attempt.
     bool has_borne(std::string_view id) const { return std::find(borne_.begin(), borne_.end(), id) != borne_.end(); }
     // What has not begun to leave, taken off: it goes elsewhere.
-    void give_back(std::vector<std::shared_ptr<Errand>>& into) {
+    void give_back(std::vector<std::shared_ptr<UpstreamCall>>& into) {
         std::erase_if(out_, [&](const Placed& placed) {
             if (placed.whole_at != unwritten) return false;
-            ConnectionPool::carrier(*placed.errand).reset();
-            into.push_back(placed.errand);
+            ConnectionPool::connection_of(*placed.call).reset();
+            into.push_back(placed.call);
             return true;
         });
     }
 
     // Hops none of whose bytes has left.
-    void unsent(std::vector<std::shared_ptr<Errand>>& into) const {
+    void unsent(std::vector<std::shared_ptr<UpstreamCall>>& into) const {
         for (const Placed& placed : out_)
-            if (placed.whole_at == unwritten && !placed.errand->light()) into.push_back(placed.errand);
+            if (placed.whole_at == unwritten && !placed.call->has_priority()) into.push_back(placed.call);
     }
 
 private:
@@ -121,7 +121,7 @@
 
     struct Placed {
         std::string id;
-        std::shared_ptr<Errand> errand;
+        std::shared_ptr<UpstreamCall> call;
         std::size_t whole_at;  // bytes of the connection by which all of it has left
         net::Time since;
         bool again{};  // an earlier attempt of the request was on this connection
@@ -131,7 +131,7 @@
     // can still be taken back, when its client leaves or its invoker drains.
     void put_on() {
         // What is known of clients, drains and this connection itself is old while what came meanwhile is not read.
-        if (world_.is_behind()) return put_on_soon({});
+        if (loop_.is_lagging()) return put_on_soon({});
         put_all();
     }
 
@@ -139,67 +139,67 @@
         full_ = false;
         for (std::size_t i = 0; i < out_.size() && alive_; ++i) {
             if (out_[i].whole_at != unwritten) continue;
-            if (!out_[i].errand->light() && client_unheard(*out_[i].errand)) {
+            if (!out_[i].call->has_priority() && client_unheard(*out_[i].call)) {
                 put_on_soon(unheard_pause);
                 continue;
             }
-            if (!out_[i].errand->light() && (full_ || outbox_->pending() > 0)) continue;
+            if (!out_[i].call->has_priority() && (full_ || write_queue_->pending_bytes() > 0)) continue;
             put(out_[i]);
         }
         const auto waits = [](const Placed& p) { return p.whole_at == unwritten; };
-        if (!alive_ || putting_ || (outbox_->pending() == 0 && !full_) || std::none_of(out_.begin(), out_.end(), waits)) return;
+        if (!alive_ || putting_ || (write_queue_->pending_bytes() == 0 && !full_) || std::none_of(out_.begin(), out_.end(), waits)) return;
         putting_ = true;
-        world_.spawn(put_later(shared_from_this()));
+        loop_.spawn(put_later(shared_from_this()));
     }
 
     // Behind a pause of this thread its client may have left: its bytes are read first.
-    bool client_unheard(const Errand& errand) const {
-        return world_.was_behind() && errand.ward->visit && errand.ward->visit->unread();
+    bool client_unheard(const UpstreamCall& call) const {
+        return loop_.was_lagging() && call.request->sink && call.request->sink->has_unread_input();
     }
 
     void put_on_soon(net::Time pause) {
         if (std::exchange(put_on_due_, true)) return;
-        world_.at(world_.now() + pause, [self = shared_from_this()] {
+        loop_.call_at(loop_.now() + pause, [self = shared_from_this()] {
             self->put_on_due_ = false;
             if (self->alive_) self->put_all();
         });
     }
 
-    net::Task<> put_later(std::shared_ptr<Connection>) {
-        co_await outbox_->writable();
+    net::Task<> put_later(std::shared_ptr<InvokerConnection>) {
+        co_await write_queue_->wait_writable();
         putting_ = false;
-        if (alive_ && !outbox_->broken()) put_on();
+        if (alive_ && !write_queue_->error()) put_on();
     }
 
     void put(Placed& placed) {
-        const Errand& errand = *placed.errand;
+        const UpstreamCall& call = *placed.call;
         // An invoker can't use a hop without time. Its own limit ends it at this very moment, as never sent.
-        if (!errand.light() && errand.until - world_.now() < 1ms) return;
+        if (!call.has_priority() && call.deadline - loop_.now() < 1ms) return;
         // Counted ahead: a connection that breaks under the write has not taken it.
-        const std::size_t before = outbox_->sent() + outbox_->pending();
-        if (errand.light()) {
-            std::string text = probe(placed.id, !pool_.sight_.report_fields.empty());
+        const std::size_t before = write_queue_->sent_bytes() + write_queue_->pending_bytes();
+        if (call.has_priority()) {
+            std::string text = encode_probe(placed.id, !pool_.options_.report_fields.empty());
             placed.whole_at = before + text.size();
-            outbox_->send(std::move(text));
+            write_queue_->send(std::move(text));
         } else if (!put_attempt(placed, before)) {
             return;
         }
-        ConnectionPool::leaves(*placed.errand);
-        placed.since = world_.now();
+        ConnectionPool::mark_sent(*placed.call);
+        placed.since = loop_.now();
     }
 
     // False: no byte of it could leave. One that leaves in part has to be whole soon: it tells the time left of now, and
     // its client may go. Else the connection ends, and it never ran.
     bool put_attempt(Placed& placed, std::size_t before) {
-        const gateway::Ward& ward = *placed.errand->ward;
-        std::string head = run(placed.id, static_cast<const StatedUseCase*>(ward.use_case)->name, ward.function->name, ward.mark,
-                               (placed.errand->until - world_.now()) / 1ms, ward.body->size());
-        const std::size_t whole_at = before + head.size() + ward.body->size() + body_end.size();
-        full_ = !outbox_->send_if_room(std::move(head), ward.body, std::string(body_end));
+        const gateway::ActiveRequest& request = *placed.call->request;
+        std::string head = encode_run(placed.id, static_cast<const NamedRequestClass*>(request.request_class)->name, request.function->name, request.idempotency_key,
+                               (placed.call->deadline - loop_.now()) / 1ms, request.body->size());
+        const std::size_t whole_at = before + head.size() + request.body->size() + body_end.size();
+        full_ = !write_queue_->send_if_room(std::move(head), request.body, std::string(body_end));
         if (full_) return false;
         placed.whole_at = whole_at_ = whole_at;
         placed.again = has_borne(placed.id);
-        if (outbox_->pending() > 0) half_sent_.set(world_.now() + half_sent_for);
+        if (write_queue_->pending_bytes() > 0) half_sent_.set(loop_.now() + half_sent_for);
         return true;
     }
 
@@ -208,12 +208,12 @@
         if (borne_.size() > most_borne) borne_.pop_front();
     }
 
-    net::Task<> live(std::shared_ptr<Connection> self, net::Address address) {
-        Cause why = Cause::connection_broke;
-        auto connected = co_await world_.connect(address, pool_.rules_.connect_within);
+    net::Task<> live(std::shared_ptr<InvokerConnection> self, net::Address address) {
+        StopCause why = StopCause::connection_lost;
+        auto connected = co_await loop_.connect(address, pool_.config_.connect_timeout);
         if (connected.error) {
             why = ConnectionPool::cause_of(connected.error);
-            if (why == Cause::no_connection) ++pool_.counts_.unreachable;
+            if (why == StopCause::no_connection) ++pool_.counts_.unreachable;
             alive_ = false;
         } else {
             ++pool_.counts_.opened;
@@ -221,106 +221,106 @@
             if (alive_) co_await talk();
         }
         const bool was_idle = alive_ && out_.empty() && stream_;
-        if (was_idle) ++pool_.counts_.broke_idle;
+        if (was_idle) ++pool_.counts_.closed_idle;
         close();
         alive_ = false;
-        pool_.budget_.busy(*this);
+        pool_.budget_.on_busy(*this);
         uncount();
         if (stream_) stream_->close();
         const auto ends = std::exchange(out_, {});
-        const std::size_t sent = outbox_ ? outbox_->sent() : 0;
-        pool_.connection_gone(self);
+        const std::size_t sent = write_queue_ ? write_queue_->sent_bytes() : 0;
+        pool_.connection_closed(self);
         for (const Placed& placed : ends) {
-            ConnectionPool::carrier(*placed.errand).reset();
-            const Reached reached = !outbox_ ? Reached::nothing_connected : sent >= placed.whole_at ? Reached::may_have_run : Reached::not_written;
-            pool_.end(placed.errand, proof::ending_of(reached, why));
+            ConnectionPool::connection_of(*placed.call).reset();
+            const Progress reached = !write_queue_ ? Progress::not_connected : sent >= placed.whole_at ? Progress::may_have_run : Progress::not_written;
+            pool_.finish(placed.call, delivery::outcome_of(reached, why));
         }
     }
 
     net::Task<> talk() {
-        outbox_ = std::make_shared<net::Outbox>(world_, stream_);
-        heard_ = world_.now();
+        write_queue_ = std::make_shared<net::WriteQueue>(loop_, stream_);
+        heard_ = loop_.now();
         put_on();
         rest();
-        Reader reader(line_most, pool_.rules_.answer_held);
+        ResponseDecoder reader(line_most, pool_.config_.max_buffered_response);
         std::vector<char> room(read_at_once);
-        Answer answer;
+        ResponseMessage answer;
         while (alive_) {
-            const net::Moved moved = co_await stream_->read(net::asio::buffer(room));
+            const net::TransferResult moved = co_await stream_->read(net::asio::buffer(room));
             if (moved.error || !alive_) co_return;
-            heard_ = world_.now();
+            heard_ = loop_.now();
             std::string_view bytes(room.data(), moved.bytes);
             while (alive_ && reader.next(bytes, answer)) answered(answer);
-            if (reader.broken() != Broken::none) spoilt(word_of(reader.broken()));
+            if (reader.error() != ResponseError::none) spoilt(name_of(reader.error()));
             if (!alive_) co_return;
             // An answer that has begun and does not come whole holds up all others behind it.
-            if (!reader.midway())
+            if (!reader.in_response())
                 half_.clear();
             else if (!half_.is_set())
-                half_.set(world_.now() + pool_.rules_.answer_within);
+                half_.set(loop_.now() + pool_.config_.response_timeout);
         }
     }
 
     // An answer under an id that is not out is one called off before, or a second copy: of no consequence.
-    void answered(Answer& answer) {
+    void answered(ResponseMessage& answer) {
         const auto it = std::find_if(out_.begin(), out_.end(), [&](const Placed& p) { return p.id == answer.id; });
         if (it == out_.end()) {
-            ++pool_.counts_.late;
+            ++pool_.counts_.late_responses;
             return;
         }
-        const auto errand = it->errand;
+        const auto call = it->call;
         const bool again = it->again;
-        const bool of_probe = answer.word == "well" || answer.word == "ill";
-        if (errand->light() != of_probe) return spoilt("wrong_word");
+        const bool of_probe = answer.result == "well" || answer.result == "ill";
+        if (call->has_priority() != of_probe) return spoilt("wrong_word");
         if (!of_probe) bore(it->id);
         out_.erase(it);
-        ConnectionPool::carrier(*errand).reset();
+        ConnectionPool::connection_of(*call).reset();
         // It may be a second one to the earlier attempt: what runs under the id is given up, so that nothing else does.
-        if (again) outbox_->send(stop(answer.id));
-        gateway::Outcome outcome;
-        outcome.ending = of_probe ? (answer.word == "well" ? Ending::honoured : Ending::errored) : ending_of(answer.word);
-        outcome.note = note_of(answer.fields);
-        outcome.company = pool_.sight_.says_company ? company_of(answer.fields) : 0;
-        outcome.report = report_of(answer.fields, pool_.sight_.report_fields);
+        if (again) write_queue_->send(encode_stop(answer.id));
+        gateway::CallResult outcome;
+        outcome.outcome = of_probe ? (answer.result == "well" ? AttemptOutcome::succeeded : AttemptOutcome::failed) : parse_outcome(answer.result);
+        outcome.load_event = parse_load_event(answer.fields);
+        outcome.concurrent_requests = pool_.options_.reports_concurrency ? parse_concurrency(answer.fields) : 0;
+        outcome.report = parse_report(answer.fields, pool_.options_.report_fields);
         outcome.status = 200;
         outcome.body = std::move(answer.body);
         rest();
-        pool_.end(errand, std::move(outcome));
-        if (alive_) pool_.connection_free();
+        pool_.finish(call, std::move(outcome));
+        if (alive_) pool_.on_connection_free();
     }
 
     void spoilt(const char* why) {
         if (!alive_) return;
-        ++pool_.counts_.spoilt;
-        if (pool_.counts_.tell_spoilt) pool_.counts_.tell_spoilt(pool_.address_.text(), why, out_.size());
+        ++pool_.counts_.malformed;
+        if (pool_.counts_.on_malformed) pool_.counts_.on_malformed(pool_.address_.text(), why, out_.size());
         close();
     }
 
     void rest() {
         if (!out_.empty() || !alive_) return;
         if (retired_) return close();
-        idle_.set(world_.now() + pool_.rules_.idle_for);
-        if (outbox_) pool_.budget_.idles(*this);
+        idle_.set(loop_.now() + pool_.config_.idle_timeout);
+        if (write_queue_) pool_.budget_.on_idle(*this);
     }
 
     // Once, when its descriptor is free.
     void uncount() {
         if (!std::exchange(counted_, false)) return;
         --pool_.budget_.open_;
-        pool_.budget_.serve_soon();
+        pool_.budget_.schedule_waiting();
     }
 
     ConnectionPool& pool_;
-    net::World& world_;
+    net::EventLoop& loop_;
     bool alive_ = true, retired_{}, counted_ = true, putting_{}, put_on_due_{};
     bool full_{};             // the last attempt found no room for a byte
     std::size_t whole_at_{};  // of the last attempt that was put on
     std::deque<std::string> borne_;  // requests of which an attempt has ended here, the newest last
     std::shared_ptr<net::Stream> stream_;
-    std::shared_ptr<net::Outbox> outbox_;  // once connected
+    std::shared_ptr<net::WriteQueue> write_queue_;  // once connected
     std::vector<Placed> out_;
     net::Time heard_{};
-    net::Limit idle_, half_, half_sent_;
+    net::LazyTimer idle_, half_, half_sent_;
 };
 
 // ---------------------------------------------------------------- the pool
@@ -331,13 +331,13 @@
     return true;
 }
 
-void ConnectionBudget::idles(Connection& connection) {
-    busy(connection);
+void ConnectionBudget::on_idle(InvokerConnection& connection) {
+    on_busy(connection);
     idle_.push_back(&connection);
-    serve_soon();
+    schedule_waiting();
 }
 
-void ConnectionBudget::busy(Connection& connection) {
+void ConnectionBudget::on_busy(InvokerConnection& connection) {
     std::erase(idle_, &connection);
 }
 
@@ -346,50 +346,50 @@
 }
 
 // At the next turn, since whoever frees a connection may be in the middle of its own work.
-void ConnectionBudget::serve_soon() {
-    if (waiting_.empty() || serving_.second) return;
-    serving_ = world_.at(world_.now(), [this] {
-        serving_ = {};
+void ConnectionBudget::schedule_waiting() {
+    if (waiting_.empty() || serving_timer_.second) return;
+    serving_timer_ = loop_.call_at(loop_.now(), [this] {
+        serving_timer_ = {};
         for (std::size_t turns = waiting_.size(); turns > 0 && !waiting_.empty(); --turns) {
             ConnectionPool* const next = waiting_.front();
             waiting_.pop_front();
-            next->connection_free();
+            next->on_connection_free();
         }
     });
 }
 
 // ---------------------------------------------------------------- the connections to one invoker
 
-ConnectionPool::ConnectionPool(net::World& world, const PoolRules& rules, const Sight& sight, net::Address address, gateway::ConnectionCounts& counts,
+ConnectionPool::ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, const ResponseOptions& sight, net::Address address, gateway::ConnectionCounts& counts,
              ConnectionBudget& budget)
-    : gateway::ConnectionPool(world), rules_(rules), sight_(sight), address_(std::move(address)), counts_(counts), budget_(budget) {}
+    : gateway::ConnectionPool(loop), config_(rules), options_(sight), address_(std::move(address)), counts_(counts), budget_(budget) {}
 
 ConnectionPool::~ConnectionPool() {
-    budget_.left(*this);
+    budget_.remove(*this);
 }
 
-bool ConnectionPool::carry(const std::shared_ptr<Errand>& errand) {
-    if (dispatch(errand)) return true;
-    if (queue_.size() >= rules_.queued) return false;
-    queue_.push_back(errand);
+bool ConnectionPool::enqueue(const std::shared_ptr<UpstreamCall>& call) {
+    if (dispatch(call)) return true;
+    if (queue_.size() >= config_.max_queued) return false;
+    queue_.push_back(call);
     budget_.wait(*this);
     return true;
 }
 
-std::string ConnectionPool::id_of(const Errand& errand) {
-    return errand.light() ? "p" + std::to_string(++tags_) : errand.ward->name;
+std::string ConnectionPool::id_of(const UpstreamCall& call) {
+    return call.has_priority() ? "p" + std::to_string(++tag_ids_) : call.request->name;
 }
 
 // Whether a repeat of what has run, or may have, would take effect again.
-static bool may_run_once(const Errand& errand) {
-    return errand.ward->use_case->repeat != Repeat::replayable;
+static bool may_run_once(const UpstreamCall& call) {
+    return call.request->request_class->idempotency != Idempotency::idempotent;
 }
 
 // The connection that bears least, or a new one while there may be more. A probe asks the one that has been silent
 // longest while something is out on it: it is the one in doubt.
-std::shared_ptr<Connection> ConnectionPool::choose(const Errand& errand) {
-    std::shared_ptr<Connection> best;
-    std::shared_ptr<Connection> borne;  // that bore the request before, which may run but once
+std::shared_ptr<InvokerConnection> ConnectionPool::choose(const UpstreamCall& call) {
+    std::shared_ptr<InvokerConnection> best;
+    std::shared_ptr<InvokerConnection> borne;  // that bore the request before, which may run but once
     std::size_t takers = 0;  // what only waits for its last answers, at an earlier address, stands in nobody's way
     for (const auto& connection : connections_) {
         if (!connection->takes()) continue;
@@ -398,12 +398,12 @@
             continue;
         }
         ++takers;
-        if (errand.light()) {
+        if (call.has_priority()) {
             if (!best || (connection->load() > 0 && (best->load() == 0 || connection->heard() < best->heard()))) best = connection;
             continue;
         }
-        if (connection->load() >= rules_.hops_a_connection || connection->bears(errand.ward->name)) continue;
-        if (may_run_once(errand) && connection->has_borne(errand.ward->name)) {
+        if (connection->load() >= config_.max_attempts_per_connection || connection->bears(call.request->name)) continue;
+        if (may_run_once(call) && connection->has_borne(call.request->name)) {
             borne = connection;
             continue;
         }
@@ -411,30 +411,30 @@
     }
     // A second answer to the earlier attempt could not be told from one to this: it leaves on another connection, for
     // which that one makes way if there may be no more.
-    if (borne && !best && takers >= rules_.most) {
+    if (borne && !best && takers >= config_.max_connections) {
         borne->retire();
         --takers;
     }
-    const bool room = budget_.open() < rules_.most_all;
-    const bool new_one = !best || (!errand.light() && best->load() > 0);
-    if (new_one && takers < rules_.most && (room || (takers == 0 && budget_.evict()))) {
-        best = connections_.emplace_back(std::make_shared<Connection>(*this));
+    const bool room = budget_.open() < config_.max_total_connections;
+    const bool new_one = !best || (!call.has_priority() && best->load() > 0);
+    if (new_one && takers < config_.max_connections && (room || (takers == 0 && budget_.evict()))) {
+        best = connections_.emplace_back(std::make_shared<InvokerConnection>(*this));
         best->start();
     }
     return best;
 }
 
-bool ConnectionPool::dispatch(const std::shared_ptr<Errand>& errand) {
-    const auto connection = choose(*errand);
+bool ConnectionPool::dispatch(const std::shared_ptr<UpstreamCall>& call) {
+    const auto connection = choose(*call);
     if (!connection) return false;
-    connection->take(errand, id_of(*errand));
+    connection->take(call, id_of(*call));
     return true;
 }
 
-void ConnectionPool::connection_free() {
+void ConnectionPool::on_connection_free() {
     while (!queue_.empty()) {
-        const auto errand = queue_.front();
-        if (errand->state() != Errand::State::ended && !dispatch(errand)) {
+        const auto call = queue_.front();
+        if (call->state() != UpstreamCall::State::ended && !dispatch(call)) {
             budget_.wait(*this);
             return;
         }
@@ -442,44 +442,44 @@
     }
 }
 
-void ConnectionPool::connection_gone(const std::shared_ptr<Connection>& connection) {
+void ConnectionPool::connection_closed(const std::shared_ptr<InvokerConnection>& connection) {
     std::erase(connections_, connection);
-    connection_free();
+    on_connection_free();
 }
 
-Reached ConnectionPool::take_off(Errand& errand, Cause cause) {
-    if (const auto connection = std::static_pointer_cast<Connection>(carrier(errand))) return connection->take_off(errand, cause);
-    std::erase(queue_, errand.shared_from_this());
-    return Reached::not_written;
+Progress ConnectionPool::remove(UpstreamCall& call, StopCause cause) {
+    if (const auto connection = std::static_pointer_cast<InvokerConnection>(connection_of(call))) return connection->take_off(call, cause);
+    std::erase(queue_, call.shared_from_this());
+    return Progress::not_written;
 }
 
-void ConnectionPool::withdraw() {
-    std::vector<std::shared_ptr<Errand>> unsent;
-    for (const auto& errand : queue_)
-        if (!errand->light()) unsent.push_back(errand);
+void ConnectionPool::cancel_unsent() {
+    std::vector<std::shared_ptr<UpstreamCall>> unsent;
+    for (const auto& call : queue_)
+        if (!call->has_priority()) unsent.push_back(call);
     for (const auto& connection : connections_) connection->unsent(unsent);
-    for (const auto& errand : unsent) stop(*errand, Cause::withdrawn);
+    for (const auto& call : unsent) stop(*call, StopCause::cancelled_unsent);
 }
 
-void ConnectionPool::move_to(net::Address address) {
+void ConnectionPool::set_address(net::Address address) {
     if (address == address_) return;
     address_ = std::move(address);
     // Another may be at the old address by now, also where a connection to it is still coming up.
-    std::vector<std::shared_ptr<Errand>> unsent;
+    std::vector<std::shared_ptr<UpstreamCall>> unsent;
     for (const auto& connection : connections_) connection->give_back(unsent);
     close();
-    for (const auto& errand : unsent)
-        if (!carry(errand)) end_soon(errand, Ending::never_sent);
+    for (const auto& call : unsent)
+        if (!enqueue(call)) finish_soon(call, AttemptOutcome::never_sent);
 }
 
 void ConnectionPool::close() {
     for (const auto& connection : std::vector(connections_)) connection->retire();
 }
 
-std::size_t ConnectionPool::out() const {
+std::size_t ConnectionPool::in_flight_count() const {
     std::size_t n = 0;
-    for (const auto& connection : connections_) n += connection->hops();
+    for (const auto& connection : connections_) n += connection->attempts();
     return n;
 }
 
-}  // namespace plumkeel::runline
+}  // namespace plumkeel::invoker_protocol
