--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-bool Trickle::pass(Time now) {
+bool RateLimiter::allow(Time now) {
     const double since = std::chrono::duration<double>(now - last_).count();
     last_ = now;
-    left_ = std::min(burst_, left_ + since * per_s_);
-    if (left_ < 1) {
-        ++left_out_;
+    tokens_ = std::min(burst_, tokens_ + since * per_s_);
+    if (tokens_ < 1) {
+        ++suppressed_;
         return false;
     }
-    --left_;
+    --tokens_;
     return true;
 }
 
-Log::Log(net::World& world, const LogRules& rules) : world_(world), rules_(rules) {
+Log::Log(net::EventLoop& loop, const LogConfig& rules) : loop_(loop), config_(rules) {
     for (int i = 0; i < 4; ++i)
-        if (rules.level == level_names[i]) least_ = static_cast<Level>(i);
-    spdlog::init_thread_pool(rules.queued, 1);
+        if (rules.level == level_names[i]) min_level_ = static_cast<Level>(i);
+    spdlog::init_thread_pool(rules.queue_size, 1);
     std::shared_ptr<spdlog::sinks::sink> sink;
     if (rules.file.empty())
         sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
@@ -52,19 +52,19 @@
     spdlog::shutdown();
 }
 
-std::uint64_t Log::lost() const {
+std::uint64_t Log::dropped_lines() const {
     return spdlog::thread_pool()->overrun_counter();
 }
 
-void Log::line(Level level, std::string_view kind, Fields fields) {
+void Log::write(Level level, std::string_view kind, Fields fields) {
     if (!wants(level)) return;
-    Trickle& trickle = kinds_.try_emplace(kind, rules_.lines_per_s, rules_.burst).first->second;
-    if (!trickle.pass(world_.now())) return;
+    RateLimiter& trickle = rate_limiters_.try_emplace(kind, config_.max_lines_per_s, config_.burst).first->second;
+    if (!trickle.allow(loop_.now())) return;
     Fields whole;
-    whole["at"] = static_cast<double>(world_.wall().count()) / 1e6;
+    whole["at"] = static_cast<double>(loop_.wall_clock().count()) / 1e6;
     whole["level"] = level_names[static_cast<int>(level)];
     whole["kind"] = kind;
-    if (const auto out = trickle.left_out()) whole["left_out"] = out;
+    if (const auto out = trickle.take_suppressed()) whole["left_out"] = out;
     for (auto& [name, value] : fields) whole[name] = std::move(value);
     static constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
                                                            spdlog::level::warn, spdlog::level::err};
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string_view>
 
-#include "charter/charter.hpp"
-#include "net/world.hpp"
+#include "config/gateway_config.hpp"
+#include "net/event_loop.hpp"
 
 namespace spdlog {
 class logger;
@@ -17,16 +17,16 @@
 namespace plumkeel {
 
 // How many lines of one kind may pass. Free of I/O and clocks.
-class Trickle {
+class RateLimiter {
 public:
-    Trickle(double per_s, double burst) : per_s_(per_s), burst_(burst), left_(burst) {}
-    bool pass(Time now);
-    std::uint64_t left_out() { return std::exchange(left_out_, 0); }  // since it was last told
+    RateLimiter(double per_s, double burst) : per_s_(per_s), burst_(burst), tokens_(burst) {}
+    bool allow(Time now);
+    std::uint64_t take_suppressed() { return std::exchange(suppressed_, 0); }  // since it was last told
 
 private:
-    double per_s_, burst_, left_;
+    double per_s_, burst_, tokens_;
     Time last_{};
-    std::uint64_t left_out_{};
+    std::uint64_t suppressed_{};
 };
 
 class Log {
@@ -34,19 +34,19 @@
     enum class Level { debug, info, warn, error };
     using Fields = boost::json::object;
 
-    Log(net::World& world, const LogRules& rules);
+    Log(net::EventLoop& loop, const LogConfig& rules);
     ~Log();
-    bool wants(Level level) const { return level >= least_; }
+    bool wants(Level level) const { return level >= min_level_; }
     // `kind` names what happened, in snake case; it must live as long as the log.
-    void line(Level level, std::string_view kind, Fields fields = {});
-    std::uint64_t lost() const;  // lines the bounded queue had no room for
+    void write(Level level, std::string_view kind, Fields fields = {});
+    std::uint64_t dropped_lines() const;  // lines the bounded queue had no room for
 
 private:
-    net::World& world_;
-    const LogRules rules_;
-    Level least_ = Level::info;
+    net::EventLoop& loop_;
+    const LogConfig config_;
+    Level min_level_ = Level::info;
     std::shared_ptr<spdlog::logger> logger_;
-    std::map<std::string_view, Trickle> kinds_;
+    std::map<std::string_view, RateLimiter> rate_limiters_;
 };
 
 }  // namespace plumkeel
--- a/src/metrics/heaviest.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -1,4 +1,4 @@
-#include "metrics/heaviest.hpp"
+#include "metrics/heavy_hitters.hpp"
 
 #include <algorithm>
 
@@ -12,54 +12,54 @@
 
 }  // namespace
 
-Heaviest::Heaviest(std::size_t told, std::size_t counted) : most_told_(told), most_counted_(std::max(told, counted)) {}
+HeavyHitters::HeavyHitters(std::size_t told, std::size_t counted) : max_reported_(told), max_counted_(std::max(told, counted)) {}
 
-bool Heaviest::feed(std::string_view name) {
+bool HeavyHitters::add(std::string_view name) {
     auto it = counts_.find(name);
     if (it == counts_.end()) {
         Count count;
-        if (counts_.size() >= most_counted_) {
+        if (counts_.size() >= max_counted_) {
             // Seldom but in a flood of new names; of equals the first by name, so that chance of hashing decides nothing.
             const auto least = std::min_element(counts_.begin(), counts_.end(), [](const auto& a, const auto& b) {
-                return a.second.seen < b.second.seen || (a.second.seen == b.second.seen && a.first < b.first);
+                return a.second.count < b.second.count || (a.second.count == b.second.count && a.first < b.first);
             });
-            count.seen = count.doubt = least->second.seen;
+            count.count = count.error = least->second.count;
             counts_.erase(least);
         }
         it = counts_.emplace(std::string(name), count).first;
-        it->second.told = told(name);
+        it->second.reported = is_reported(name);
     }
-    ++it->second.seen;
-    return it->second.told;
+    ++it->second.count;
+    return it->second.reported;
 }
 
-Heaviest::Turnover Heaviest::review() {
+HeavyHitters::Turnover HeavyHitters::review() {
     Turnover out;
     std::vector<std::pair<double, std::string_view>> strangers, residents;
     for (const auto& [name, count] : counts_)
-        (told(name) ? residents : strangers).emplace_back(count.sure(), name);
-    for (const std::string& name : told_)
+        (is_reported(name) ? residents : strangers).emplace_back(count.lower_bound(), name);
+    for (const std::string& name : reported_)
         if (!counts_.contains(name)) residents.emplace_back(0.0, name);
     const auto heavier = [](const auto& a, const auto& b) { return a.first > b.first || (a.first == b.first && a.second < b.second); };
     std::sort(strangers.begin(), strangers.end(), heavier);
     std::sort(residents.begin(), residents.end(), heavier);
-    std::size_t changes = std::max<std::size_t>(1, most_told_ / places_a_review);
+    std::size_t changes = std::max<std::size_t>(1, max_reported_ / places_a_review);
     for (const auto& [count, name] : strangers) {
         if (count < least_told) break;
-        if (told_.size() >= most_told_) {
+        if (reported_.size() >= max_reported_) {
             if (changes == 0 || residents.empty() || count < clearly * residents.back().first) break;
             --changes;
             out.ended.emplace_back(residents.back().second);
             residents.pop_back();
-            told_.erase(told_.find(out.ended.back()));
+            reported_.erase(reported_.find(out.ended.back()));
         }
-        told_.emplace(name);
+        reported_.emplace(name);
         out.begun.emplace_back(name);
     }
     for (auto& [name, count] : counts_) {
-        count.seen *= fading;
-        count.doubt *= fading;
-        count.told = told(name);
+        count.count *= fading;
+        count.error *= fading;
+        count.reported = is_reported(name);
     }
     return out;
 }
--- a/src/metrics/heaviest.hpp
+++ b/src/metrics/heavy_hitters.hpp
@@ -12,14 +12,14 @@
 
 namespace plumkeel::metrics {
 
-class Heaviest {
+class HeavyHitters {
 public:
     // At most `told` names by themselves; `counted` names are followed to find them, at least as many.
-    Heaviest(std::size_t told, std::size_t counted);
+    HeavyHitters(std::size_t told, std::size_t counted);
 
     // Counts one; whether its name is told now.
-    bool feed(std::string_view name);
-    bool told(std::string_view name) const { return told_.contains(name); }
+    bool add(std::string_view name);
+    bool is_reported(std::string_view name) const { return reported_.contains(name); }
 
     struct Turnover {
         std::vector<std::string> ended, begun;
@@ -30,18 +30,18 @@
 
 private:
     struct Count {
-        double seen{}, doubt{};
-        bool told{};
-        double sure() const { return seen - doubt; }
+        double count{}, error{};
+        bool reported{};
+        double lower_bound() const { return count - error; }
     };
     struct Hash {
         using is_transparent = void;
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
     };
 
-    const std::size_t most_told_, most_counted_;
+    const std::size_t max_reported_, max_counted_;
     std::unordered_map<std::string, Count, Hash, std::equal_to<>> counts_;  // never told in its own order
-    std::set<std::string, std::less<>> told_;
+    std::set<std::string, std::less<>> reported_;
 };
 
 }  // namespace plumkeel::metrics
--- a/src/net/world.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -26,10 +26,10 @@
     return (six ? "[" + host + "]" : host) + ":" + std::to_string(port);
 }
 
-World::Ticket World::at(Time when, std::function<void()> what) {
+EventLoop::TimerKey EventLoop::call_at(Time when, std::function<void()> what) {
     if (ending_) return {};
-    const Ticket ticket{when, ++tickets_};
-    due_.emplace(ticket, std::move(what));
+    const TimerKey ticket{when, ++timer_ids_};
+    timers_.emplace(ticket, std::move(what));
     if (when < armed_) {
         armed_ = when;
         arm(when);
@@ -37,53 +37,53 @@
     return ticket;
 }
 
-void World::drop(Ticket& ticket) {
-    if (ticket.second) due_.erase(ticket);
+void EventLoop::cancel(TimerKey& ticket) {
+    if (ticket.second) timers_.erase(ticket);
     ticket = {};
 }
 
-Time World::run_due(Time now) {
+Time EventLoop::run_timers(Time now) {
     armed_ = Time::min();  // nothing arms the timer while it runs
-    const Ticket last{now, tickets_};
-    while (!due_.empty() && due_.begin()->first <= last) {
-        const auto what = std::move(due_.begin()->second);
-        due_.erase(due_.begin());
+    const TimerKey last{now, timer_ids_};
+    while (!timers_.empty() && timers_.begin()->first <= last) {
+        const auto what = std::move(timers_.begin()->second);
+        timers_.erase(timers_.begin());
         what();
     }
-    armed_ = due_.empty() ? Time::max() : due_.begin()->first.first;
+    armed_ = timers_.empty() ? Time::max() : timers_.begin()->first.first;
     return armed_;
 }
 
-void World::end_due() {
+void EventLoop::cancel_all() {
     ending_ = true;
-    due_.clear();
+    timers_.clear();
 }
 
-Task<> World::sleep(Time span) {
-    Signal done(*this);
-    at(now() + span, [&done] { done.fire(); });
+Task<> EventLoop::sleep(Time span) {
+    Notification done(*this);
+    call_at(now() + span, [&done] { done.notify(); });
     co_await done.wait();
 }
 
-void World::spawn(Task<> task) {
+void EventLoop::spawn(Task<> task) {
     asio::co_spawn(executor(), std::move(task), [](std::exception_ptr fault) {
         if (fault) std::rethrow_exception(fault);
     });
 }
 
-Task<> Signal::wait() {
-    if (std::exchange(told_, false)) co_return;
+Task<> Notification::wait() {
+    if (std::exchange(notified_, false)) co_return;
     // The expiry is never set anew: that would wake those who wait already, and two would wake each other on and on.
-    ++waiting_;
+    ++waiters_;
     co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
-    --waiting_;
+    --waiters_;
 }
 
-void Signal::fire() {
-    if (waiting_ > 0)
+void Notification::notify() {
+    if (waiters_ > 0)
         timer_.cancel();
     else
-        told_ = true;
+        notified_ = true;
 }
 
 }  // namespace plumkeel::net
--- a/src/net/limit.hpp
+++ b/src/net/lazy_timer.hpp
@@ -2,22 +2,22 @@
 // costs nothing: what stands in the world's order is looked at again when it falls due. It ends with its owner.
 #pragma once
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::net {
 
-class Limit {
+class LazyTimer {
 public:
     // `what` may destroy the limit's owner, as its last act.
-    Limit(World& world, std::function<void()> what) : world_(world), what_(std::move(what)) {}
-    ~Limit() { world_.drop(ticket_); }
-    Limit(const Limit&) = delete;
-    Limit& operator=(const Limit&) = delete;
+    LazyTimer(EventLoop& loop, std::function<void()> what) : loop_(loop), what_(std::move(what)) {}
+    ~LazyTimer() { loop_.cancel(ticket_); }
+    LazyTimer(const LazyTimer&) = delete;
+    LazyTimer& operator=(const LazyTimer&) = delete;
 
     void set(Time at) {
         at_ = at;
         if (ticket_.second && ticket_.first <= at_) return;
-        world_.drop(ticket_);
+        loop_.cancel(ticket_);
         stand();
     }
     void clear() { at_ = Time::max(); }
@@ -25,18 +25,18 @@
 
 private:
     void stand() {
-        ticket_ = world_.at(at_, [this] {
+        ticket_ = loop_.call_at(at_, [this] {
             ticket_ = {};
             if (at_ == Time::max()) return;
-            if (world_.now() < at_) return stand();
+            if (loop_.now() < at_) return stand();
             at_ = Time::max();
             what_();
         });
     }
 
-    World& world_;
+    EventLoop& loop_;
     const std::function<void()> what_;
-    World::Ticket ticket_{};
+    EventLoop::TimerKey ticket_{};
     Time at_ = Time::max();
 };
 
--- a/src/net/memory.hpp
+++ b/src/net/simulated_event_loop.hpp
@@ -6,46 +6,46 @@
 #include <map>
 #include <set>
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::net {
 
-class MemoryListener;
+class SimulatedListener;
 
-class MemoryWorld : public World {
+class SimulatedEventLoop : public EventLoop {
 public:
-    explicit MemoryWorld(Time latency = Time(100), std::size_t room = 64 * 1024);
-    ~MemoryWorld() override;
+    explicit SimulatedEventLoop(Time latency = Time(100), std::size_t room = 64 * 1024);
+    ~SimulatedEventLoop() override;
 
     Time now() const override { return now_; }
-    Time wall() const override { return now_ + wall_ahead_; }
+    Time wall_clock() const override { return now_ + wall_offset_; }
     asio::any_io_executor executor() override { return context_.get_executor(); }
-    Task<Connected> connect(Address to, Time limit) override;
-    Listened listen(const Address& at) override;
+    Task<ConnectResult> connect(Address to, Time limit) override;
+    ListenResult listen(const Address& at) override;
 
     // Runs until virtual time `until`, or until nothing is left that could happen.
     void run(Time until = Time::max());
     Time latency() const { return latency_; }
-    std::size_t room() const { return room_; }
+    std::size_t buffer_bytes() const { return buffer_bytes_; }
     // Connections to this address that come up from now on hold fewer bytes under way.
-    void narrow(const Address& at, std::size_t room) { narrow_[at.text()] = room; }
+    void limit_buffer(const Address& at, std::size_t room) { buffer_limits_[at.text()] = room; }
     // The wall clock steps by so much, either way; now() runs on.
-    void step_wall(Time by) { wall_ahead_ += by; }
+    void step_wall_clock(Time by) { wall_offset_ += by; }
     // The thread stands still for so long, in the middle of whatever it does.
-    void stand_still(Time span) { now_ += span; }
+    void stall(Time span) { now_ += span; }
     // From now on connecting to this address fails at once with this error of the machine's own; none: it works again.
-    void fail_connects(const Address& to, Error error) { failing_[to.text()] = error; }
+    void fail_connects(const Address& to, Error error) { connect_errors_[to.text()] = error; }
 
 private:
-    friend class MemoryListener;
+    friend class SimulatedListener;
     void arm(Time) override {}
 
     const Time latency_;
-    const std::size_t room_;  // bytes under way one way of a stream
-    Time now_{}, wall_ahead_{};
-    std::map<std::string, Error> failing_;
-    std::map<std::string, MemoryListener*> listeners_;
-    std::map<std::string, std::size_t> narrow_;
+    const std::size_t buffer_bytes_;  // bytes under way one way of a stream
+    Time now_{}, wall_offset_{};
+    std::map<std::string, Error> connect_errors_;
+    std::map<std::string, SimulatedListener*> listeners_;
+    std::map<std::string, std::size_t> buffer_limits_;
     std::uint16_t next_port_ = 40000;
     asio::io_context context_{1};  // ends first: the coroutines that end with it still use the rest
 };
--- a/src/net/real.cpp
+++ b/src/net/socket_event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/real.hpp"
+#include "net/socket_event_loop.hpp"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -50,36 +50,36 @@
 
 class SocketStream : public Stream {
 public:
-    SocketStream(const World& world, tcp::socket socket)
-        : world_(world), socket_(std::move(socket)), pause_(socket_.get_executor()) {
+    SocketStream(const EventLoop& loop, tcp::socket socket)
+        : loop_(loop), socket_(std::move(socket)), pause_(socket_.get_executor()) {
         Error ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         socket_.non_blocking(true, ignored);
     }
 
-    Task<Moved> read(asio::mutable_buffer into) override {
+    Task<TransferResult> read(asio::mutable_buffer into) override {
         // asio's own read is not used: it takes one that failed for the end of what has come, and waits for more.
         std::optional<Time> readable_since;
         for (;;) {
             // Also where data is there already, this wait ends.
-            if (const auto [error] = co_await socket_.async_wait(tcp::socket::wait_read, told); error) co_return Moved{error, 0, {}};
-            if (!readable_since) readable_since = world_.now() - world_.late();
-            Moved moved;
+            if (const auto [error] = co_await socket_.async_wait(tcp::socket::wait_read, told); error) co_return TransferResult{error, 0, {}};
+            if (!readable_since) readable_since = loop_.now() - loop_.lag();
+            TransferResult moved;
             do moved.bytes = socket_.read_some(asio::mutable_buffers_1(into), moved.error);
             while (moved.error == asio::error::interrupted);
             if (moved.error == asio::error::would_block || moved.error == asio::error::try_again) {
                 readable_since.reset();
                 continue;
             }
-            moved.late = world_.now() - *readable_since;
+            moved.lag = loop_.now() - *readable_since;
             if (!short_of_memory(moved.error)) co_return moved;
             asio::steady_timer pause(socket_.get_executor(), shortage_pause);
             co_await pause.async_wait(told);
         }
     }
 
-    Moved write_now(std::span<const asio::const_buffer> from) override {
-        Moved moved;
+    TransferResult write_now(std::span<const asio::const_buffer> from) override {
+        TransferResult moved;
         do moved.bytes = socket_.write_some(from, moved.error);
         while (moved.error == asio::error::interrupted);
         short_ = short_of_memory(moved.error);
@@ -96,13 +96,13 @@
         co_return error;
     }
 
-    bool ended() override {
+    bool peer_closed() override {
         char byte;
         const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
     }
 
-    bool unread() override { return socket_.is_open() && readable(socket_.native_handle()); }
+    bool has_unread() override { return socket_.is_open() && readable(socket_.native_handle()); }
 
     // tcp(7): TCP_INFO, in milliseconds of the kernel's own monotonic clock.
     std::optional<Time> since_newest_bytes() override {
@@ -112,7 +112,7 @@
         return std::chrono::milliseconds(info.tcpi_last_data_recv);
     }
 
-    void end_sending() override {
+    void shutdown_send() override {
         Error ignored;
         socket_.shutdown(tcp::socket::shutdown_send, ignored);
     }
@@ -129,7 +129,7 @@
     }
 
 private:
-    const World& world_;
+    const EventLoop& loop_;
     tcp::socket socket_;
     asio::steady_timer pause_;
     bool short_{};  // the last write found no memory
@@ -137,18 +137,18 @@
 
 class SocketListener : public Listener {
 public:
-    SocketListener(const World& world, tcp::acceptor acceptor) : world_(world), acceptor_(std::move(acceptor)) {}
+    SocketListener(const EventLoop& loop, tcp::acceptor acceptor) : loop_(loop), acceptor_(std::move(acceptor)) {}
 
-    Task<Accepted> accept() override {
+    Task<AcceptResult> accept() override {
         for (;;) {
             auto [error, socket] = co_await acceptor_.async_accept(told);
             if (of_new_connection(error)) continue;
-            if (error) co_return Accepted{error, nullptr};
-            co_return Accepted{{}, std::make_shared<SocketStream>(world_, std::move(socket))};
+            if (error) co_return AcceptResult{error, nullptr};
+            co_return AcceptResult{{}, std::make_shared<SocketStream>(loop_, std::move(socket))};
         }
     }
 
-    bool waiting() override { return acceptor_.is_open() && readable(acceptor_.native_handle()); }
+    bool has_pending() override { return acceptor_.is_open() && readable(acceptor_.native_handle()); }
 
     Address address() const override {
         Error error;
@@ -162,49 +162,49 @@
     }
 
 private:
-    const World& world_;
+    const EventLoop& loop_;
     tcp::acceptor acceptor_;
 };
 
 }  // namespace
 
-RealWorld::RealWorld() : start_(std::chrono::steady_clock::now()) {}
+SocketEventLoop::SocketEventLoop() : start_(std::chrono::steady_clock::now()) {}
 
-RealWorld::~RealWorld() {
-    end_due();
+SocketEventLoop::~SocketEventLoop() {
+    cancel_all();
 }
 
-Time RealWorld::now() const {
+Time SocketEventLoop::now() const {
     return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - start_);
 }
 
-Time RealWorld::wall() const {
+Time SocketEventLoop::wall_clock() const {
     return std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-Task<World::Connected> RealWorld::connect(Address to, Time limit) {
+Task<EventLoop::ConnectResult> SocketEventLoop::connect(Address to, Time limit) {
     Error error;
     const auto address = asio::ip::make_address(to.host, error);
     if (error) {
         co_await asio::post(context_, asio::use_awaitable);
-        co_return Connected{error, nullptr};
+        co_return ConnectResult{error, nullptr};
     }
     auto socket = std::make_shared<tcp::socket>(context_);
     bool late = false;
-    Ticket ticket = at(now() + limit, [&late, socket] {
+    TimerKey ticket = call_at(now() + limit, [&late, socket] {
         late = true;
         Error ignored;
         socket->close(ignored);
     });
     const auto [broken] = co_await socket->async_connect({address, to.port}, told);
-    drop(ticket);
-    if (late) co_return Connected{asio::error::timed_out, nullptr};
-    if (broken) co_return Connected{broken, nullptr};
-    co_return Connected{{}, std::make_shared<SocketStream>(*this, std::move(*socket))};
+    cancel(ticket);
+    if (late) co_return ConnectResult{asio::error::timed_out, nullptr};
+    if (broken) co_return ConnectResult{broken, nullptr};
+    co_return ConnectResult{{}, std::make_shared<SocketStream>(*this, std::move(*socket))};
 }
 
-World::Listened RealWorld::listen(const Address& at) {
-    Listened out;
+EventLoop::ListenResult SocketEventLoop::listen(const Address& at) {
+    ListenResult out;
     const auto address = asio::ip::make_address(at.host, out.error);
     if (out.error) return out;
     const tcp::endpoint end(address, at.port);
@@ -220,49 +220,49 @@
     return out;
 }
 
-void RealWorld::run() {
+void SocketEventLoop::run() {
     context_.run();
     context_.restart();  // it may be run again after a stop
 }
 
-void RealWorld::stop() {
+void SocketEventLoop::stop() {
     context_.stop();
 }
 
-void RealWorld::arm(Time when) {
+void SocketEventLoop::arm(Time when) {
     timer_.expires_at(start_ + when);
     timer_.async_wait([this](Error error) {
         if (error) return;  // armed anew for something earlier
-        if (is_behind()) note_behind();
-        run_due_after(is_behind() ? input_rounds : 0);
+        if (is_lagging()) note_lag();
+        run_due_after(is_lagging() ? input_rounds : 0);
     });
 }
 
 // Where this thread stood still, much may have come that makes what is due untrue: a request on a connection that would
 // be closed as idle, an answer to what would count as silent, the end of a client.
-void RealWorld::run_due_after(int rounds) {
+void SocketEventLoop::run_due_after(int rounds) {
     if (rounds > 0) {
         asio::post(context_, [this, rounds] { run_due_after(rounds - 1); });
         return;
     }
-    if (const Time next = run_due(now()); next != Time::max()) arm(next);
+    if (const Time next = run_timers(now()); next != Time::max()) arm(next);
 }
 
-void RealWorld::on_end_signal(std::function<void()> what) {
+void SocketEventLoop::on_termination(std::function<void()> what) {
     on_signals({SIGTERM, SIGINT}, std::move(what));
 }
 
-void RealWorld::on_signal(int number, std::function<void()> what) {
+void SocketEventLoop::on_signal(int number, std::function<void()> what) {
     on_signals({number}, std::move(what));
 }
 
-void RealWorld::on_signals(const std::vector<int>& numbers, std::function<void()> what) {
+void SocketEventLoop::on_signals(const std::vector<int>& numbers, std::function<void()> what) {
     auto signals = std::make_unique<asio::signal_set>(context_);
     for (const int each : numbers) signals->add(each);
     spawn(watch_signals(std::move(signals), std::move(what)));
 }
 
-Task<> RealWorld::watch_signals(std::unique_ptr<asio::signal_set> signals, std::function<void()> what) {
+Task<> SocketEventLoop::watch_signals(std::unique_ptr<asio::signal_set> signals, std::function<void()> what) {
     for (;;) {
         const auto [error, number] = co_await signals->async_wait(told);
         if (error) co_return;
@@ -270,11 +270,11 @@
     }
 }
 
-void RealWorld::on_input_line(std::function<void(std::optional<std::string>)> what) {
+void SocketEventLoop::on_input_line(std::function<void(std::optional<std::string>)> what) {
     spawn(read_input(std::move(what)));
 }
 
-Task<> RealWorld::read_input(std::function<void(std::optional<std::string>)> what) {
+Task<> SocketEventLoop::read_input(std::function<void(std::optional<std::string>)> what) {
     asio::posix::stream_descriptor input(context_, ::dup(STDIN_FILENO));
     std::string text;
     for (;;) {
@@ -287,23 +287,23 @@
     what(std::nullopt);
 }
 
-SignalHold::SignalHold(std::initializer_list<int> numbers) {
+SignalBlock::SignalBlock(std::initializer_list<int> numbers) {
     sigset_t held;
     ::sigemptyset(&held);
     for (const int each : numbers) ::sigaddset(&held, each);
     ::pthread_sigmask(SIG_BLOCK, &held, &before_);
 }
 
-SignalHold::~SignalHold() {
+SignalBlock::~SignalBlock() {
     release();
 }
 
-void SignalHold::release() {
+void SignalBlock::release() {
     if (std::exchange(released_, true)) return;
     ::pthread_sigmask(SIG_SETMASK, &before_, nullptr);
 }
 
-std::string holder_of(std::uint16_t port) {
+std::string listening_process(std::uint16_t port) {
     namespace fs = std::filesystem;
     std::string inode;
     for (const char* table : {"/proc/net/tcp", "/proc/net/tcp6"}) {
@@ -336,7 +336,7 @@
     return {};
 }
 
-Time common_clock() {
+Time machine_clock() {
     return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
--- a/src/net/real.hpp
+++ b/src/net/socket_event_loop.hpp
@@ -8,24 +8,24 @@
 #include <string>
 #include <vector>
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::net {
 
-class RealWorld : public World {
+class SocketEventLoop : public EventLoop {
 public:
-    RealWorld();
-    ~RealWorld() override;
+    SocketEventLoop();
+    ~SocketEventLoop() override;
     Time now() const override;
-    Time wall() const override;
+    Time wall_clock() const override;
     asio::any_io_executor executor() override { return context_.get_executor(); }
-    Task<Connected> connect(Address to, Time limit) override;
-    Listened listen(const Address& at) override;
+    Task<ConnectResult> connect(Address to, Time limit) override;
+    ListenResult listen(const Address& at) override;
 
     void run();   // until stop() or nothing is left to do
     void stop();  // what still waits is destroyed with the world
     // Tells of SIGTERM and SIGINT, each time; or of one signal.
-    void on_end_signal(std::function<void()> what);
+    void on_termination(std::function<void()> what);
     void on_signal(int number, std::function<void()> what);
     // Feeds lines of the standard input; an empty optional at its end.
     void on_input_line(std::function<void(std::optional<std::string>)> what);
@@ -45,12 +45,12 @@
 
 // Keeps signals pending, in this thread and those that it starts, until somebody catches them: one that comes while a
 // program starts would end it, or be lost.
-class SignalHold {
+class SignalBlock {
 public:
-    explicit SignalHold(std::initializer_list<int> numbers);
-    ~SignalHold();
-    SignalHold(const SignalHold&) = delete;
-    SignalHold& operator=(const SignalHold&) = delete;
+    explicit SignalBlock(std::initializer_list<int> numbers);
+    ~SignalBlock();
+    SignalBlock(const SignalBlock&) = delete;
+    SignalBlock& operator=(const SignalBlock&) = delete;
     void release();
 
 private:
@@ -59,9 +59,9 @@
 };
 
 // Which process listens on the port: "pid 123 (plumkeel)", or empty where that can't be seen.
-std::string holder_of(std::uint16_t port);
+std::string listening_process(std::uint16_t port);
 
 // The machine's monotonic clock, shared by all processes on it: for records that are laid side by side.
-Time common_clock();
+Time machine_clock();
 
 }  // namespace plumkeel::net
--- a/src/net/usage.hpp
+++ b/src/net/usage.hpp
@@ -1,7 +1,7 @@
 // What this process takes of its machine.
 #pragma once
 
-#include "net/world.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::net {
 
--- a/src/orca/orca.cpp
+++ b/src/orca/orca.cpp
@@ -17,14 +17,14 @@
     return text;
 }
 
-void note(Report& report, std::string_view name, double value) {
+void note(LoadReport& report, std::string_view name, double value) {
     if (!std::isfinite(value) || value < 0) return;
-    if (name == held_name) report.held = value;
+    if (name == held_name) report.in_flight = value;
     if (name == queued_name) report.queued = value;
 }
 
-Report read_text(std::string_view rest) {
-    Report report;
+LoadReport read_text(std::string_view rest) {
+    LoadReport report;
     while (!rest.empty()) {
         const auto comma = rest.find(',');
         std::string_view pair = trimmed(rest.substr(0, comma));
@@ -40,8 +40,8 @@
     return report;
 }
 
-Report read_json(std::string_view rest) {
-    Report report;
+LoadReport read_json(std::string_view rest) {
+    LoadReport report;
     boost::system::error_code error;
     const auto value = boost::json::parse({rest.data(), rest.size()}, error);
     if (error || !value.is_object()) return report;
@@ -54,18 +54,18 @@
 
 }  // namespace
 
-Report read(std::string_view value) {
+LoadReport read(std::string_view value) {
     value = trimmed(value);
     if (value.starts_with("TEXT ")) return read_text(value.substr(5));
     if (value.starts_with("JSON ")) return read_json(value.substr(5));
     return {};
 }
 
-std::string write(const Report& report) {
+std::string write(const LoadReport& report) {
     std::string out = "TEXT ";
-    if (report.held) out += fmt::format("named_metrics.{}={:g}", held_name, *report.held);
+    if (report.in_flight) out += fmt::format("named_metrics.{}={:g}", held_name, *report.in_flight);
     if (report.queued)
-        out += fmt::format("{}named_metrics.{}={:g}", report.held ? ", " : "", queued_name, *report.queued);
+        out += fmt::format("{}named_metrics.{}={:g}", report.in_flight ? ", " : "", queued_name, *report.queued);
     return out;
 }
 
--- a/src/orca/orca.hpp
+++ b/src/orca/orca.hpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <string_view>
 
-#include "dispatch/types.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel::orca {
 
 constexpr const char* header = "endpoint-load-metrics";
 
 // Figures that are missing, no numbers, negative or not finite are left out; a form not known tells nothing.
-Report read(std::string_view value);
-std::string write(const Report& report);
+LoadReport read(std::string_view value);
+std::string write(const LoadReport& report);
 
 }  // namespace plumkeel::orca
--- a/src/settings/fields.hpp
+++ b/src/platform_settings/fields.hpp
@@ -7,12 +7,12 @@
 #include <stdexcept>
 #include <string>
 
-namespace plumkeel::settings {
+namespace plumkeel::platform_settings {
 
 using nlohmann::json;
 using Time = std::chrono::microseconds;
 
-struct Fault : std::runtime_error {
+struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -27,7 +27,7 @@
     try {
         return it->get<T>();
     } catch (const json::exception&) {
-        throw Fault(std::string("field '") + key + "' is of the wrong type");
+        throw SettingsError(std::string("field '") + key + "' is of the wrong type");
     }
 }
 
@@ -38,7 +38,7 @@
 
 template <class T>
 T need(const json& object, const char* key) {
-    if (!has(object, key)) throw Fault(std::string("field '") + key + "' is missing");
+    if (!has(object, key)) throw SettingsError(std::string("field '") + key + "' is missing");
     return get<T>(object, key);
 }
 
@@ -46,7 +46,7 @@
     if (!has(object, key)) return otherwise;
     constexpr double longest_ms = 1e12;  // what comes beyond it fits no clock
     const auto ms = get<double>(object, key);
-    if (!(ms >= 0 && ms <= longest_ms)) throw Fault(std::string("field '") + key + "' is no span of time");
+    if (!(ms >= 0 && ms <= longest_ms)) throw SettingsError(std::string("field '") + key + "' is no span of time");
     return from_ms(ms);
 }
 
@@ -54,8 +54,8 @@
     static const json nothing = json::object();
     const auto it = object.find(key);
     if (it == object.end() || it->is_null()) return nothing;
-    if (!it->is_object()) throw Fault(std::string("field '") + key + "' is no object");
+    if (!it->is_object()) throw SettingsError(std::string("field '") + key + "' is no object");
     return *it;
 }
 
-}  // namespace plumkeel::settings
+}  // namespace plumkeel::platform_settings
--- a/src/remote/spool.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -1,4 +1,4 @@
-#include "remote/spool.hpp"
+#include "remote_write/durable_queue.hpp"
 
 #include <fcntl.h>
 #include <lmdb.h>
@@ -11,11 +11,11 @@
 #include <filesystem>
 #include <utility>
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 namespace {
 
 void check(int rc, const char* what) {
-    if (rc != MDB_SUCCESS) throw SpoolFault(std::string(what) + ": " + mdb_strerror(rc));
+    if (rc != MDB_SUCCESS) throw QueueError(std::string(what) + ": " + mdb_strerror(rc));
 }
 
 void put_number(std::string& out, std::uint64_t value) {
@@ -55,13 +55,13 @@
 
 }  // namespace
 
-struct Spool::Store {
+struct DurableQueue::Store {
     const std::string folder;
     const std::size_t most_bytes;
     MDB_env* env{};
     MDB_dbi entries{}, places{};
 
-    explicit Store(const SpoolRules& rules) : folder(rules.folder), most_bytes(rules.bytes) {
+    explicit Store(const QueueConfig& rules) : folder(rules.folder), most_bytes(rules.max_bytes) {
         std::error_code error;
         std::filesystem::create_directories(folder, error);
         open();
@@ -75,7 +75,7 @@
         // takes is synced there.
         if (const int rc = mdb_env_open(env, folder.c_str(), MDB_NOSYNC, 0640)) {
             close();
-            throw SpoolFault(folder + ": " + mdb_strerror(rc));
+            throw QueueError(folder + ": " + mdb_strerror(rc));
         }
     }
     void close() {
@@ -132,13 +132,13 @@
     void write_anew() {
         const std::filesystem::path now = std::filesystem::path(folder) / "data.mdb", fresh = now.string() + ".new";
         const Descriptor file(::open(fresh.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0640));
-        if (file.number < 0) throw SpoolFault(fresh.string() + ": " + std::strerror(errno));
+        if (file.number < 0) throw QueueError(fresh.string() + ": " + std::strerror(errno));
         check(mdb_env_copyfd2(env, file.number, MDB_CP_COMPACT), "the spool can't be written anew");
         sync(file, fresh);
         close();
         std::error_code error;
         std::filesystem::rename(fresh, now, error);
-        if (error) throw SpoolFault(now.string() + ": " + error.message());
+        if (error) throw QueueError(now.string() + ": " + error.message());
         sync(Descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)), folder);
     }
 
@@ -151,11 +151,11 @@
         const int number;
     };
     static void sync(const Descriptor& file, const std::filesystem::path& path) {
-        if (file.number < 0 || ::fsync(file.number) != 0) throw SpoolFault(path.string() + ": " + std::strerror(errno));
+        if (file.number < 0 || ::fsync(file.number) != 0) throw QueueError(path.string() + ": " + std::strerror(errno));
     }
 };
 
-Spool::Spool(SpoolRules rules, const std::vector<std::string>& receivers) : rules_(std::move(rules)), store_(std::make_unique<Store>(rules_)) {
+DurableQueue::DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers) : config_(std::move(rules)), store_(std::make_unique<Store>(config_)) {
     Store::Txn txn(store_->env, 0);
     store_->open_tables(txn, MDB_CREATE);
     MDB_cursor* cursor{};
@@ -166,16 +166,16 @@
         if (k.size() != 9 || v.size() < entry_head) continue;
         const auto sequence = get_number(k, 0);
         const auto part = static_cast<std::size_t>(static_cast<unsigned char>(k[8]));
-        Scrape& scrape = scrapes_[sequence];
+        Entry& scrape = entries_[sequence];
         scrape.at_ms = static_cast<std::int64_t>(get_number(v, 0));
-        scrape.samples.resize(std::max<std::size_t>(part + 1, static_cast<std::size_t>(rules_.parts)));
+        scrape.samples.resize(std::max<std::size_t>(part + 1, static_cast<std::size_t>(config_.shards)));
         scrape.samples[part] = static_cast<std::uint32_t>(get_number(v, 8));
         scrape.bytes += v.size();
         bytes_ += v.size();
         end_ = std::max(end_, sequence + 1);
     }
     mdb_cursor_close(cursor);
-    for (const std::string& name : receivers) places_[name].assign(static_cast<std::size_t>(rules_.parts), 0);
+    for (const std::string& name : receivers) positions_[name].assign(static_cast<std::size_t>(config_.shards), 0);
     std::vector<std::string> strangers;
     std::uint64_t wrong_parts = 0;
     check(mdb_cursor_open(txn.txn, store_->places, &cursor), "the spool's places");
@@ -188,21 +188,21 @@
             if (k == "end") end_ = std::max(end_, number);
             if (k == "dropped") dropped_ = number;
             if (k == "newest") newest_ms_ = static_cast<std::int64_t>(number);
-            if (k == "parts" && number != static_cast<std::uint64_t>(rules_.parts) && !scrapes_.empty())
+            if (k == "parts" && number != static_cast<std::uint64_t>(config_.shards) && !entries_.empty())
                 wrong_parts = number;
             continue;
         }
-        const auto it = places_.find(std::string(k.substr(0, split)));
+        const auto it = positions_.find(std::string(k.substr(0, split)));
         const auto part = static_cast<std::size_t>(std::atoi(std::string(k.substr(split + 1)).c_str()));
-        if (it == places_.end() || part >= it->second.size())
+        if (it == positions_.end() || part >= it->second.size())
             strangers.emplace_back(k);
         else
             it->second[part] = number;
     }
     mdb_cursor_close(cursor);
     if (wrong_parts)
-        throw SpoolFault(rules_.folder + ": holds samples in " + std::to_string(wrong_parts) + " parts: send them with that number, or take another folder");
-    store_->put_figure(txn, "parts", static_cast<std::uint64_t>(rules_.parts));
+        throw QueueError(config_.folder + ": holds samples in " + std::to_string(wrong_parts) + " parts: send them with that number, or take another folder");
+    store_->put_figure(txn, "parts", static_cast<std::uint64_t>(config_.shards));
     for (const std::string& each : strangers) {
         MDB_val k = value_of(each);
         mdb_del(txn.txn, store_->places, &k, nullptr);
@@ -210,21 +210,21 @@
     txn.commit();
 }
 
-Spool::~Spool() {
+DurableQueue::~DurableQueue() {
     try {
         if (damaged_) repair();
-    } catch (const SpoolFault&) {
+    } catch (const QueueError&) {
         // The disk still fails: the next run may find a scrape that was not taken.
     }
     if (store_->env) mdb_env_sync(store_->env, 1);
 }
 
 template <class Work>
-void Spool::guarded(Work work) {
+void DurableQueue::guarded(Work work) {
     if (damaged_) repair();
     try {
         work();
-    } catch (const SpoolFault&) {
+    } catch (const QueueError&) {
         damaged_ = true;
         throw;
     }
@@ -233,7 +233,7 @@
 // After a sync that failed the kernel may count pages as clean that never reached the disk, and LMDB itself refuses all
 // work after a failed write of its meta page. So it is opened anew, brought in line with what is known here, and written
 // whole into a new file.
-void Spool::repair() {
+void DurableQueue::repair() {
     store_->open_again();
     {
         Store::Txn txn(store_->env, 0);
@@ -243,7 +243,7 @@
         check(mdb_cursor_open(txn.txn, store_->entries, &cursor), "the spool's entries");
         while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == MDB_SUCCESS) {
             const std::string_view k = text_of(key);
-            if (k.size() != 9 || !scrapes_.count(get_number(k, 0))) strangers.emplace_back(k);
+            if (k.size() != 9 || !entries_.count(get_number(k, 0))) strangers.emplace_back(k);
         }
         mdb_cursor_close(cursor);
         for (const std::string& each : strangers) {
@@ -253,7 +253,7 @@
         store_->put_figure(txn, "end", end_);
         store_->put_figure(txn, "newest", static_cast<std::uint64_t>(newest_ms_));
         store_->put_figure(txn, "dropped", dropped_);
-        for (const auto& [name, all] : places_)
+        for (const auto& [name, all] : positions_)
             for (std::size_t part = 0; part < all.size(); ++part) store_->put_place(txn, name, static_cast<int>(part), all[part]);
         txn.commit();
     }
@@ -262,8 +262,8 @@
     damaged_ = false;
 }
 
-void Spool::append(std::int64_t at_ms, const std::vector<Part>& parts) {
-    Scrape scrape{at_ms, 0, std::vector<std::uint32_t>(static_cast<std::size_t>(rules_.parts))};
+void DurableQueue::append(std::int64_t at_ms, const std::vector<Shard>& parts) {
+    Entry scrape{at_ms, 0, std::vector<std::uint32_t>(static_cast<std::size_t>(config_.shards))};
     std::vector<std::pair<std::string, std::string>> entries;
     for (std::size_t part = 0; part < parts.size(); ++part) {
         if (parts[part].samples == 0) continue;
@@ -281,23 +281,23 @@
     // Room first: the oldest go, whoever still wanted them.
     std::uint64_t keep_from = end_;
     std::size_t total = bytes_ + scrape.bytes;
-    for (const auto& [sequence, each] : scrapes_) {
-        if (total <= rules_.bytes && each.at_ms + rules_.age.count() >= at_ms) {
+    for (const auto& [sequence, each] : entries_) {
+        if (total <= config_.max_bytes && each.at_ms + config_.max_age.count() >= at_ms) {
             keep_from = sequence;
             break;
         }
         total -= each.bytes;
     }
     guarded([&] {
-        let_go_below(keep_from, true);
-        write_scrape(at_ms, entries);
+        release_below(keep_from, true);
+        write_entry(at_ms, entries);
     });
     bytes_ += scrape.bytes;
     newest_ms_ = at_ms;
-    scrapes_.emplace(end_++, std::move(scrape));
+    entries_.emplace(end_++, std::move(scrape));
 }
 
-void Spool::write_scrape(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries) {
+void DurableQueue::write_entry(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries) {
     Store::Txn txn(store_->env, 0);
     for (const auto& [key, value] : entries) store_->put(txn, store_->entries, key, value);
     store_->put_figure(txn, "end", end_ + 1);
@@ -306,14 +306,14 @@
     check(mdb_env_sync(store_->env, 1), "the spool is not on disk");
 }
 
-Spool::Batch Spool::read(const std::string& receiver, int part, std::size_t most) {
+DurableQueue::Batch DurableQueue::read(const std::string& receiver, int part, std::size_t most) {
     Batch batch;
     const auto index = static_cast<std::size_t>(part);
-    batch.next = places_.at(receiver)[index];
+    batch.next = positions_.at(receiver)[index];
     // What is known here to be kept can be read from a damaged file too: a disk that takes nothing stops no sending.
     if (damaged_ && !store_->can_read()) repair();
     Store::Txn txn(store_->env, MDB_RDONLY);
-    for (auto it = scrapes_.lower_bound(batch.next); it != scrapes_.end(); ++it) {
+    for (auto it = entries_.lower_bound(batch.next); it != entries_.end(); ++it) {
         const std::uint32_t samples = it->second.samples[index];
         if (batch.samples > 0 && batch.samples + samples > most) break;
         batch.next = it->first + 1;
@@ -334,8 +334,8 @@
     return batch;
 }
 
-void Spool::advance(const std::string& receiver, int part, std::uint64_t next) {
-    std::uint64_t& place = places_.at(receiver)[static_cast<std::size_t>(part)];
+void DurableQueue::advance(const std::string& receiver, int part, std::uint64_t next) {
+    std::uint64_t& place = positions_.at(receiver)[static_cast<std::size_t>(part)];
     if (next <= place) return;
     place = next;
     guarded([&] {
@@ -344,39 +344,39 @@
         txn.commit();
     });
     std::uint64_t least = end_;
-    for (const auto& [name, all] : places_)
+    for (const auto& [name, all] : positions_)
         for (const std::uint64_t each : all) least = std::min(least, each);
-    guarded([&] { let_go_below(least, false); });
+    guarded([&] { release_below(least, false); });
 }
 
-void Spool::let_go_below(std::uint64_t sequence, bool dropping) {
-    if (scrapes_.empty() || scrapes_.begin()->first >= sequence) return;
+void DurableQueue::release_below(std::uint64_t sequence, bool dropping) {
+    if (entries_.empty() || entries_.begin()->first >= sequence) return;
     Store::Txn txn(store_->env, 0);
-    while (!scrapes_.empty() && scrapes_.begin()->first < sequence) {
-        const auto& [number, scrape] = *scrapes_.begin();
+    while (!entries_.empty() && entries_.begin()->first < sequence) {
+        const auto& [number, scrape] = *entries_.begin();
         for (std::size_t part = 0; part < scrape.samples.size(); ++part) {
             if (scrape.samples[part] == 0) continue;
             const std::string key = key_of(number, static_cast<int>(part));
             MDB_val k = value_of(key);
             mdb_del(txn.txn, store_->entries, &k, nullptr);
             if (!dropping) continue;
-            for (const auto& [name, all] : places_)  // once for each receiver that had not taken it
+            for (const auto& [name, all] : positions_)  // once for each receiver that had not taken it
                 if (all[part] <= number) dropped_ += scrape.samples[part];
         }
         bytes_ -= scrape.bytes;
-        scrapes_.erase(scrapes_.begin());
+        entries_.erase(entries_.begin());
     }
     if (dropping) store_->put_figure(txn, "dropped", dropped_);
     txn.commit();
 }
 
-std::uint64_t Spool::waiting(const std::string& receiver) const {
+std::uint64_t DurableQueue::waiting(const std::string& receiver) const {
     std::uint64_t sum = 0;
-    const auto& all = places_.at(receiver);
-    for (const auto& [number, scrape] : scrapes_)
+    const auto& all = positions_.at(receiver);
+    for (const auto& [number, scrape] : entries_)
         for (std::size_t part = 0; part < all.size(); ++part)
             if (all[part] <= number) sum += scrape.samples[part];
     return sum;
 }
 
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/src/remote/spool.hpp
+++ b/src/remote_write/durable_queue.hpp
@@ -10,33 +10,33 @@
 #include <string>
 #include <vector>
 
-#include "remote/series.hpp"
+#include "remote_write/series.hpp"
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 
-struct SpoolRules {
+struct QueueConfig {
     std::string folder;
-    std::size_t bytes = 256 * 1024 * 1024;                  // of waiting samples, packed; then the oldest are dropped
-    std::chrono::milliseconds age = std::chrono::hours(6);  // and those older than this
-    int parts = 4;
+    std::size_t max_bytes = 256 * 1024 * 1024;                  // of waiting samples, packed; then the oldest are dropped
+    std::chrono::milliseconds max_age = std::chrono::hours(6);  // and those older than this
+    int shards = 4;
 };
 
-struct SpoolFault : std::runtime_error {
+struct QueueError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-class Spool {
+class DurableQueue {
 public:
     // Throws SpoolFault where the folder can't be used, or holds samples in another number of parts: a series would
     // change its part, and newer samples overtake older ones. Places of receivers not named are let go of.
-    Spool(SpoolRules rules, const std::vector<std::string>& receivers);
-    ~Spool();
-    Spool(const Spool&) = delete;
+    DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers);
+    ~DurableQueue();
+    DurableQueue(const DurableQueue&) = delete;
 
     // One scrape; on disk when it returns. Throws SpoolFault where the disk does not take it: nothing of it is kept. After
     // that the next call that writes, or the end, first writes all that is kept anew, into a new file; only if the process
     // is killed before may the next run find the scrape all the same.
-    void append(std::int64_t at_ms, const std::vector<Part>& parts);
+    void append(std::int64_t at_ms, const std::vector<Shard>& parts);
 
     struct Batch {
         std::string bytes;
@@ -57,23 +57,23 @@
     std::int64_t newest_ms() const { return newest_ms_; }  // of all that was ever appended
 
 private:
-    void write_scrape(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries);
-    void let_go_below(std::uint64_t sequence, bool dropped);
+    void write_entry(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries);
+    void release_below(std::uint64_t sequence, bool dropped);
     // Does the work; where the disk fails the spool is damaged from then on.
     template <class Work>
     void guarded(Work work);
     void repair();
 
-    const SpoolRules rules_;
+    const QueueConfig config_;
     struct Store;
     std::unique_ptr<Store> store_;
-    struct Scrape {
+    struct Entry {
         std::int64_t at_ms{};
         std::size_t bytes{};
         std::vector<std::uint32_t> samples;  // by part
     };
-    std::map<std::uint64_t, Scrape> scrapes_;  // what waits, by its number
-    std::map<std::string, std::vector<std::uint64_t>> places_;
+    std::map<std::uint64_t, Entry> entries_;  // what waits, by its number
+    std::map<std::string, std::vector<std::uint64_t>> positions_;
     std::uint64_t end_{};
     bool damaged_{};  // a write or a sync has failed: what the file holds is not known
     std::size_t bytes_{};
@@ -81,4 +81,4 @@
     std::int64_t newest_ms_{};
 };
 
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/src/remote/series.cpp
+++ b/src/remote_write/series.cpp
@@ -1,4 +1,4 @@
-#include "remote/series.hpp"
+#include "remote_write/series.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 
 #include "write.pb.h"
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 namespace {
 
 constexpr std::uint64_t stale_bits = 0x7ff0000000000002;  // as published
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::vector<Sample> flat(const std::vector<prometheus::MetricFamily>& families) {
+std::vector<Sample> flatten(const std::vector<prometheus::MetricFamily>& families) {
     std::vector<Sample> out;
     for (const auto& family : families)
         for (const auto& metric : family.metric) {
@@ -46,8 +46,8 @@
     return out;
 }
 
-double stale_mark() { return std::bit_cast<double>(stale_bits); }
-bool is_stale_mark(double value) { return std::bit_cast<std::uint64_t>(value) == stale_bits; }
+double stale_marker() { return std::bit_cast<double>(stale_bits); }
+bool is_stale_marker(double value) { return std::bit_cast<std::uint64_t>(value) == stale_bits; }
 
 std::int64_t SampleClock::ms(Time wall, Time now) {
     constexpr Time far = std::chrono::seconds(5);
@@ -56,15 +56,15 @@
     return last_;
 }
 
-std::vector<Part> Scraper::scrape(const std::vector<Sample>& samples, std::int64_t at_ms) {
-    std::vector<Part> out(static_cast<std::size_t>(parts_));
+std::vector<Shard> SeriesEncoder::encode(const std::vector<Sample>& samples, std::int64_t at_ms) {
+    std::vector<Shard> out(static_cast<std::size_t>(shards_));
     ++scrapes_;
     wire::Sample sample;
     sample.set_timestamp(at_ms);
     const auto put = [&](const Known& known, double value) {
         sample.set_value(value);
         const std::string packed = sample.SerializeAsString();
-        Part& part = out[known.part];
+        Shard& part = out[known.part];
         // Field 1 of the request, a series: its labels as kept, then field 2, its one sample.
         const std::size_t length = known.labels.size() + 2 + packed.size();  // a sample is under 128 bytes
         part.bytes.push_back(0x0a);
@@ -89,7 +89,7 @@
                 label->set_value(value);
                 key += name + '\xff' + value + '\xff';
             }
-            Known fresh{series.SerializeAsString(), XXH3_64bits(key.data(), key.size()) % static_cast<std::size_t>(parts_), 0};
+            Known fresh{series.SerializeAsString(), XXH3_64bits(key.data(), key.size()) % static_cast<std::size_t>(shards_), 0};
             it = known_.emplace(each.labels, std::move(fresh)).first;
         }
         if (it->second.seen == scrapes_) continue;  // told twice in one scrape: only the first can be sent
@@ -98,10 +98,10 @@
     }
     std::erase_if(known_, [&](const auto& each) {
         if (each.second.seen == scrapes_) return false;
-        put(each.second, stale_mark());
+        put(each.second, stale_marker());
         return true;
     });
     return out;
 }
 
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/src/remote/series.hpp
+++ b/src/remote_write/series.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 
 using Time = std::chrono::microseconds;
 using Labels = std::vector<std::pair<std::string, std::string>>;  // sorted by name, __name__ among them
@@ -21,11 +21,11 @@
 };
 
 // Histograms become their buckets, sum and count.
-std::vector<Sample> flat(const std::vector<prometheus::MetricFamily>& families);
+std::vector<Sample> flatten(const std::vector<prometheus::MetricFamily>& families);
 
 // A NaN of its own that tells that a series has ended.
-double stale_mark();
-bool is_stale_mark(double value);
+double stale_marker();
+bool is_stale_marker(double value);
 
 // The moments of samples: wall time that never goes back, whatever the machine's clock does. It follows the
 // monotonic clock from its start, and jumps forward where wall time is far ahead.
@@ -41,17 +41,17 @@
     std::int64_t last_;
 };
 
-struct Part {
+struct Shard {
     std::string bytes;  // a WriteRequest; two of them, one behind the other, are one as well
     std::uint32_t samples{};
 };
 
-class Scraper {
+class SeriesEncoder {
 public:
-    explicit Scraper(int parts) : parts_(parts) {}
+    explicit SeriesEncoder(int parts) : shards_(parts) {}
     // A series is always in the same part. What was in the last scrape and is not in this one gets its mark.
-    std::vector<Part> scrape(const std::vector<Sample>& samples, std::int64_t at_ms);
-    std::vector<Part> end(std::int64_t at_ms) { return scrape({}, at_ms); }
+    std::vector<Shard> encode(const std::vector<Sample>& samples, std::int64_t at_ms);
+    std::vector<Shard> encode_end(std::int64_t at_ms) { return encode({}, at_ms); }
     std::size_t series() const { return known_.size(); }
 
 private:
@@ -60,9 +60,9 @@
         std::size_t part{};
         std::uint64_t seen{};
     };
-    const int parts_;
+    const int shards_;
     std::uint64_t scrapes_{};
     std::map<Labels, Known> known_;
 };
 
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/src/dispatch/belief_table.hpp
+++ b/src/scheduler/cached_function_table.hpp
@@ -12,16 +12,16 @@
 
 struct Invoker;
 
-struct Belief {
+struct CachedFunction {
     Invoker* invoker{};
-    std::chrono::microseconds until{};  // it lapses then
-    int out{};                          // own attempts of the function there
+    std::chrono::microseconds expires_at{};  // it lapses then
+    int in_flight{};                          // own attempts of the function there
     int copies{};                       // thought to stand there
-    int peak{};                         // most own attempts there at once, lately
-    std::chrono::microseconds peaked{};
+    int peak_in_flight{};                         // most own attempts there at once, lately
+    std::chrono::microseconds peak_at{};
 };
 
-class BeliefTable {
+class CachedFunctionTable {
 public:
     std::size_t size() const { return all_.size(); }
     bool empty() const { return all_.empty(); }
@@ -29,28 +29,28 @@
     auto end() { return all_.end(); }
     auto begin() const { return all_.begin(); }
     auto end() const { return all_.end(); }
-    Belief& operator[](std::size_t position) { return all_[position]; }
+    CachedFunction& operator[](std::size_t position) { return all_[position]; }
 
     // Null where there is none. Pointers hold until the next add() or erase_if().
-    Belief* find(const Invoker& invoker) {
+    CachedFunction* find(const Invoker& invoker) {
         if (positions_) {
             const auto found = positions_->find(&invoker);
             return found == positions_->end() ? nullptr : &all_[found->second];
         }
-        for (Belief& belief : all_)
-            if (belief.invoker == &invoker) return &belief;
+        for (CachedFunction& cached : all_)
+            if (cached.invoker == &invoker) return &cached;
         return nullptr;
     }
 
     // There must be none for this invoker yet.
-    Belief& add(Invoker& invoker) {
-        Belief& belief = all_.emplace_back();
-        belief.invoker = &invoker;
+    CachedFunction& add(Invoker& invoker) {
+        CachedFunction& cached = all_.emplace_back();
+        cached.invoker = &invoker;
         if (positions_)
             positions_->emplace(&invoker, static_cast<std::uint32_t>(all_.size() - 1));
         else if (all_.size() > scanned_at_most)
             index();
-        return belief;
+        return cached;
     }
 
     // `gone` is called once for each, and says whether it is taken out.
@@ -73,7 +73,7 @@
             positions_->emplace(all_[i].invoker, static_cast<std::uint32_t>(i));
     }
 
-    std::vector<Belief> all_;
+    std::vector<CachedFunction> all_;
     std::unique_ptr<Positions> positions_;  // only where there are many
 };
 
--- a/src/dispatch/function_table.hpp
+++ b/src/scheduler/function_table.hpp
@@ -19,11 +19,11 @@
 struct Function;
 
 // Kept by the table in each function.
-struct FunctionPlace {
+struct FunctionTableEntry {
     std::uint64_t number{};  // in the order in which functions were met, from 1
     std::list<Function*>::iterator recency;
     bool called_again{};
-    std::chrono::microseconds check_at = std::chrono::microseconds::max();
+    std::chrono::microseconds review_at = std::chrono::microseconds::max();
 };
 
 class FunctionTable {
@@ -38,14 +38,14 @@
     void called_again(Function& function);
     // The least recently called of those called once, where these are over the stated number, else of the others; null
     // where there is none.
-    Function* oldest(std::size_t once_at_most) const;
+    Function* eviction_candidate(std::size_t once_at_most) const;
     // As if it had just been called: it is in use.
-    void spare(Function& function);
+    void touch(Function& function);
 
     // Has its beliefs and disuse looked at no later than then.
-    void check(Function& function, Moment at);
+    void schedule_review(Function& function, Moment at);
     // Takes those due from the list of checks; in the order in which they were met.
-    std::vector<Function*> take_due(Moment now);
+    std::vector<Function*> take_due_reviews(Moment now);
 
     // Small sets, in the order in which functions were met.
     class Set {
@@ -56,13 +56,13 @@
     private:
         std::map<Number, Function*> members_;
     };
-    Set waiting;  // their clock for parked requests runs
+    Set with_parked;  // their clock for parked requests runs
     Set loading;  // their one load is out
-    Set spread;   // with beliefs of several invokers
+    Set replicated;   // with beliefs of several invokers
 
 private:
     std::list<Function*> once_, again_;
-    std::map<std::pair<Moment, Number>, Function*> checks_;
+    std::map<std::pair<Moment, Number>, Function*> reviews_;
     Number numbers_{};
 };
 
--- a/src/dispatch/placement_index.cpp
+++ b/src/scheduler/placement_index.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/placement_index.hpp"
+#include "scheduler/placement_index.hpp"
 
 #include <algorithm>
 #include <boost/sort/spreadsort/float_sort.hpp>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <optional>
 
-#include "dispatch/hash.hpp"
+#include "scheduler/hash.hpp"
 
 namespace plumkeel {
 namespace {
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -7,64 +7,64 @@
 #include <string>
 #include <unordered_map>
 
-#include "settings/settings.hpp"
+#include "platform_settings/settings.hpp"
 #ifdef PLUMKEEL_TRACED
-#include "simhost/traced.hpp"
+#include "simulator_adapter/traced.hpp"
 #else
-#include "simhost/plain.hpp"
+#include "simulator_adapter/plain.hpp"
 #endif
 
 namespace {
 
 using namespace plumkeel;
-using settings::Fault;
-using settings::from_ms;
-using settings::get;
-using settings::has;
-using settings::json;
-using settings::need;
-using settings::span;
+using platform_settings::SettingsError;
+using platform_settings::from_ms;
+using platform_settings::get;
+using platform_settings::has;
+using platform_settings::json;
+using platform_settings::need;
+using platform_settings::span;
 
 double to_ms(Time t) {
     return static_cast<double>(t.count()) / 1000.0;
 }
 
-Ending ending_of(const std::string& word) {
-    if (word == "completed") return Ending::honoured;
-    if (word == "saturated") return Ending::turned_away;
-    if (word == "refused_conn") return Ending::unreachable;
-    if (word == "superseded") return Ending::never_sent;
-    if (word == "lookup_miss") return Ending::not_loaded;
-    if (word == "overdue") return Ending::overdue;
-    if (word == "severed") return Ending::cut_off;
-    if (word == "recalled") return Ending::called_off;
-    return Ending::errored;  // the wire's own word, or one not known here: nothing is proven
+AttemptOutcome ending_of(const std::string& word) {
+    if (word == "completed") return AttemptOutcome::succeeded;
+    if (word == "saturated") return AttemptOutcome::rejected;
+    if (word == "refused_conn") return AttemptOutcome::unreachable;
+    if (word == "superseded") return AttemptOutcome::never_sent;
+    if (word == "lookup_miss") return AttemptOutcome::load_failed;
+    if (word == "overdue") return AttemptOutcome::timed_out;
+    if (word == "severed") return AttemptOutcome::connection_lost;
+    if (word == "recalled") return AttemptOutcome::cancelled;
+    return AttemptOutcome::failed;  // the wire's own word, or one not known here: nothing is proven
 }
 
-Note note_of(std::int64_t remark) {
+LoadEvent note_of(std::int64_t remark) {
     switch (remark % 8) {
         case 1:
-            return Note::stood_loaded;
+            return LoadEvent::was_loaded;
         case 2:
-            return Note::began_load;
+            return LoadEvent::started_load;
         case 3:
-            return Note::joined_load;
+            return LoadEvent::joined_load;
         case 4:
-            return Note::load_broke;
+            return LoadEvent::load_failed;
         default:
-            return Note::none;
+            return LoadEvent::none;
     }
 }
 
 class Instance {
 public:
     Instance(std::string who, Time clock, const json& hello) : who_(std::move(who)), start_(clock) {
-        const settings::Settings told = settings::read(settings::part(hello, "setup"));
-        use_cases_ = told.use_cases;
+        const platform_settings::PlatformSettings told = platform_settings::read(platform_settings::part(hello, "setup"));
+        use_cases_ = told.request_classes;
         tenants_ = told.tenants;
         fields_ = told.report_fields;
-        says_company_ = told.says_company;
-        controller_ = host(who_, start_, seed_of(hello), told.rulebook, told.allowances, use_cases_, tenants_);
+        says_company_ = told.reports_concurrency;
+        scheduler_ = host(who_, start_, seed_of(hello), told.safety_rules, told.capabilities, use_cases_, tenants_);
     }
 
     void event(const std::string& kind, const json& e, Time clock, const json* bank, json& actions) {
@@ -74,38 +74,38 @@
         } else if (kind == "DONE" || kind == "ACCEPTED") {
             const auto it = jobs_.find(need<std::uint64_t>(e, "txn"));
             const auto number = need<std::uint64_t>(e, "seq_no");
-            if (it == jobs_.end() || number >= it->second->hops.size()) return;
-            Hop& hop = it->second->hops[number];
-            if (!hop.out) return;
-            if (kind == "ACCEPTED") return carry_out(controller_->hop_accepted(now, hop), now, actions);
+            if (it == jobs_.end() || number >= it->second->attempts.size()) return;
+            Attempt& attempt = it->second->attempts[number];
+            if (!attempt.in_flight) return;
+            if (kind == "ACCEPTED") return carry_out(scheduler_->response_started(now, attempt), now, actions);
             const auto remark = get<std::int64_t>(e, "remark");
-            const int company = says_company_ ? static_cast<int>(remark / 8) : 0;
-            const Ending ending = ending_of(need<std::string>(e, "state_code"));
-            carry_out(controller_->hop_ended(now, hop, ending, note_of(remark), company, report(e)), now,
+            const int concurrent_requests = says_company_ ? static_cast<int>(remark / 8) : 0;
+            const AttemptOutcome ending = ending_of(need<std::string>(e, "state_code"));
+            carry_out(scheduler_->attempt_ended(now, attempt, ending, note_of(remark), concurrent_requests, report(e)), now,
                       actions);
             drop_if_closed(need<std::uint64_t>(e, "txn"));
         } else if (kind == "HANGUP") {
             const auto it = jobs_.find(need<std::uint64_t>(e, "txn"));
             if (it == jobs_.end()) return;
-            carry_out(controller_->client_left(now, *it->second), now, actions);
+            carry_out(scheduler_->client_disconnected(now, *it->second), now, actions);
             drop_if_closed(need<std::uint64_t>(e, "txn"));
         } else if (kind == "WAKEUP") {
             if (get<std::string>(e, "ref") != std::to_string(armings_)) return;  // an older timer
             armed_ = Time::max();
-            carry_out(controller_->wake(now), now, actions);
+            carry_out(scheduler_->wake(now), now, actions);
         } else if (kind == "DIRECTORY_UPDATE") {
             list(e, now, bank, actions);
         } else if (kind == "CHECK_RESULT") {
             Invoker* invoker = known(e);
             if (!invoker) return;
             const bool answered = need<std::string>(e, "state_code") == "completed";
-            carry_out(controller_->probe_answered(now, *invoker, answered, report(e)), now, actions);
+            carry_out(scheduler_->health_check_ended(now, *invoker, answered, report(e)), now, actions);
         } else if (kind == "LOAD_DONE") {
             Invoker* invoker = known(e);
             const auto it = functions_.find(need<std::string>(e, "function"));
             if (!invoker || it == functions_.end()) return;
-            const Ending ending = ending_of(need<std::string>(e, "state_code"));
-            carry_out(controller_->load_answered(now, *it->second, *invoker, ending, get<int>(e, "count")),
+            const AttemptOutcome ending = ending_of(need<std::string>(e, "state_code"));
+            carry_out(scheduler_->preload_ended(now, *it->second, *invoker, ending, get<int>(e, "count")),
                       now, actions);
         }
     }
@@ -120,32 +120,32 @@
 
     void take(const json& e, Time now, json& actions) {
         const auto use = use_cases_.find(need<std::string>(e, "cls"));
-        if (use == use_cases_.end()) throw Fault("a job of a use case that the settings do not name");
+        if (use == use_cases_.end()) throw SettingsError("a job of a use case that the settings do not name");
         const auto name = get<std::string>(e, "function");
         std::unique_ptr<Function>& function = functions_[name];
         if (!function) function = std::make_unique<Function>();
         function->name = name;
-        function->lanes = get<int>(e, "per_copy", 1);
-        if (has(e, "warm_ms")) function->told_load = span(e, "warm_ms");
+        function->concurrency = get<int>(e, "per_copy", 1);
+        if (has(e, "warm_ms")) function->declared_load_time = span(e, "warm_ms");
         const auto id = need<std::uint64_t>(e, "txn");
-        auto [it, fresh] = jobs_.try_emplace(id, std::make_unique<Job>());
-        if (!fresh) throw Fault("a job's id came twice");
-        Job& job = *it->second;
-        job.id = id;
-        job.use_case = &use->second;
-        job.function = function.get();
-        job.time_left = from_ms(need<double>(e, "time_left"));
-        job.again = get<bool>(e, "is_retry");
+        auto [it, fresh] = jobs_.try_emplace(id, std::make_unique<Request>());
+        if (!fresh) throw SettingsError("a job's id came twice");
+        Request& request = *it->second;
+        request.id = id;
+        request.request_class = &use->second;
+        request.function = function.get();
+        request.remaining = from_ms(need<double>(e, "time_left"));
+        request.is_client_retry = get<bool>(e, "is_retry");
         if (const auto tenant = e.find("user_group"); tenant != e.end() && tenant->is_string())
             if (const auto found = tenants_.find(tenant->get<std::string>()); found != tenants_.end())
-                job.tenant = &found->second;
-        carry_out(controller_->take(now, job), now, actions);
+                request.tenant = &found->second;
+        carry_out(scheduler_->submit(now, request), now, actions);
     }
 
     void list(const json& e, Time now, const json* bank, json& actions) {
         const auto mode = need<std::string>(e, "mode");
-        if (mode == "error") return carry_out(controller_->list_broke(now), now, actions);
-        if (!bank) throw Fault("a list refers to a bank that never came");
+        if (mode == "error") return carry_out(scheduler_->endpoint_stream_lost(now), now, actions);
+        if (!bank) throw SettingsError("a list refers to a bank that never came");
         std::vector<Invoker*> changed;
         for (const json& entry : *bank) {
             const auto name = need<std::string>(entry, "invoker");
@@ -153,20 +153,20 @@
             if (!invoker) invoker = std::make_unique<Invoker>();
             invoker->name = name;
             invoker->ready = get<std::string>(entry, "readiness") == "Ready";
-            invoker->units = get<double>(entry, "units", 1.0);
+            invoker->capacity = get<double>(entry, "units", 1.0);
             invoker->zone = get<std::string>(entry, "locality");
-            invoker->kind = &kinds_[get<std::string>(entry, "shape")];
+            invoker->type = &kinds_[get<std::string>(entry, "shape")];
             invoker->cell = get<int>(entry, "unit_group");
-            invoker->started.reset();
+            invoker->started_at.reset();
             if (const Time started = span(entry, "start_time"); started != Time{})
-                invoker->started = started - start_;
+                invoker->started_at = started - start_;
             changed.push_back(invoker.get());
         }
-        carry_out(controller_->fleet_changed(now, changed, mode != "diff"), now, actions);
+        carry_out(scheduler_->endpoints_changed(now, changed, mode != "diff"), now, actions);
     }
 
     void drop_if_closed(std::uint64_t id) {
-        if (const auto it = jobs_.find(id); it != jobs_.end() && it->second->closed()) jobs_.erase(it);
+        if (const auto it = jobs_.find(id); it != jobs_.end() && it->second->is_settled()) jobs_.erase(it);
     }
 
     Invoker* known(const json& e) {
@@ -174,50 +174,50 @@
         return it == invokers_.end() ? nullptr : it->second.get();
     }
 
-    Report report(const json& e) const {
-        Report out;
+    LoadReport report(const json& e) const {
+        LoadReport out;
         const auto it = e.find("gauge");
         if (it == e.end() || !it->is_array()) return out;
         for (std::size_t i = 0; i < it->size() && i < fields_.size(); ++i) {
             if (!(*it)[i].is_number()) continue;
-            settings::put_figure(out, fields_[i], (*it)[i].get<double>());
+            platform_settings::put_figure(out, fields_[i], (*it)[i].get<double>());
         }
         return out;
     }
 
-    void carry_out(const Results& results, Time now, json& actions) {
+    void carry_out(const Actions& results, Time now, json& actions) {
         auto act = [&](const char* kind) -> json& {
             actions.push_back({{"msg", kind}, {"who", who_}});
             return actions.back();
         };
-        if (results.follow_list) act("WATCH")["active"] = true;
-        for (const Hop* hop : results.called_off) {
+        if (results.subscribe_endpoints) act("WATCH")["active"] = true;
+        for (const Attempt* attempt : results.to_cancel) {
             json& a = act("STOP_ATTEMPT");
-            a["txn"] = hop->job->id;
-            a["seq_no"] = hop->number;
+            a["txn"] = attempt->request->id;
+            a["seq_no"] = attempt->number;
         }
-        for (const Job* job : results.answered) {
-            json& a = act(job->state == JobState::bounced ? "NOT_NOW" : "ERROR");
-            a["txn"] = job->id;
-            if (job->state == JobState::bounced && job->retry_after > Time{})
-                a["pause"] = to_ms(job->retry_after);
+        for (const Request* request : results.completed) {
+            json& a = act(request->state == RequestState::rejected ? "NOT_NOW" : "ERROR");
+            a["txn"] = request->id;
+            if (request->state == RequestState::rejected && request->retry_after > Time{})
+                a["pause"] = to_ms(request->retry_after);
         }
-        for (const Hop* hop : results.started) {
+        for (const Attempt* attempt : results.to_send) {
             json& a = act("CALL_OUT");
-            a["txn"] = hop->job->id;
-            a["invoker"] = hop->invoker->name;
-            a["within"] = to_ms(std::max(hop->limit, Time(1)));
+            a["txn"] = attempt->request->id;
+            a["invoker"] = attempt->invoker->name;
+            a["within"] = to_ms(std::max(attempt->timeout, Time(1)));
         }
-        for (const Invoker* invoker : results.probed) act("PROBE")["invoker"] = invoker->name;
-        for (const CopyOrder& order : results.ordered) {
+        for (const Invoker* invoker : results.to_probe) act("PROBE")["invoker"] = invoker->name;
+        for (const PreloadCommand& order : results.to_preload) {
             json& a = act(order.copies > 0 ? "HOLD_THERE" : "SHELVE");
             a["invoker"] = order.invoker->name;
             a["function"] = order.function->name;
             if (order.copies > 0) a["count"] = order.copies;
         }
-        for (const Job* job : results.answered) drop_if_closed(job->id);
-        for (const Function* function : results.forgotten) functions_.erase(std::string(function->name));
-        for (const Invoker* invoker : results.released) invokers_.erase(std::string(invoker->name));
+        for (const Request* request : results.completed) drop_if_closed(request->id);
+        for (const Function* function : results.released_functions) functions_.erase(std::string(function->name));
+        for (const Invoker* invoker : results.released_invokers) invokers_.erase(std::string(invoker->name));
         if (results.next_wake < armed_) {
             armed_ = results.next_wake;
             json& a = act("AFTER");
@@ -228,15 +228,15 @@
 
     const std::string who_;
     const Time start_;
-    std::map<std::string, UseCase> use_cases_;
+    std::map<std::string, RequestClass> use_cases_;
     std::map<std::string, Tenant> tenants_;
-    std::map<std::string, Kind> kinds_;
+    std::map<std::string, InvokerType> kinds_;
     std::vector<std::string> fields_;
     bool says_company_{};
-    std::unordered_map<std::uint64_t, std::unique_ptr<Job>> jobs_;
+    std::unordered_map<std::uint64_t, std::unique_ptr<Request>> jobs_;
     std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
     std::unordered_map<std::string, std::unique_ptr<Invoker>> invokers_;
-    std::unique_ptr<Hosted> controller_;
+    std::unique_ptr<Hosted> scheduler_;
     Time armed_ = Time::max();
     std::uint64_t armings_{};
 };
@@ -244,13 +244,13 @@
 class Host {
 public:
     json answer(const json& batch) {
-        if (!batch.is_object()) throw Fault("a batch is no object");
+        if (!batch.is_object()) throw SettingsError("a batch is no object");
         const Time clock = from_ms(need<double>(batch, "sim_time"));
         json actions = json::array();
         const auto events = batch.find("in");
-        if (events == batch.end() || !events->is_array()) throw Fault("field 'in' is missing or no array");
+        if (events == batch.end() || !events->is_array()) throw SettingsError("field 'in' is missing or no array");
         for (const json& e : *events) {
-            if (!e.is_object()) throw Fault("an event is no object");
+            if (!e.is_object()) throw SettingsError("an event is no object");
             event(e, clock, actions);
         }
         return {{"actions", std::move(actions)}};
@@ -270,7 +270,7 @@
             return;
         }
         const auto it = instances_.find(who);
-        if (it == instances_.end()) throw Fault("event " + kind + " for the unknown instance " + who);
+        if (it == instances_.end()) throw SettingsError("event " + kind + " for the unknown instance " + who);
         if (kind == "CRASH_NOW") {
             instances_.erase(it);
             return;
--- a/src/simhost/plain.hpp
+++ b/src/simulator_adapter/plain.hpp
@@ -5,16 +5,16 @@
 #include <memory>
 #include <string>
 
-#include "dispatch/controller.hpp"
+#include "scheduler/scheduler.hpp"
 
 namespace plumkeel {
 
-using Hosted = Controller;
+using Hosted = Scheduler;
 
-inline std::unique_ptr<Hosted> host(const std::string&, Time, std::uint64_t seed, const Rulebook& rules,
-                                    const Allowances& may, const std::map<std::string, UseCase>&,
+inline std::unique_ptr<Hosted> host(const std::string&, Time, std::uint64_t seed, const SafetyRules& rules,
+                                    const Capabilities& may, const std::map<std::string, RequestClass>&,
                                     const std::map<std::string, Tenant>&) {
-    return std::make_unique<Controller>(seed, rules, may);
+    return std::make_unique<Scheduler>(seed, rules, may);
 }
 
 }  // namespace plumkeel
--- a/src/simhost/traced.hpp
+++ b/src/simulator_adapter/traced.hpp
@@ -8,29 +8,29 @@
 #include <memory>
 #include <string>
 
-#include "trace/calls.hpp"
+#include "trace/recording_scheduler.hpp"
 #include "trace/file.hpp"
 
 namespace plumkeel {
 
-using Hosted = trace::Watched;
+using Hosted = trace::RecordingScheduler;
 
-inline std::unique_ptr<Hosted> host(const std::string& who, Time clock, std::uint64_t seed, const Rulebook& rules,
-                                    const Allowances& may, const std::map<std::string, UseCase>& use_cases,
+inline std::unique_ptr<Hosted> host(const std::string& who, Time clock, std::uint64_t seed, const SafetyRules& rules,
+                                    const Capabilities& may, const std::map<std::string, RequestClass>& request_classes,
                                     const std::map<std::string, Tenant>& tenants) {
     trace::Start start{who, seed, rules, may, {}, {}};
-    std::vector<const UseCase*> uses;
+    std::vector<const RequestClass*> uses;
     std::vector<const Tenant*> users;
-    for (const auto& [name, use] : use_cases) {
-        start.use_cases.emplace_back(name, use);
+    for (const auto& [name, use] : request_classes) {
+        start.request_classes.emplace_back(name, use);
         uses.push_back(&use);
     }
     for (const auto& [name, tenant] : tenants) {
-        start.tenants.emplace_back(name, tenant.share_per_s);
+        start.tenants.emplace_back(name, tenant.quota_per_s);
         users.push_back(&tenant);
     }
     const char* folder = std::getenv("PLUMKEEL_TRACES");
-    if (!folder) throw trace::Fault("PLUMKEEL_TRACES names no folder");
+    if (!folder) throw trace::TraceError("PLUMKEEL_TRACES names no folder");
     std::filesystem::create_directories(folder);
     struct File {
         trace::FileSink sink;
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 [[noreturn]] void complain(const std::string& name) {
-    throw Fault(name + ": " + std::strerror(errno));
+    throw TraceError(name + ": " + std::strerror(errno));
 }
 
 }  // namespace
--- a/src/trace/format.cpp
+++ b/src/trace/format.cpp
@@ -51,7 +51,7 @@
 struct BlockHead {
     std::uint16_t kind{}, flags{};
     std::uint32_t raw{}, packed{};
-    Place place;
+    BlockLocation place;
     std::uint64_t sum{};
 };
 
@@ -66,8 +66,8 @@
     put(out, std::uint32_t{0});
     put(out, static_cast<std::int64_t>(head.place.first.count()));
     put(out, static_cast<std::int64_t>(head.place.last.count()));
-    put(out, head.place.least_job);
-    put(out, head.place.most_job);
+    put(out, head.place.min_request);
+    put(out, head.place.max_request);
     put(out, head.sum);
     // The head has a sum of its own, so that a length can be trusted before the block is read.
     put(out, XXH3_64bits(out.data(), out.size()));
@@ -86,14 +86,14 @@
     head.place.records = get<std::uint32_t>(text, 16);
     head.place.first = Time(get<std::int64_t>(text, 24));
     head.place.last = Time(get<std::int64_t>(text, 32));
-    head.place.least_job = get<std::uint64_t>(text, 40);
-    head.place.most_job = get<std::uint64_t>(text, 48);
+    head.place.min_request = get<std::uint64_t>(text, 40);
+    head.place.max_request = get<std::uint64_t>(text, 48);
     head.sum = get<std::uint64_t>(text, 56);
     head.place.offset = offset;
-    if (head.raw > largest_block || head.packed > largest_block) return {};
+    if (head.raw > max_block_bytes || head.packed > max_block_bytes) return {};
     // Such a head was never written, whatever its sum says.
     for (const Time at : {head.place.first, head.place.last})
-        if (at.count() > longest_span || at.count() < -longest_span) return {};
+        if (at.count() > max_duration || at.count() < -max_duration) return {};
     head.place.bytes = static_cast<std::uint32_t>(block_head_bytes + head.packed);
     head.place.names = (head.flags & Flag::names) != 0;
     return head;
@@ -119,7 +119,7 @@
 Writer::~Writer() = default;
 
 Writer::Writer(Sink& sink, Time begun, std::size_t block_bytes, int level)
-    : sink_(sink), block_bytes_(std::min(block_bytes, largest_block / 2)), level_(level), press_(std::make_unique<Press>()) {
+    : sink_(sink), block_bytes_(std::min(block_bytes, max_block_bytes / 2)), level_(level), press_(std::make_unique<Press>()) {
     if (!press_->work) throw std::bad_alloc();
     std::string head(file_mark);
     put(head, version);
@@ -136,41 +136,41 @@
     if (block_.empty()) {
         place_ = {};
         place_.first = at;
-        place_.least_job = UINT64_MAX;
+        place_.min_request = UINT64_MAX;
         last_ = at;
     }
     put_varint(block_, static_cast<std::uint64_t>((at - last_).count()));
-    block_.push_back(static_cast<char>(record.kind));
-    put_varint(block_, record.job);
+    block_.push_back(static_cast<char>(record.type));
+    put_varint(block_, record.request);
     put_varint(block_, record.body.size());
     block_ += record.body;
     last_ = place_.last = at;
     ++place_.records;
-    place_.names = place_.names || (record.kind > 0 && record.kind <= last_of_names);
-    if (record.job) {
-        place_.least_job = std::min(place_.least_job, record.job);
-        place_.most_job = std::max(place_.most_job, record.job);
+    place_.names = place_.names || (record.type > 0 && record.type <= last_name_type);
+    if (record.request) {
+        place_.min_request = std::min(place_.min_request, record.request);
+        place_.max_request = std::max(place_.max_request, record.request);
     }
     if (block_.size() >= block_bytes_) flush();
 }
 
 void Writer::flush() {
     if (block_.empty()) return;
-    if (place_.most_job == 0) place_.least_job = 0;
+    if (place_.max_request == 0) place_.min_request = 0;
     put_block(Kind::records, place_.names ? Flag::names : 0, block_, place_);
     block_.clear();
 }
 
-void Writer::put_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const Place& place) {
+void Writer::put_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const BlockLocation& place) {
     if (const std::size_t room = ZSTD_compressBound(raw.size()); packed_.size() < room) packed_.resize(room);
     const std::size_t n = ZSTD_compressCCtx(press_->work, packed_.data(), packed_.size(), raw.data(), raw.size(), level_);
-    if (ZSTD_isError(n)) throw Fault(std::string("a block can't be packed: ") + ZSTD_getErrorName(n));
+    if (ZSTD_isError(n)) throw TraceError(std::string("a block can't be packed: ") + ZSTD_getErrorName(n));
     const std::string_view packed(packed_.data(), n);
     BlockHead head{kind, flags, static_cast<std::uint32_t>(raw.size()), static_cast<std::uint32_t>(packed.size()), place,
                    XXH3_64bits(packed.data(), packed.size())};
     const std::string text = text_of(head);
     if (kind == Kind::records) {
-        Place known = place;
+        BlockLocation known = place;
         known.offset = offset_;
         known.bytes = static_cast<std::uint32_t>(text.size() + packed.size());
         places_.push_back(known);
@@ -187,14 +187,14 @@
     constexpr std::size_t in_one = 100'000;
     for (std::size_t i = 0; i < places_.size() || raw.empty(); ++i) {
         if (i < places_.size()) {
-            const Place& place = places_[i];
+            const BlockLocation& place = places_[i];
             put(raw, place.offset);
             put(raw, place.bytes);
             put(raw, place.records | (place.names ? names_bit : 0));
             put(raw, static_cast<std::int64_t>(place.first.count()));
             put(raw, static_cast<std::int64_t>(place.last.count()));
-            put(raw, place.least_job);
-            put(raw, place.most_job);
+            put(raw, place.min_request);
+            put(raw, place.max_request);
         }
         if ((i + 1) % in_one == 0 || i + 1 >= places_.size()) {
             put_block(Kind::index, Flag::optional, raw, {});
@@ -214,17 +214,17 @@
 
 Reader::Reader(const Source& source) : source_(source) {
     const std::string head = source.read(0, head_bytes);
-    if (head.size() < 8 || head.substr(0, 8) != file_mark) throw Fault("this is no trace file");
-    if (head.size() < head_bytes) throw Fault("the trace ends within its head");
+    if (head.size() < 8 || head.substr(0, 8) != file_mark) throw TraceError("this is no trace file");
+    if (head.size() < head_bytes) throw TraceError("the trace ends within its head");
     const auto theirs = get<std::uint32_t>(head, 8);
     if (theirs > version)
-        throw Fault("the trace is of version " + std::to_string(theirs) + ", this reader knows up to " +
+        throw TraceError("the trace is of version " + std::to_string(theirs) + ", this reader knows up to " +
                     std::to_string(version));
-    if (get<std::uint64_t>(head, 32) != XXH3_64bits(head.data(), 32)) throw Fault("the trace's head is damaged");
+    if (get<std::uint64_t>(head, 32) != XXH3_64bits(head.data(), 32)) throw TraceError("the trace's head is damaged");
     if (const auto needed = get<std::uint64_t>(head, 16) & ~known_features)
-        throw Fault("the trace needs features that this reader lacks: " + std::to_string(needed));
+        throw TraceError("the trace needs features that this reader lacks: " + std::to_string(needed));
     begun_ = Time(get<std::int64_t>(head, 24));
-    if (begun_.count() > longest_span || begun_.count() < -longest_span) throw Fault("the trace's head is damaged");
+    if (begun_.count() > max_duration || begun_.count() < -max_duration) throw TraceError("the trace's head is damaged");
     finished_ = read_index();
     if (!finished_) scan();
 }
@@ -236,7 +236,7 @@
     if (footer.size() < footer_bytes || footer.substr(0, 8) != end_mark) return false;
     if (get<std::uint64_t>(footer, 24) != XXH3_64bits(footer.data(), 24)) return false;
     const auto count = get<std::uint64_t>(footer, 16);
-    std::vector<Place> places;
+    std::vector<BlockLocation> places;
     for (std::uint64_t at = get<std::uint64_t>(footer, 8); at < size - footer_bytes;) {
         const auto head = head_at(source_, at);
         if (!head || head->kind != Kind::index) return false;
@@ -267,7 +267,7 @@
             if (head->kind == Kind::records)
                 places_.push_back(head->place);
             else if (!(head->flags & Flag::optional))
-                throw Fault("the trace holds a part of kind " + std::to_string(head->kind) + " that this reader must know");
+                throw TraceError("the trace holds a part of kind " + std::to_string(head->kind) + " that this reader must know");
             at += head->place.bytes;
             continue;
         }
@@ -295,14 +295,14 @@
 void Reader::harm(std::uint64_t offset, std::uint64_t bytes, std::string what) {
     if (std::any_of(damage_.begin(), damage_.end(), [&](const Damage& d) { return d.offset == offset; })) return;
     Damage damage{offset, bytes, {}, {}, std::move(what)};
-    for (const Place& place : places_) {
+    for (const BlockLocation& place : places_) {
         if (place.offset + place.bytes <= offset) damage.after = place.last;
         if (place.offset >= offset + bytes && !damage.before) damage.before = place.first;
     }
     damage_.push_back(std::move(damage));
 }
 
-bool Reader::unpack(const Place& place, std::vector<Record>& into) {
+bool Reader::unpack(const BlockLocation& place, std::vector<Record>& into) {
     into.clear();
     const auto head = head_at(source_, place.offset);
     const auto raw = head && head->kind == Kind::records ? content(source_, *head) : std::nullopt;
@@ -310,17 +310,17 @@
     Time at = place.first;
     std::string_view rest = whole ? std::string_view(*raw) : std::string_view();
     while (whole && !rest.empty()) {
-        std::uint64_t delta = 0, job = 0, length = 0;
+        std::uint64_t delta = 0, request = 0, length = 0;
         whole = get_varint(rest, delta) && !rest.empty();
         if (!whole) break;
         const auto kind = static_cast<std::uint8_t>(rest.front());
         rest.remove_prefix(1);
-        whole = get_varint(rest, job) && get_varint(rest, length) && length <= rest.size();
+        whole = get_varint(rest, request) && get_varint(rest, length) && length <= rest.size();
         if (!whole) break;
-        whole = delta <= static_cast<std::uint64_t>(longest_span) && std::chrono::abs(at).count() <= longest_span;
+        whole = delta <= static_cast<std::uint64_t>(max_duration) && std::chrono::abs(at).count() <= max_duration;
         if (!whole) break;
         at += Time(delta);
-        into.push_back({at, kind, job, std::string(rest.substr(0, length))});
+        into.push_back({at, kind, request, std::string(rest.substr(0, length))});
         rest.remove_prefix(length);
     }
     if (whole && into.size() == place.records) return true;
@@ -330,7 +330,7 @@
 }
 
 void Reader::walk(Time from, const std::function<bool(const Record&)>& each) {
-    const auto begin = std::partition_point(places_.begin(), places_.end(), [&](const Place& p) { return p.last < from; });
+    const auto begin = std::partition_point(places_.begin(), places_.end(), [&](const BlockLocation& p) { return p.last < from; });
     std::vector<Record> block;
     for (auto it = begin; it != places_.end(); ++it) {
         if (!unpack(*it, block)) continue;
@@ -339,21 +339,21 @@
     }
 }
 
-void Reader::of_job(std::uint64_t job, const std::function<bool(const Record&)>& each) {
+void Reader::of_job(std::uint64_t request, const std::function<bool(const Record&)>& each) {
     std::vector<Record> block;
-    for (const Place& place : places_) {
-        if (job < place.least_job || job > place.most_job || !unpack(place, block)) continue;
+    for (const BlockLocation& place : places_) {
+        if (request < place.min_request || request > place.max_request || !unpack(place, block)) continue;
         for (const Record& record : block)
-            if (record.job == job && !each(record)) return;
+            if (record.request == request && !each(record)) return;
     }
 }
 
 void Reader::names(const std::function<bool(const Record&)>& each) {
     std::vector<Record> block;
-    for (const Place& place : places_) {
+    for (const BlockLocation& place : places_) {
         if (!place.names || !unpack(place, block)) continue;
         for (const Record& record : block)
-            if (record.kind > 0 && record.kind <= last_of_names && !each(record)) return;
+            if (record.type > 0 && record.type <= last_name_type && !each(record)) return;
     }
 }
 
--- a/src/trace/format.hpp
+++ b/src/trace/format.hpp
@@ -17,13 +17,13 @@
 using Time = std::chrono::microseconds;
 
 constexpr std::uint32_t version = 1;
-constexpr std::int64_t longest_span = std::int64_t{1} << 55;  // microseconds, 1,100 years: sums of times can't overflow
-constexpr std::size_t largest_block = 16 * 1024 * 1024;  // unpacked; what claims more is damage
+constexpr std::int64_t max_duration = std::int64_t{1} << 55;  // microseconds, 1,100 years: sums of times can't overflow
+constexpr std::size_t max_block_bytes = 16 * 1024 * 1024;  // unpacked; what claims more is damage
 
 struct Record {
     Time at{};            // since the trace's start; never goes back within a file
-    std::uint8_t kind{};  // what it tells; see docs/trace-format.md
-    std::uint64_t job{};  // 0: concerns no one job
+    std::uint8_t type{};  // what it tells; see docs/trace-format.md
+    std::uint64_t request{};  // 0: concerns no one job
     std::string body;
 
     bool operator==(const Record&) const = default;
@@ -31,7 +31,7 @@
 
 // Kinds from 1 to this one are of names: the others can't be understood without them. Blocks that hold any are
 // marked, so that a reader finds them without the rest.
-constexpr std::uint8_t last_of_names = 7;
+constexpr std::uint8_t last_name_type = 7;
 
 class Sink {
 public:
@@ -47,16 +47,16 @@
     virtual std::string read(std::uint64_t offset, std::size_t bytes) const = 0;
 };
 
-struct Fault : std::runtime_error {  // not a trace, or one that this reader must refuse
+struct TraceError : std::runtime_error {  // not a trace, or one that this reader must refuse
     using std::runtime_error::runtime_error;
 };
 
 // One block of records, as the index knows it.
-struct Place {
+struct BlockLocation {
     std::uint64_t offset{};
     std::uint32_t bytes{}, records{};  // on disk, with its head
     Time first{}, last{};
-    std::uint64_t least_job{}, most_job{};  // both 0: it tells of no job
+    std::uint64_t min_request{}, max_request{};  // both 0: it tells of no job
     bool names{};                           // holds records of names
 };
 
@@ -73,7 +73,7 @@
     std::uint64_t raw_bytes() const { return raw_; }
 
 private:
-    void put_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const Place& place);
+    void put_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const BlockLocation& place);
 
     struct Press;  // zstd's workspace
 
@@ -82,10 +82,10 @@
     const int level_;
     std::unique_ptr<Press> press_;
     std::string block_, packed_;
-    Place place_;
+    BlockLocation place_;
     Time last_{};
     std::uint64_t offset_{}, raw_{};
-    std::vector<Place> places_;
+    std::vector<BlockLocation> places_;
 };
 
 struct Damage {
@@ -101,10 +101,10 @@
 
     Time begun() const { return begun_; }
     bool finished() const { return finished_; }
-    const std::vector<Place>& places() const { return places_; }
+    const std::vector<BlockLocation>& places() const { return places_; }
     // Records in order, from the block that holds `from` on; `each` returns false to stop.
     void walk(Time from, const std::function<bool(const Record&)>& each);
-    void of_job(std::uint64_t job, const std::function<bool(const Record&)>& each);
+    void of_job(std::uint64_t request, const std::function<bool(const Record&)>& each);
     void names(const std::function<bool(const Record&)>& each);
     // The next block's records from the place `at`, which it moves on; damaged blocks are left out. Empty: the end.
     std::vector<Record> block(std::size_t& at);
@@ -114,13 +114,13 @@
 private:
     bool read_index();
     void scan();
-    bool unpack(const Place& place, std::vector<Record>& into);
+    bool unpack(const BlockLocation& place, std::vector<Record>& into);
     void harm(std::uint64_t offset, std::uint64_t bytes, std::string what);
 
     const Source& source_;
     Time begun_{};
     bool finished_{};
-    std::vector<Place> places_;
+    std::vector<BlockLocation> places_;
     std::vector<Damage> damage_;
 };
 
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kept_names_bytes = 1024 * 1024;  // of dropped batches; past it their names are lost as well
 
 bool is_name(const Record& record) {
-    return record.kind > 0 && record.kind <= last_of_names && record.kind != Told::gap;
+    return record.type > 0 && record.type <= last_name_type && record.type != RecordType::gap;
 }
 
 // When a file of an earlier run was written last, since the Unix epoch.
@@ -33,7 +33,7 @@
     Time first;
 };
 
-Recorder::Recorder(RecorderRules rules, std::string name, Time begun, MakeSink make_sink)
+Recorder::Recorder(RecorderConfig rules, std::string name, Time begun, MakeSink make_sink)
     : rules_(std::move(rules)),
       name_(std::move(name)),
       begun_(begun),
@@ -46,7 +46,7 @@
         if (entry.path().extension() == ".trace" && entry.path().filename().string().starts_with(name_ + "-"))
             files_.push_back({entry.path(), last_of(entry.path())});
     std::sort(files_.begin(), files_.end(), [](const Written& a, const Written& b) { return a.name < b.name; });
-    if (rules_.sample < 1) sampler_.emplace(rules_.sample, rules_.memory_bytes / 4);
+    if (rules_.sample_ratio < 1) sampler_.emplace(rules_.sample_ratio, rules_.max_memory_bytes / 4);
     begin_file(Time{});
     first_file_ = files_.back().name;
     thread_ = std::thread([this] { run(); });
@@ -62,14 +62,14 @@
     thread_.join();
     try {
         if (sampler_ && at_work_) sampler_->finish([&](const Record& record) { put(record); });
-    } catch (const Fault&) {
+    } catch (const TraceError&) {
         // The disk does not take them: the jobs still open are missing.
     }
     close_file();
 }
 
 void Recorder::Batch::add(const Record& record) {
-    entries.push_back({record.at, record.job, static_cast<std::uint32_t>(record.body.size()), record.kind});
+    entries.push_back({record.at, record.request, static_cast<std::uint32_t>(record.body.size()), record.type});
     bodies += record.body;
 }
 
@@ -78,8 +78,8 @@
     std::size_t from = 0;
     for (const Entry& entry : entries) {
         record.at = entry.at;
-        record.kind = entry.kind;
-        record.job = entry.job;
+        record.type = entry.kind;
+        record.request = entry.request;
         record.body.assign(bodies, from, entry.length);
         from += entry.length;
         each(record);
@@ -99,7 +99,7 @@
     if (gathering_.entries.empty()) return;
     Batch batch = std::exchange(gathering_, {});
     const std::lock_guard held(lock_);
-    if (waiting_bytes_ + batch.bytes() > rules_.memory_bytes) {
+    if (waiting_bytes_ + batch.bytes() > rules_.max_memory_bytes) {
         dropped_here_.records += batch.entries.size();
         dropped_here_.bytes += batch.bytes();
         dropped_ += batch.entries.size();
@@ -108,8 +108,8 @@
     if (dropped_here_.records > 0) {
         const Time at = batch.entries.front().at;
         Batch first;
-        first.add({at, Told::gap, 0, pack(std::exchange(dropped_here_, {}))});
-        std::exchange(names_, {}).walk([&](const Record& record) { first.add({at, record.kind, record.job, record.body}); });
+        first.add({at, RecordType::gap, 0, pack(std::exchange(dropped_here_, {}))});
+        std::exchange(names_, {}).walk([&](const Record& record) { first.add({at, record.type, record.request, record.body}); });
         hand_over(std::move(first));
     }
     hand_over(std::move(batch));
@@ -150,7 +150,7 @@
     try {
         if (!at_work_) begin_file(at);
         if (lost_.records > 0)  // deciding again must not run on over what the disk did not take
-            put({at, Told::gap, 0, pack(lost_)});
+            put({at, RecordType::gap, 0, pack(lost_)});
         batch.walk([this](const Record& record) {
             if (sampler_)
                 sampler_->feed(record, [this](const Record& kept) { put(kept); });
@@ -162,9 +162,9 @@
         written_ += batch.entries.size();
         const Time last = batch.entries.back().at;
         files_.back().last = begun_ + last;
-        const bool old = rules_.file_for > Time{} && last - at_work_->first >= rules_.file_for;
-        if (at_work_->writer.offset() >= rules_.file_bytes || old) close_file();
-    } catch (const Fault&) {
+        const bool old = rules_.max_file_age > Time{} && last - at_work_->first >= rules_.max_file_age;
+        if (at_work_->writer.offset() >= rules_.max_file_bytes || old) close_file();
+    } catch (const TraceError&) {
         at_work_.reset();
         batch.walk([this](const Record& record) { carry(record); });
         dropped_ += batch.entries.size();
@@ -182,10 +182,10 @@
 // What each further file has to begin with.
 void Recorder::carry(const Record& record) {
     if (!is_name(record)) return;
-    if (record.kind == Told::settings) settings_ = record;
-    if (record.kind == Told::function_known) functions_[unpack<Known>(record.body).number] = record;
-    if (record.kind == Told::function_forgotten) functions_.erase(unpack<Forgotten>(record.body).number);
-    if (record.kind == Told::invoker_known) invokers_[unpack<Known>(record.body).number] = record;
+    if (record.type == RecordType::settings) settings_ = record;
+    if (record.type == RecordType::function_known) functions_[unpack<NameRecord>(record.body).number] = record;
+    if (record.type == RecordType::function_released) functions_.erase(unpack<FunctionReleased>(record.body).number);
+    if (record.type == RecordType::invoker_known) invokers_[unpack<NameRecord>(record.body).number] = record;
 }
 
 void Recorder::begin_file(Time at) {
@@ -195,15 +195,15 @@
     remove_old(begun_ + at);
     if (number_++ == 0) return;
     const std::uint64_t again = functions_.size() + invokers_.size() + (settings_ ? 1 : 0);
-    at_work_->writer.add({at, Told::resumed, 0, pack(Resumed{told_, again, ""})});
-    if (settings_) at_work_->writer.add({at, settings_->kind, 0, settings_->body});
+    at_work_->writer.add({at, RecordType::resumed, 0, pack(Resumed{told_, again, ""})});
+    if (settings_) at_work_->writer.add({at, settings_->type, 0, settings_->body});
     for (const auto* known : {&functions_, &invokers_})
-        for (const auto& [number, record] : *known) at_work_->writer.add({at, record.kind, 0, record.body});
+        for (const auto& [number, record] : *known) at_work_->writer.add({at, record.type, 0, record.body});
 }
 
 void Recorder::remove_old(Time now) {
-    while (files_.size() > 1 && (files_.size() > rules_.keep_files ||
-                                 (rules_.keep_for > Time{} && files_.front().last + rules_.keep_for < now))) {
+    while (files_.size() > 1 && (files_.size() > rules_.max_files ||
+                                 (rules_.max_age > Time{} && files_.front().last + rules_.max_age < now))) {
         std::error_code ignored;
         std::filesystem::remove(files_.front().name, ignored);
         files_.pop_front();
@@ -214,7 +214,7 @@
     if (!at_work_) return;
     try {
         at_work_->writer.finish();
-    } catch (const Fault&) {
+    } catch (const TraceError&) {
         // It is read up to the damage.
     }
     at_work_.reset();
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -15,22 +15,22 @@
 
 namespace plumkeel::trace {
 
-struct RecorderRules {
+struct RecorderConfig {
     std::string folder;  // empty: nothing is recorded
-    std::size_t memory_bytes = 64 * 1024 * 1024;
+    std::size_t max_memory_bytes = 64 * 1024 * 1024;
     std::size_t block_bytes = 256 * 1024;
-    std::size_t file_bytes = 256 * 1024 * 1024;  // then a new file is begun,
-    Time file_for{};                             // and after so long; 0: by its size only
-    std::size_t keep_files = 16;                 // the oldest beyond these are removed,
-    Time keep_for{};                             // and what ended so long ago; 0: never for its age
-    double sample = 1;                           // the part of the jobs that is kept, beside all that ended badly
-    bool reasons = false;                        // with the invokers weighed for each job
+    std::size_t max_file_bytes = 256 * 1024 * 1024;  // then a new file is begun,
+    Time max_file_age{};                             // and after so long; 0: by its size only
+    std::size_t max_files = 16;                 // the oldest beyond these are removed,
+    Time max_age{};                             // and what ended so long ago; 0: never for its age
+    double sample_ratio = 1;                           // the part of the jobs that is kept, beside all that ended badly
+    bool record_candidates = false;                        // with the invokers weighed for each job
 };
 
 class Recorder {
 public:
     // Files are folder/name-BEGUN-NUMBER.trace. Throws Fault where the first can't be made.
-    Recorder(RecorderRules rules, std::string name, Time begun, MakeSink make_sink = {});
+    Recorder(RecorderConfig rules, std::string name, Time begun, MakeSink make_sink = {});
     ~Recorder();  // what was offered is written first
     Recorder(const Recorder&) = delete;
 
@@ -46,7 +46,7 @@
     struct Batch {
         struct Entry {
             Time at{};
-            std::uint64_t job{};
+            std::uint64_t request{};
             std::uint32_t length{};
             std::uint8_t kind{};
         };
@@ -71,7 +71,7 @@
     void close_file();
     void remove_old(Time at);
 
-    const RecorderRules rules_;
+    const RecorderConfig rules_;
     const std::string name_;
     const Time begun_;
     const MakeSink make_sink_;
--- a/src/trace/told.cpp
+++ b/src/trace/records.cpp
@@ -1,4 +1,4 @@
-#include "trace/told.hpp"
+#include "trace/records.hpp"
 
 #include <bit>
 #include <type_traits>
@@ -43,7 +43,7 @@
             value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
             if (!(byte & 0x80)) return value;
         }
-        throw Fault("a number is too long");
+        throw TraceError("a number is too long");
     }
     std::uint64_t fixed() {
         std::uint64_t value = 0;
@@ -52,7 +52,7 @@
     }
     std::string text() {
         const std::uint64_t n = number();
-        if (n > bytes_.size()) throw Fault("a text is longer than its record");
+        if (n > bytes_.size()) throw TraceError("a text is longer than its record");
         std::string out(bytes_.substr(0, n));
         bytes_.remove_prefix(n);
         return out;
@@ -61,7 +61,7 @@
 
 private:
     unsigned char take_byte() {
-        if (bytes_.empty()) throw Fault("a record ends early");
+        if (bytes_.empty()) throw TraceError("a record ends early");
         const auto byte = static_cast<unsigned char>(bytes_.front());
         bytes_.remove_prefix(1);
         return byte;
@@ -91,7 +91,7 @@
     void operator()(int& v) {
         std::int64_t wide = v;
         (*this)(wide);
-        if (wide < INT32_MIN || wide > INT32_MAX) throw Fault("a number of a record is out of all bounds");
+        if (wide < INT32_MIN || wide > INT32_MAX) throw TraceError("a number of a record is out of all bounds");
         v = static_cast<int>(wide);
     }
     void operator()(bool& v) {
@@ -113,7 +113,7 @@
     void operator()(Time& v) {
         std::int64_t n = v.count();
         (*this)(n);
-        if (!Io::writes && (n > longest_span || n < -longest_span)) throw Fault("a time of a record is out of all bounds");
+        if (!Io::writes && (n > max_duration || n < -max_duration)) throw TraceError("a time of a record is out of all bounds");
         v = Time(n);
     }
     void operator()(std::string& v) {
@@ -127,7 +127,7 @@
     void operator()(T& v) {
         auto n = static_cast<std::uint64_t>(v);
         (*this)(n);
-        if (n > 255) throw Fault("a word of a record is not known");
+        if (n > 255) throw TraceError("a word of a record is not known");
         v = static_cast<T>(n);
     }
     template <class T>
@@ -171,30 +171,30 @@
 };
 
 template <class Io>
-void body(Io& io, UseCase& it) {
-    io.all(it.promised, it.repeat, it.reach, it.remembered);
+void body(Io& io, RequestClass& it) {
+    io.all(it.latency_target, it.idempotency, it.deduplication_scope, it.deduplication_window);
 }
 template <class Io>
-void body(Io& io, Rulebook& it) {
-    io.all(it.cold_for, it.cold_share, it.push_multiple, it.push_span, it.load_span, it.free_loads, it.loads_per_job);
+void body(Io& io, SafetyRules& it) {
+    io.all(it.slow_start_duration, it.slow_start_initial_share, it.slow_start_rate_multiple, it.slow_start_window, it.load_budget_window, it.load_budget_base, it.load_budget_per_request);
 }
 template <class Io>
-void body(Io& io, Allowances& it) {
-    io.all(it.call_off, it.probe, it.second_copies, it.retry_after, it.order_copies, it.ask_for_list,
-           it.loads_on_demand, it.steady_units, it.hops, it.controllers, it.longest_retry_after, it.keep_alive,
-           it.tick, it.memory_price);
+void body(Io& io, Capabilities& it) {
+    io.all(it.cancellation, it.health_checks, it.hedging, it.retry_after, it.preload, it.subscribes_endpoints,
+           it.on_demand_loading, it.stable_capacity, it.max_attempts, it.controller_count, it.max_retry_after, it.keep_alive,
+           it.clock_resolution, it.memory_price);
 }
 template <class Io>
 void body(Io& io, Start& it) {
-    io.all(it.name, it.seed, it.rules, it.may, it.use_cases, it.tenants);
-    io.added(it.may.probe_price);
+    io.all(it.name, it.seed, it.rules, it.capabilities, it.request_classes, it.tenants);
+    io.added(it.capabilities.health_check_price);
 }
 template <class Io>
-void body(Io& io, Known& it) {
+void body(Io& io, NameRecord& it) {
     io.all(it.number, it.name);
 }
 template <class Io>
-void body(Io& io, Forgotten& it) {
+void body(Io& io, FunctionReleased& it) {
     io.all(it.number);
 }
 template <class Io>
@@ -210,77 +210,77 @@
     io.all(it.controllers);
 }
 template <class Io>
-void body(Io& io, Nested& it) {
-    io.all(it.at, it.kind, it.body);
+void body(Io& io, NestedRecord& it) {
+    io.all(it.at, it.type, it.body);
 }
 template <class Io>
-void body(Io& io, Story& it) {
+void body(Io& io, SampledRequest& it) {
     io.all(it.records);
 }
 template <class Io>
-void body(Io& io, Report& it) {
-    io.all(it.held, it.queued);
+void body(Io& io, LoadReport& it) {
+    io.all(it.in_flight, it.queued);
 }
 template <class Io>
-void body(Io& io, Taken& it) {
-    io.all(it.use_case, it.tenant, it.function, it.lanes, it.told_load, it.time_left, it.again);
+void body(Io& io, RequestSubmitted& it) {
+    io.all(it.request_class, it.tenant, it.function, it.concurrency, it.declared_load_time, it.remaining, it.is_client_retry);
 }
 template <class Io>
-void body(Io& io, HopAccepted& it) {
-    io.all(it.hop);
+void body(Io& io, ResponseStarted& it) {
+    io.all(it.attempt);
 }
 template <class Io>
-void body(Io& io, HopEnded& it) {
-    io.all(it.hop, it.ending, it.note, it.company, it.report);
+void body(Io& io, AttemptEnded& it) {
+    io.all(it.attempt, it.outcome, it.load_event, it.concurrent_requests, it.report);
 }
 template <class Io>
-void body(Io& io, ListEntry& it) {
-    io.all(it.invoker, it.ready, it.units, it.zone, it.kind, it.cell, it.started);
+void body(Io& io, EndpointRecord& it) {
+    io.all(it.invoker, it.ready, it.capacity, it.zone, it.type, it.cell, it.started_at);
 }
 template <class Io>
-void body(Io& io, FleetChanged& it) {
+void body(Io& io, EndpointsChanged& it) {
     io.all(it.complete, it.controller, it.changed);
 }
 template <class Io>
-void body(Io& io, ProbeAnswered& it) {
-    io.all(it.invoker, it.came, it.report);
+void body(Io& io, HealthCheckEnded& it) {
+    io.all(it.invoker, it.answered, it.report);
 }
 template <class Io>
-void body(Io& io, LoadAnswered& it) {
-    io.all(it.function, it.invoker, it.ending, it.copies);
+void body(Io& io, PreloadEnded& it) {
+    io.all(it.function, it.invoker, it.outcome, it.copies);
 }
 template <class Io>
-void body(Io& io, Answer::CalledOff& it) {
-    io.all(it.job, it.hop);
+void body(Io& io, ActionsRecord::Cancelled& it) {
+    io.all(it.request, it.attempt);
 }
 template <class Io>
-void body(Io& io, Answer::Answered& it) {
-    io.all(it.job, it.state, it.pause);
+void body(Io& io, ActionsRecord::Completed& it) {
+    io.all(it.request, it.state, it.retry_after);
 }
 template <class Io>
-void body(Io& io, Answer::Started& it) {
-    io.all(it.job, it.hop, it.invoker, it.limit);
+void body(Io& io, ActionsRecord::Sent& it) {
+    io.all(it.request, it.attempt, it.invoker, it.timeout);
 }
 template <class Io>
-void body(Io& io, Answer::Ordered& it) {
+void body(Io& io, ActionsRecord::Preloaded& it) {
     io.all(it.function, it.invoker, it.copies);
 }
 template <class Io>
-void body(Io& io, Answer& it) {
-    io.all(it.called_off, it.answered, it.started, it.probed, it.ordered, it.forgotten, it.follow_list, it.next_wake);
+void body(Io& io, ActionsRecord& it) {
+    io.all(it.to_cancel, it.completed, it.to_send, it.to_probe, it.to_preload, it.released_functions, it.subscribe_endpoints, it.next_wake);
 }
 template <class Io>
-void body(Io& io, TurnedTo::Sent& it) {
-    io.all(it.hop, it.invoker, it.loads, it.warm);
+void body(Io& io, TransitionRecord::Sent& it) {
+    io.all(it.attempt, it.invoker, it.starts_load, it.warm);
 }
 template <class Io>
-void body(Io& io, TurnedTo::Candidate& it) {
-    io.all(it.invoker, it.bar);
-    if (it.bar == Bar::none) io.all(it.finish, it.wait, it.warm);
+void body(Io& io, TransitionRecord::Candidate& it) {
+    io.all(it.invoker, it.exclusion);
+    if (it.exclusion == ExclusionReason::none) io.all(it.finish, it.contention, it.warm);
 }
 template <class Io>
-void body(Io& io, TurnedTo& it) {
-    io.all(it.to, it.why, it.pause, it.sent, it.weighed);
+void body(Io& io, TransitionRecord& it) {
+    io.all(it.to, it.reason, it.retry_after, it.sent, it.candidates);
 }
 
 }  // namespace
@@ -306,29 +306,29 @@
     Both<In> both{in};
     T told;
     body(both, told);
-    if (in.more()) throw Fault("a record holds more than its kind tells");
+    if (in.more()) throw TraceError("a record holds more than its kind tells");
     return told;
 }
 
-#define PLUMKEEL_TOLD(T)                  \
+#define PLUMKEEL_RECORD_TYPE(T)                  \
     template std::string pack<T>(const T&); \
     template void pack_into<T>(std::string&, const T&); \
     template T unpack<T>(std::string_view);
-PLUMKEEL_TOLD(Start)
-PLUMKEEL_TOLD(Known)
-PLUMKEEL_TOLD(Forgotten)
-PLUMKEEL_TOLD(Gap)
-PLUMKEEL_TOLD(Resumed)
-PLUMKEEL_TOLD(Merged)
-PLUMKEEL_TOLD(Story)
-PLUMKEEL_TOLD(Taken)
-PLUMKEEL_TOLD(HopAccepted)
-PLUMKEEL_TOLD(HopEnded)
-PLUMKEEL_TOLD(FleetChanged)
-PLUMKEEL_TOLD(ProbeAnswered)
-PLUMKEEL_TOLD(LoadAnswered)
-PLUMKEEL_TOLD(Answer)
-PLUMKEEL_TOLD(TurnedTo)
-#undef PLUMKEEL_TOLD
+PLUMKEEL_RECORD_TYPE(Start)
+PLUMKEEL_RECORD_TYPE(NameRecord)
+PLUMKEEL_RECORD_TYPE(FunctionReleased)
+PLUMKEEL_RECORD_TYPE(Gap)
+PLUMKEEL_RECORD_TYPE(Resumed)
+PLUMKEEL_RECORD_TYPE(Merged)
+PLUMKEEL_RECORD_TYPE(SampledRequest)
+PLUMKEEL_RECORD_TYPE(RequestSubmitted)
+PLUMKEEL_RECORD_TYPE(ResponseStarted)
+PLUMKEEL_RECORD_TYPE(AttemptEnded)
+PLUMKEEL_RECORD_TYPE(EndpointsChanged)
+PLUMKEEL_RECORD_TYPE(HealthCheckEnded)
+PLUMKEEL_RECORD_TYPE(PreloadEnded)
+PLUMKEEL_RECORD_TYPE(ActionsRecord)
+PLUMKEEL_RECORD_TYPE(TransitionRecord)
+#undef PLUMKEEL_RECORD_TYPE
 
 }  // namespace plumkeel::trace
--- a/src/trace/told.hpp
+++ b/src/trace/records.hpp
@@ -3,50 +3,50 @@
 // be, and allocates no more than the body holds.
 #pragma once
 
-#include "dispatch/types.hpp"
+#include "scheduler/types.hpp"
 #include "trace/format.hpp"
 
 namespace plumkeel::trace {
 
 // Kinds of records. 1 to 7 are needed to understand the others: the index knows the blocks that hold any.
-enum Told : std::uint8_t {
+enum RecordType : std::uint8_t {
     settings = 1,
     function_known = 2,
     gap = 3,
-    function_forgotten = 4,
+    function_released = 4,
     invoker_known = 5,
     resumed = 6,
     merged = 7,
-    story = 9,
-    take = 10,
-    hop_accepted,
-    hop_ended,
-    client_left,
-    fleet_changed,
-    list_broke,
-    probe_answered,
-    load_answered,
+    sampled_request = 9,
+    submit = 10,
+    response_started,
+    attempt_ended,
+    client_disconnected,
+    endpoints_changed,
+    endpoint_stream_lost,
+    health_check_ended,
+    preload_ended,
     wake,
-    answered = 30,  // the Results of the call before it
-    turned = 31,    // a job's change of state in the call before it, and why
+    actions = 30,  // the Results of the call before it
+    transition = 31,    // a job's change of state in the call before it, and why
 };
 
 // What the controller was given at its start, in the order in which the records number them.
 struct Start {
     std::string name;
     std::uint64_t seed{};
-    Rulebook rules;
-    Allowances may;
-    std::vector<std::pair<std::string, UseCase>> use_cases;
+    SafetyRules rules;
+    Capabilities capabilities;
+    std::vector<std::pair<std::string, RequestClass>> request_classes;
     std::vector<std::pair<std::string, double>> tenants;  // with their shares
 };
 
-struct Known {  // a function or an invoker
+struct NameRecord {  // a function or an invoker
     std::uint64_t number{};
     std::string name;
 };
 
-struct Forgotten {
+struct FunctionReleased {
     std::uint64_t number{};
 };
 
@@ -67,107 +67,107 @@
     std::vector<std::string> controllers;
 };
 
-struct Nested {
+struct NestedRecord {
     Time at{};
-    std::uint8_t kind{};
+    std::uint8_t type{};
     std::string body;
 };
 
-struct Story {  // a sampled job's records, told when it ended
-    std::vector<Nested> records;
+struct SampledRequest {  // a sampled job's records, told when it ended
+    std::vector<NestedRecord> records;
 };
 
-struct Taken {
-    std::uint64_t use_case{}, tenant{}, function{};  // tenant: 0 for none, else its number and 1
-    int lanes{};
-    std::optional<Time> told_load;
-    Time time_left{};
-    bool again{};
+struct RequestSubmitted {
+    std::uint64_t request_class{}, tenant{}, function{};  // tenant: 0 for none, else its number and 1
+    int concurrency{};
+    std::optional<Time> declared_load_time;
+    Time remaining{};
+    bool is_client_retry{};
 };
 
-struct HopAccepted {
-    std::uint64_t hop{};
+struct ResponseStarted {
+    std::uint64_t attempt{};
 };
 
-struct HopEnded {
-    std::uint64_t hop{};
-    Ending ending{};
-    Note note{};
-    int company{};
-    Report report;
+struct AttemptEnded {
+    std::uint64_t attempt{};
+    AttemptOutcome outcome{};
+    LoadEvent load_event{};
+    int concurrent_requests{};
+    LoadReport report;
 };
 
-struct ListEntry {
+struct EndpointRecord {
     std::uint64_t invoker{};
     bool ready{};
-    double units{};
+    double capacity{};
     std::string zone;
-    std::uint64_t kind{};
+    std::uint64_t type{};
     int cell{};
-    std::optional<Time> started;
+    std::optional<Time> started_at;
 };
 
-struct FleetChanged {
+struct EndpointsChanged {
     bool complete{};
     std::uint64_t controller{};  // in a merged trace, which one was told; else 0
-    std::vector<ListEntry> changed;
+    std::vector<EndpointRecord> changed;
 };
 
-struct ProbeAnswered {
+struct HealthCheckEnded {
     std::uint64_t invoker{};
-    bool came{};
-    Report report;
+    bool answered{};
+    LoadReport report;
 };
 
-struct LoadAnswered {
+struct PreloadEnded {
     std::uint64_t function{}, invoker{};
-    Ending ending{};
+    AttemptOutcome outcome{};
     int copies{};
 };
 
-struct Answer {
-    struct CalledOff {
-        std::uint64_t job{}, hop{};
+struct ActionsRecord {
+    struct Cancelled {
+        std::uint64_t request{}, attempt{};
     };
-    struct Answered {
-        std::uint64_t job{};
-        JobState state{};
-        Time pause{};
+    struct Completed {
+        std::uint64_t request{};
+        RequestState state{};
+        Time retry_after{};
     };
-    struct Started {
-        std::uint64_t job{}, hop{}, invoker{};
-        Time limit{};
+    struct Sent {
+        std::uint64_t request{}, attempt{}, invoker{};
+        Time timeout{};
     };
-    struct Ordered {
+    struct Preloaded {
         std::uint64_t function{}, invoker{};
         int copies{};
     };
-    std::vector<CalledOff> called_off;
-    std::vector<Answered> answered;
-    std::vector<Started> started;
-    std::vector<std::uint64_t> probed;
-    std::vector<Ordered> ordered;
-    std::vector<std::uint64_t> forgotten;
-    bool follow_list{};
+    std::vector<Cancelled> to_cancel;
+    std::vector<Completed> completed;
+    std::vector<Sent> to_send;
+    std::vector<std::uint64_t> to_probe;
+    std::vector<Preloaded> to_preload;
+    std::vector<std::uint64_t> released_functions;
+    bool subscribe_endpoints{};
     Time next_wake{};
 };
 
-struct TurnedTo {
+struct TransitionRecord {
     struct Sent {
-        std::uint64_t hop{}, invoker{};
-        bool loads{}, warm{};  // it brings its function's one load; a copy was taken to stand there
+        std::uint64_t attempt{}, invoker{};
+        bool starts_load{}, warm{};  // it brings its function's one load; a copy was taken to stand there
     };
     struct Candidate {
         std::uint64_t invoker{};
-        Time finish{}, wait{};
+        Time finish{}, contention{};
         bool warm{};
-        Bar bar{};
+        ExclusionReason exclusion{};
     };
-    JobState to{};
-    Why why{};
-    Time pause{};  // a bounce's retry-after
+    RequestState to{};
+    DecisionReason reason{};
+    Time retry_after{};  // a bounce's retry-after
     std::optional<Sent> sent;
-    std::vector<Candidate> weighed;
+    std::vector<Candidate> candidates;
 };
 
 // One pair for each of the above.
--- a/src/trace/sampler.hpp
+++ b/src/trace/sampler.hpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <unordered_map>
 
-#include "trace/told.hpp"
+#include "trace/records.hpp"
 
 namespace plumkeel::trace {
 
@@ -25,15 +25,15 @@
 
 private:
     struct Open {
-        Story story;
+        SampledRequest story;
         std::size_t bytes{};
         std::uint64_t order{};
         int out{};  // hops
         bool ended{}, badly{};
         Time late{};  // an answer after this is late
     };
-    bool chosen(std::uint64_t job) const;
-    void note(Open& job, const Record& record);
+    bool chosen(std::uint64_t request) const;
+    void note(Open& request, const Record& record);
     void tell(std::uint64_t id, Time at, const Emit& emit);
 
     const double part_;
--- a/src/tale/chart.cpp
+++ b/src/trace_analysis/chart.cpp
@@ -1,4 +1,4 @@
-#include "tale/chart.hpp"
+#include "trace_analysis/chart.hpp"
 
 #include <fmt/format.h>
 #include <plplot/plplot.h>
@@ -7,7 +7,7 @@
 #include <array>
 #include <fstream>
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 namespace {
 
 constexpr std::size_t most_columns = 150, most_invokers = 10, most_told = 16;
@@ -24,7 +24,7 @@
 struct Column {  // some seconds together
     Outcomes ended;
     std::uint64_t parked{};
-    std::map<std::string, std::uint64_t> hops;
+    std::map<std::string, std::uint64_t> attempts;
 };
 
 // PLplot takes '#' for the start of a command in a text.
@@ -40,11 +40,11 @@
         step_ = std::max<std::size_t>(1, (seconds + most_columns - 1) / most_columns);
         columns_.resize((seconds + step_ - 1) / step_);
         for (std::size_t i = 0; i < seconds; ++i) {
-            const Second& s = summary.seconds()[i];
+            const SecondStats& s = summary.seconds()[i];
             Column& c = columns_[i / step_];
             c.ended.add(s.ended);
             c.parked = std::max(c.parked, s.parked);
-            for (const auto& [name, n] : s.hops) c.hops[name] += n;
+            for (const auto& [name, n] : s.attempts) c.attempts[name] += n;
         }
         plsdev("svg");
         plsfnam(file.c_str());
@@ -78,7 +78,7 @@
         plcol0(grey);
         pllsty(2);
         double before = -1;
-        for (const Mark& mark : summary_.marks()) {
+        for (const Annotation& mark : summary_.annotations()) {
             const double x = static_cast<double>(mark.at.count()) / 1e6;
             if (x - before < width() / 400) continue;  // one line for what falls together
             before = x;
@@ -104,14 +104,14 @@
 
     void outcomes(const std::string& title) {
         double most = 0;
-        for (const Column& c : columns_) most = std::max(most, static_cast<double>(c.ended.all()) / static_cast<double>(step_));
+        for (const Column& c : columns_) most = std::max(most, static_cast<double>(c.ended.total()) / static_cast<double>(step_));
         panel(0.69, 0.95, most, "jobs ended a second", false);
         plmtex("t", 1.5, 0.5, 0.5, plain(title).c_str());
         for (std::size_t i = 0; i < columns_.size(); ++i) {
             const Outcomes& o = columns_[i].ended;
             double y = 0;
-            const std::pair<std::uint64_t, int> parts[] = {{o.honoured, honoured}, {o.late, late}, {o.bounced, bounced},
-                                                           {o.written_off, written_off}, {o.abandoned, abandoned}, {o.unfinished, unfinished}};
+            const std::pair<std::uint64_t, int> parts[] = {{o.succeeded, honoured}, {o.late, late}, {o.rejected, bounced},
+                                                           {o.failed, written_off}, {o.cancelled, abandoned}, {o.unfinished, unfinished}};
             for (const auto& [n, colour] : parts) {
                 const double up = y + static_cast<double>(n) / static_cast<double>(step_);
                 if (n) box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), y, up, colour);
@@ -135,13 +135,13 @@
 
     void invokers() {
         std::vector<std::pair<std::uint64_t, std::string>> by_hops;
-        for (const auto& [name, hops] : summary_.invokers()) by_hops.emplace_back(hops.sent, name);
+        for (const auto& [name, attempts] : summary_.invokers()) by_hops.emplace_back(attempts.sent, name);
         std::stable_sort(by_hops.begin(), by_hops.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
         if (by_hops.size() > most_invokers) by_hops.resize(most_invokers);
         double most = 0;
         for (const Column& c : columns_)
             for (const auto& [n, name] : by_hops)
-                if (const auto it = c.hops.find(name); it != c.hops.end())
+                if (const auto it = c.attempts.find(name); it != c.attempts.end())
                     most = std::max(most, static_cast<double>(it->second) / static_cast<double>(step_));
         panel(0.24, 0.46, most, "hops sent a second", true);
         marks(most);
@@ -150,9 +150,9 @@
         for (const auto& [n, name] : by_hops) {
             std::vector<PLFLT> x, y;
             for (std::size_t i = 0; i < columns_.size(); ++i) {
-                const auto it = columns_[i].hops.find(name);
+                const auto it = columns_[i].attempts.find(name);
                 x.push_back((static_cast<double>(i) + 0.5) * static_cast<double>(step_));
-                y.push_back(it == columns_[i].hops.end() ? 0 : static_cast<double>(it->second) / static_cast<double>(step_));
+                y.push_back(it == columns_[i].attempts.end() ? 0 : static_cast<double>(it->second) / static_cast<double>(step_));
             }
             plcol0(colour++);
             plline(static_cast<PLINT>(x.size()), x.data(), y.data());
@@ -165,7 +165,7 @@
         plvpor(0.05, 0.98, 0.0, 0.18);
         plwind(0, 1, 0, 1);
         plcol0(ink);
-        const auto& all = summary_.marks();
+        const auto& all = summary_.annotations();
         for (std::size_t i = 0; i < std::min(all.size(), most_told); ++i) {
             const std::string words = fmt::format("{:.2f} s  {}", static_cast<double>(all[i].at.count()) / 1e6, all[i].what);
             plptex(i % 2 ? 0.52 : 0.04, 0.92 - 0.11 * static_cast<double>(i / 2), 1, 0, 0, plain(words).c_str());
@@ -180,10 +180,10 @@
 
 }  // namespace
 
-void draw(const Summary& summary, const std::string& title, const std::string& file) {
-    if (summary.seconds().empty()) throw trace::Fault("there is nothing to draw");
-    if (!std::ofstream(file)) throw trace::Fault(file + ": can't be written");  // PLplot would ask on the terminal
+void draw_summary(const Summary& summary, const std::string& title, const std::string& file) {
+    if (summary.seconds().empty()) throw trace::TraceError("there is nothing to draw");
+    if (!std::ofstream(file)) throw trace::TraceError(file + ": can't be written");  // PLplot would ask on the terminal
     Drawing(summary, title, file);
 }
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/chart.hpp
+++ b/src/trace_analysis/chart.hpp
@@ -4,11 +4,11 @@
 
 #include <string>
 
-#include "tale/summary.hpp"
+#include "trace_analysis/summary.hpp"
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 
 // Throws trace::Fault where there is nothing to draw or the file can't be written.
-void draw(const Summary& summary, const std::string& title, const std::string& file);
+void draw_summary(const Summary& summary, const std::string& title, const std::string& file);
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/stream.cpp
+++ b/src/trace_analysis/merged_stream.cpp
@@ -1,22 +1,22 @@
-#include "tale/stream.hpp"
+#include "trace_analysis/merged_stream.hpp"
 
 #include <algorithm>
 #include <map>
 
-#include "tale/listing.hpp"
+#include "trace_analysis/endpoint_diff.hpp"
 #include "trace/file.hpp"
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 namespace {
 
-using trace::Fault;
+using trace::TraceError;
 
 // The head of a file: its settings and how it goes on from others.
-void read_head(Chapters::File& file, std::optional<trace::Start>& start) {
+void read_head(ControllerTrace::File& file, std::optional<trace::Start>& start) {
     bool first = true;
     file.reader->names([&](const Record& record) {
-        if (record.kind == trace::resumed && first) file.resumed = trace::unpack<trace::Resumed>(record.body);
-        if (record.kind == trace::settings) start = trace::unpack<trace::Start>(record.body);
+        if (record.type == trace::resumed && first) file.resumed = trace::unpack<trace::Resumed>(record.body);
+        if (record.type == trace::settings) start = trace::unpack<trace::Start>(record.body);
         first = false;
         return !start;
     });
@@ -28,28 +28,28 @@
     return [](const std::string& name) { return std::make_unique<trace::FileSource>(name); };
 }
 
-std::vector<std::unique_ptr<Chapters>> open_all(const std::vector<std::string>& names, const OpenSource& open) {
-    std::map<std::pair<Time, std::string>, std::unique_ptr<Chapters>> all;
+std::vector<std::unique_ptr<ControllerTrace>> open_all(const std::vector<std::string>& names, const OpenSource& open) {
+    std::map<std::pair<Time, std::string>, std::unique_ptr<ControllerTrace>> all;
     for (const std::string& name : names) {
-        Chapters::File file{name, nullptr, nullptr, {}};
+        ControllerTrace::File file{name, nullptr, nullptr, {}};
         std::optional<trace::Start> start;
         try {
             file.source = open(name);
             file.reader = std::make_unique<trace::Reader>(*file.source);
             read_head(file, start);
-        } catch (const Fault& fault) {
+        } catch (const TraceError& fault) {
             const std::string what = fault.what();
-            throw Fault(what.find(name) == std::string::npos ? name + ": " + what : what);
+            throw TraceError(what.find(name) == std::string::npos ? name + ": " + what : what);
         }
         // Without its settings a file is known by its start only: it stands by itself.
         const std::string who = start ? start->name : name;
         auto& chapters = all[{file.reader->begun(), who}];
-        if (!chapters) chapters = std::make_unique<Chapters>();
+        if (!chapters) chapters = std::make_unique<ControllerTrace>();
         if (start) chapters->start_ = *start;
         if (chapters->start_.name.empty()) chapters->start_.name = name;
         chapters->files_.push_back(std::move(file));
     }
-    std::vector<std::unique_ptr<Chapters>> out;
+    std::vector<std::unique_ptr<ControllerTrace>> out;
     std::map<std::string, int> lives;
     for (auto& [key, chapters] : all) {
         std::stable_sort(chapters->files_.begin(), chapters->files_.end(),
@@ -61,7 +61,7 @@
     return out;
 }
 
-void Chapters::rewind(std::optional<Time> from) {
+void ControllerTrace::rewind(std::optional<Time> from) {
     file_ = place_ = at_ = 0;
     block_.clear();
     prelude_.clear();
@@ -70,13 +70,13 @@
     if (!from) return;
     for (const File& file : files_)
         file.reader->names([&](const Record& record) {
-            if (record.kind != trace::gap && record.kind != trace::function_forgotten) prelude_.push_back({*from, record.kind, 0, record.body});
+            if (record.type != trace::gap && record.type != trace::function_released) prelude_.push_back({*from, record.type, 0, record.body});
             return true;
         });
     for (; file_ < files_.size(); ++file_) {
         const auto& places = files_[file_].reader->places();
         place_ = static_cast<std::size_t>(
-            std::partition_point(places.begin(), places.end(), [&](const trace::Place& p) { return p.last < *from; }) - places.begin());
+            std::partition_point(places.begin(), places.end(), [&](const trace::BlockLocation& p) { return p.last < *from; }) - places.begin());
         if (place_ < places.size()) break;
     }
     if (file_ == files_.size()) return;
@@ -87,7 +87,7 @@
     skip_ = again_ = 0;
 }
 
-double Chapters::part_read() const {
+double ControllerTrace::part_read() const {
     double all = 0, done = 0;
     for (std::size_t i = 0; i < files_.size(); ++i) {
         const double places = static_cast<double>(files_[i].reader->places().size());
@@ -98,7 +98,7 @@
 }
 
 // Where its records stand among those of the files before: some may be told twice, or be missing.
-void Chapters::enter_file(std::optional<Record>& first) {
+void ControllerTrace::enter_file(std::optional<Record>& first) {
     const File& file = files_[file_];
     const std::uint64_t before = file.resumed.before;
     in_file_ = true;
@@ -114,7 +114,7 @@
     first = Record{places.empty() ? Time{} : places.front().first, trace::gap, 0, trace::pack(trace::Gap{lost, 0})};
 }
 
-bool Chapters::next_block(std::optional<Record>& first) {
+bool ControllerTrace::next_block(std::optional<Record>& first) {
     trace::Reader& reader = *files_[file_].reader;
     at_ = 0;
     block_ = reader.block(place_);
@@ -129,7 +129,7 @@
     return true;
 }
 
-std::optional<Record> Chapters::next() {
+std::optional<Record> ControllerTrace::next() {
     if (!prelude_.empty()) {
         Record record = std::move(prelude_.front());
         prelude_.pop_front();
@@ -146,7 +146,7 @@
             }
             Record& record = block_[at_++];
             const bool later = file_ > 0 && missing_ == 0;  // then names told again are no news
-            if (record.kind == trace::resumed) {
+            if (record.type == trace::resumed) {
                 again_ = trace::unpack<trace::Resumed>(record.body).again;
                 if (later) continue;
                 return std::move(record);
@@ -185,7 +185,7 @@
     Register(std::uint8_t kind, std::vector<Record>& told) : kind_(kind), told_(told) {}
     std::uint64_t number(const std::string& name, Time at) {
         const auto [it, fresh] = numbers_.try_emplace(name, numbers_.size());
-        if (fresh) told_.push_back({at, kind_, 0, trace::pack(trace::Known{it->second, name})});
+        if (fresh) told_.push_back({at, kind_, 0, trace::pack(trace::NameRecord{it->second, name})});
         return it->second;
     }
 
@@ -195,9 +195,9 @@
     std::unordered_map<std::string, std::uint64_t> numbers_;
 };
 
-class Braid : public Stream {
+class Braid : public RecordStream {
 public:
-    Braid(std::vector<Chapters*> parts, const std::vector<Time>& offsets, std::optional<Time> from) {
+    Braid(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets, std::optional<Time> from) {
         for (std::size_t i = 0; i < parts.size(); ++i) {
             const Time begun = parts[i]->begun() + offsets[i];
             begun_ = strands_.empty() ? begun : std::min(begun_, begun);
@@ -210,7 +210,7 @@
         for (Strand& strand : strands_) {
             const trace::Start& start = strand.part.start();
             if (&strand == &strands_.front()) all = start;
-            for (const auto& [name, use] : start.use_cases) strand.use_cases.push_back(number_of(all.use_cases, name, use));
+            for (const auto& [name, use] : start.request_classes) strand.request_classes.push_back(number_of(all.request_classes, name, use));
             for (const auto& [name, share] : start.tenants) strand.tenants.push_back(number_of(all.tenants, name, share));
             who.controllers.push_back(strand.part.controller());
         }
@@ -245,11 +245,11 @@
 
 private:
     struct Strand {
-        Strand(Chapters& from, Time begins) : part(from), begun(begins), names(true) {}
-        Chapters& part;
+        Strand(ControllerTrace& from, Time begins) : part(from), begun(begins), names(true) {}
+        ControllerTrace& part;
         Time begun;
-        Names names;
-        std::vector<std::uint64_t> use_cases, tenants;  // of its own numbers
+        NameTable names;
+        std::vector<std::uint64_t> request_classes, tenants;  // of its own numbers
         std::optional<Record> head;
         bool over{};
     };
@@ -257,7 +257,7 @@
     void advance(Strand& strand) {
         while ((strand.head = strand.part.next())) {
             if (strand.names.feed(*strand.head)) continue;
-            if (strand.head->kind == trace::answered || strand.head->kind == trace::wake) continue;
+            if (strand.head->type == trace::actions || strand.head->type == trace::wake) continue;
             strand.head->at += strand.begun - begun_;
             return;
         }
@@ -271,50 +271,50 @@
 
     void take(Strand& strand, Record record) {
         const Time at = record.at;
-        if (record.job) record.job = record.job * strands_.size() + place(strand);
-        record.body = body(strand, record.kind, at, record.body);
+        if (record.request) record.request = record.request * strands_.size() + place(strand);
+        record.body = body(strand, record.type, at, record.body);
         told_.push_back(std::move(record));
     }
 
     std::string body(const Strand& strand, std::uint8_t kind, Time at, const std::string& old) {
         switch (kind) {
-            case trace::story: {
-                auto told = trace::unpack<trace::Story>(old);
-                for (trace::Nested& each : told.records) {
+            case trace::sampled_request: {
+                auto told = trace::unpack<trace::SampledRequest>(old);
+                for (trace::NestedRecord& each : told.records) {
                     each.at += strand.begun - begun_;
-                    each.body = body(strand, each.kind, at, each.body);
+                    each.body = body(strand, each.type, at, each.body);
                 }
                 return trace::pack(told);
             }
-            case trace::take: {
-                auto told = trace::unpack<trace::Taken>(old);
-                if (told.use_case < strand.use_cases.size()) told.use_case = strand.use_cases[told.use_case];
+            case trace::submit: {
+                auto told = trace::unpack<trace::RequestSubmitted>(old);
+                if (told.request_class < strand.request_classes.size()) told.request_class = strand.request_classes[told.request_class];
                 if (told.tenant && told.tenant <= strand.tenants.size()) told.tenant = 1 + strand.tenants[told.tenant - 1];
                 told.function = functions_.number(strand.names.function(told.function), at);
                 return trace::pack(told);
             }
-            case trace::turned: {
-                auto told = trace::unpack<trace::TurnedTo>(old);
+            case trace::transition: {
+                auto told = trace::unpack<trace::TransitionRecord>(old);
                 if (told.sent) told.sent->invoker = invoker(strand, told.sent->invoker, at);
-                for (auto& each : told.weighed) each.invoker = invoker(strand, each.invoker, at);
+                for (auto& each : told.candidates) each.invoker = invoker(strand, each.invoker, at);
                 return trace::pack(told);
             }
-            case trace::fleet_changed: {
-                auto told = trace::unpack<trace::FleetChanged>(old);
+            case trace::endpoints_changed: {
+                auto told = trace::unpack<trace::EndpointsChanged>(old);
                 told.controller = place(strand);
                 for (auto& each : told.changed) {
                     each.invoker = invoker(strand, each.invoker, at);
-                    each.kind = each.kind * strands_.size() + place(strand);
+                    each.type = each.type * strands_.size() + place(strand);
                 }
                 return trace::pack(told);
             }
-            case trace::probe_answered: {
-                auto told = trace::unpack<trace::ProbeAnswered>(old);
+            case trace::health_check_ended: {
+                auto told = trace::unpack<trace::HealthCheckEnded>(old);
                 told.invoker = invoker(strand, told.invoker, at);
                 return trace::pack(told);
             }
-            case trace::load_answered: {
-                auto told = trace::unpack<trace::LoadAnswered>(old);
+            case trace::preload_ended: {
+                auto told = trace::unpack<trace::PreloadEnded>(old);
                 told.function = functions_.number(strand.names.function(told.function), at);
                 told.invoker = invoker(strand, told.invoker, at);
                 return trace::pack(told);
@@ -333,8 +333,8 @@
 
 }  // namespace
 
-std::unique_ptr<Stream> merged(std::vector<Chapters*> parts, const std::vector<Time>& offsets, std::optional<Time> from) {
-    if (parts.empty()) throw Fault("no trace is given");
+std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets, std::optional<Time> from) {
+    if (parts.empty()) throw TraceError("no trace is given");
     return std::make_unique<Braid>(std::move(parts), offsets, from);
 }
 
@@ -343,44 +343,44 @@
 namespace {
 
 // When a controller saw what others may have seen too, by what it was.
-std::map<std::string, std::vector<Time>> happenings(Chapters& part) {
+std::map<std::string, std::vector<Time>> happenings(ControllerTrace& part) {
     constexpr Time one_death = std::chrono::seconds(2);  // hops cut off within it end by the same one
     std::map<std::string, std::vector<Time>> out;
     std::map<std::string, Time> cut;
-    Listing listing;
-    Names names(true);
-    std::unordered_map<std::uint64_t, std::vector<std::string>> hops;  // of open jobs: where each went
+    EndpointDiff listing;
+    NameTable names(true);
+    std::unordered_map<std::uint64_t, std::vector<std::string>> attempts;  // of open jobs: where each went
     auto look = [&](const Record& record) {
-        if (record.kind == trace::turned) {
-            const auto told = trace::unpack<trace::TurnedTo>(record.body);
+        if (record.type == trace::transition) {
+            const auto told = trace::unpack<trace::TransitionRecord>(record.body);
             if (told.sent) {
-                auto& there = hops[record.job];
-                there.resize(std::max<std::size_t>(there.size(), std::min<std::uint64_t>(told.sent->hop, 1000) + 1));
-                there[std::min<std::uint64_t>(told.sent->hop, 1000)] = names.invoker(told.sent->invoker);
-            } else if (told.to >= JobState::honoured) {
-                hops.erase(record.job);
+                auto& there = attempts[record.request];
+                there.resize(std::max<std::size_t>(there.size(), std::min<std::uint64_t>(told.sent->attempt, 1000) + 1));
+                there[std::min<std::uint64_t>(told.sent->attempt, 1000)] = names.invoker(told.sent->invoker);
+            } else if (told.to >= RequestState::succeeded) {
+                attempts.erase(record.request);
             }
-        } else if (record.kind == trace::hop_ended) {
-            const auto told = trace::unpack<trace::HopEnded>(record.body);
-            if (told.ending != Ending::cut_off && told.ending != Ending::unreachable) return;
-            const auto it = hops.find(record.job);
-            if (it == hops.end() || told.hop >= it->second.size()) return;
-            const std::string& who = it->second[told.hop];
+        } else if (record.type == trace::attempt_ended) {
+            const auto told = trace::unpack<trace::AttemptEnded>(record.body);
+            if (told.outcome != AttemptOutcome::connection_lost && told.outcome != AttemptOutcome::unreachable) return;
+            const auto it = attempts.find(record.request);
+            if (it == attempts.end() || told.attempt >= it->second.size()) return;
+            const std::string& who = it->second[told.attempt];
             const auto last = cut.find(who);
-            if (told.ending == Ending::cut_off && (last == cut.end() || record.at - last->second > one_death))
+            if (told.outcome == AttemptOutcome::connection_lost && (last == cut.end() || record.at - last->second > one_death))
                 out["cut " + who].push_back(part.begun() + record.at);
             cut[who] = record.at;
-        } else if (record.kind == trace::fleet_changed) {
-            for (const auto& news : listing.feed(trace::unpack<trace::FleetChanged>(record.body), names))
+        } else if (record.type == trace::endpoints_changed) {
+            for (const auto& news : listing.feed(trace::unpack<trace::EndpointsChanged>(record.body), names))
                 out[std::to_string(static_cast<int>(news.change)) + " " + news.who].push_back(part.begun() + record.at);
         }
     };
     part.rewind();
     while (const auto record = part.next()) {
         if (names.feed(*record)) continue;
-        if (record->kind == trace::story) {
-            for (const trace::Nested& each : trace::unpack<trace::Story>(record->body).records)
-                look({each.at, each.kind, record->job, each.body});
+        if (record->type == trace::sampled_request) {
+            for (const trace::NestedRecord& each : trace::unpack<trace::SampledRequest>(record->body).records)
+                look({each.at, each.type, record->request, each.body});
         } else {
             look(*record);
         }
@@ -395,7 +395,7 @@
 }
 
 // Of all differences the place where most lie close together: pairs that are not of the same happening scatter.
-std::optional<Offset> densest(std::vector<Time> differences) {
+std::optional<ClockOffset> densest(std::vector<Time> differences) {
     constexpr Time together = std::chrono::milliseconds(100);
     constexpr std::size_t enough = 3;
     std::sort(differences.begin(), differences.end());
@@ -410,7 +410,7 @@
     if (most < enough) return {};
     std::vector<Time> close(differences.begin() + static_cast<std::ptrdiff_t>(best),
                             differences.begin() + static_cast<std::ptrdiff_t>(best + most));
-    Offset out{median(close), most, {}};
+    ClockOffset out{median(close), most, {}};
     for (Time& each : close) each = std::chrono::abs(each - out.offset);
     out.spread = median(close);
     return out;
@@ -418,9 +418,9 @@
 
 }  // namespace
 
-std::vector<Offset> estimate_offsets(const std::vector<Chapters*>& parts) {
+std::vector<ClockOffset> estimate_offsets(const std::vector<ControllerTrace*>& parts) {
     constexpr Time window = std::chrono::seconds(5);  // no clock is taken to be further off
-    std::vector<Offset> out(parts.size());
+    std::vector<ClockOffset> out(parts.size());
     if (parts.size() < 2) return out;
     auto seen = happenings(*parts.front());  // by those aligned so far
     for (std::size_t i = 1; i < parts.size(); ++i) {
@@ -442,4 +442,4 @@
     return out;
 }
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/stream.hpp
+++ b/src/trace_analysis/merged_stream.hpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "tale/names.hpp"
+#include "trace_analysis/name_table.hpp"
 #include "trace/format.hpp"
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 
-class Stream {
+class RecordStream {
 public:
-    virtual ~Stream() = default;
+    virtual ~RecordStream() = default;
     virtual std::optional<Record> next() = 0;
     virtual Time begun() const = 0;  // of its records' times, since the Unix epoch
     virtual double part_read() const = 0;  // from 0 to 1
@@ -24,7 +24,7 @@
 using OpenSource = std::function<std::unique_ptr<trace::Source>(const std::string& name)>;
 
 // One controller's trace. Where records are damaged or missing between files it tells a gap.
-class Chapters : public Stream {
+class ControllerTrace : public RecordStream {
 public:
     struct File {
         std::string name;
@@ -46,7 +46,7 @@
     std::uint64_t missing() const { return missing_; }
 
 private:
-    friend std::vector<std::unique_ptr<Chapters>> open_all(const std::vector<std::string>&, const OpenSource&);
+    friend std::vector<std::unique_ptr<ControllerTrace>> open_all(const std::vector<std::string>&, const OpenSource&);
 
     std::vector<File> files_;
     trace::Start start_;
@@ -65,22 +65,22 @@
 };
 
 // The files by controller, in the order of their start. Throws Fault that names the file.
-std::vector<std::unique_ptr<Chapters>> open_all(const std::vector<std::string>& files, const OpenSource& open);
+std::vector<std::unique_ptr<ControllerTrace>> open_all(const std::vector<std::string>& files, const OpenSource& open);
 OpenSource files_on_disk();
 
 // Several controllers' records in the order of their time, corrected by `offsets` (added to each one's clock);
 // like moments in the order of the controllers. Their numbers of jobs, functions, invokers and so on are made
 // one; what serves only deciding again is left out.
-std::unique_ptr<Stream> merged(std::vector<Chapters*> parts, const std::vector<Time>& offsets,
+std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets,
                                std::optional<Time> from = {});
 
-struct Offset {
+struct ClockOffset {
     Time offset{};      // to add to this controller's clock to have the first one's
     std::size_t from{};  // how many happenings that both saw tell it; 0: none, and the offset is 0
     Time spread{};      // half of those differ by no more than this from it
 };
 
 // From what several controllers saw: hops cut off by the same death of an invoker, and changes of the list.
-std::vector<Offset> estimate_offsets(const std::vector<Chapters*>& parts);
+std::vector<ClockOffset> estimate_offsets(const std::vector<ControllerTrace*>& parts);
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/names.cpp
+++ b/src/trace_analysis/name_table.cpp
@@ -1,6 +1,6 @@
-#include "tale/names.hpp"
+#include "trace_analysis/name_table.hpp"
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 namespace {
 
 std::string find(const std::unordered_map<std::uint64_t, std::string>& names, std::uint64_t number, const char* what) {
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-bool Names::feed(const Record& record) {
-    switch (record.kind) {
+bool NameTable::feed(const Record& record) {
+    switch (record.type) {
         case trace::settings:
             start_ = trace::unpack<trace::Start>(record.body);
             return true;
@@ -19,17 +19,17 @@
             merged_ = trace::unpack<trace::Merged>(record.body).controllers;
             return true;
         case trace::function_known: {
-            auto known = trace::unpack<trace::Known>(record.body);
+            auto known = trace::unpack<trace::NameRecord>(record.body);
             functions_[known.number] = std::move(known.name);
             return true;
         }
         case trace::invoker_known: {
-            auto known = trace::unpack<trace::Known>(record.body);
+            auto known = trace::unpack<trace::NameRecord>(record.body);
             invokers_[known.number] = std::move(known.name);
             return true;
         }
-        case trace::function_forgotten:
-            if (!all_) functions_.erase(trace::unpack<trace::Forgotten>(record.body).number);
+        case trace::function_released:
+            if (!all_) functions_.erase(trace::unpack<trace::FunctionReleased>(record.body).number);
             return true;
         case trace::resumed:
             return true;
@@ -38,25 +38,25 @@
     }
 }
 
-std::string Names::use_case(std::uint64_t number) const {
-    return number < start_.use_cases.size() ? start_.use_cases[number].first : "use case #" + std::to_string(number);
+std::string NameTable::request_class(std::uint64_t number) const {
+    return number < start_.request_classes.size() ? start_.request_classes[number].first : "use case #" + std::to_string(number);
 }
 
-std::string Names::tenant(std::uint64_t number) const {
+std::string NameTable::tenant(std::uint64_t number) const {
     if (!number) return "";
     return number <= start_.tenants.size() ? start_.tenants[number - 1].first : "tenant #" + std::to_string(number);
 }
 
-std::string Names::function(std::uint64_t number) const { return find(functions_, number, "function"); }
-std::string Names::invoker(std::uint64_t number) const { return find(invokers_, number, "invoker"); }
+std::string NameTable::function(std::uint64_t number) const { return find(functions_, number, "function"); }
+std::string NameTable::invoker(std::uint64_t number) const { return find(invokers_, number, "invoker"); }
 
-std::string Names::job(std::uint64_t number) const {
+std::string NameTable::request(std::uint64_t number) const {
     if (merged_.empty()) return std::to_string(number);
     return std::to_string(number / merged_.size()) + "@" + merged_[number % merged_.size()];
 }
 
-Time Names::promised(std::uint64_t use_case) const {
-    return use_case < start_.use_cases.size() ? start_.use_cases[use_case].second.promised : Time{};
+Time NameTable::latency_target(std::uint64_t request_class) const {
+    return request_class < start_.request_classes.size() ? start_.request_classes[request_class].second.latency_target : Time{};
 }
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/anonymous.cpp
+++ b/src/trace_analysis/pseudonymizer.cpp
@@ -1,38 +1,38 @@
-#include "tale/anonymous.hpp"
+#include "trace_analysis/pseudonymizer.hpp"
 
 #include <fmt/format.h>
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 
-Anonymous::Anonymous(std::string key) : key_(std::move(key)) {
-    if (key_.size() < 16) throw trace::Fault("the key is under 16 bytes: its tokens could be guessed");
+Pseudonymizer::Pseudonymizer(std::string key) : key_(std::move(key)) {
+    if (key_.size() < 16) throw trace::TraceError("the key is under 16 bytes: its tokens could be guessed");
 }
 
 // The role is hashed as well: a tenant and a function of one name must not be seen to be alike.
-std::string Anonymous::token(std::string_view role, const std::string& name) {
+std::string Pseudonymizer::token(std::string_view role, const std::string& name) {
     if (name.empty()) return {};
     const std::string text = fmt::format("{}:{}", role, name);
     unsigned char sum[EVP_MAX_MD_SIZE];
     unsigned int length = 0;
     if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()), reinterpret_cast<const unsigned char*>(text.data()),
               text.size(), sum, &length))
-        throw trace::Fault("the names can't be hashed");
+        throw trace::TraceError("the names can't be hashed");
     std::string out(role);
     out += '-';
     for (int i = 0; i < 8; ++i) out += fmt::format("{:02x}", sum[i]);
     return out;
 }
 
-std::optional<Record> Anonymous::veiled(const Record& record) {
+std::optional<Record> Pseudonymizer::pseudonymize(const Record& record) {
     Record out = record;
-    switch (record.kind) {
+    switch (record.type) {
         case trace::settings: {
             auto told = trace::unpack<trace::Start>(record.body);
             told.name = token("controller", told.name);
             told.seed = 0;
-            for (auto& [name, use] : told.use_cases) name = token("use-case", name);
+            for (auto& [name, use] : told.request_classes) name = token("use-case", name);
             for (auto& [name, share] : told.tenants) name = token("tenant", name);
             out.body = trace::pack(told);
             return out;
@@ -45,13 +45,13 @@
         }
         case trace::function_known:
         case trace::invoker_known: {
-            auto told = trace::unpack<trace::Known>(record.body);
-            told.name = token(record.kind == trace::function_known ? "function" : "invoker", told.name);
+            auto told = trace::unpack<trace::NameRecord>(record.body);
+            told.name = token(record.type == trace::function_known ? "function" : "invoker", told.name);
             out.body = trace::pack(told);
             return out;
         }
-        case trace::fleet_changed: {
-            auto told = trace::unpack<trace::FleetChanged>(record.body);
+        case trace::endpoints_changed: {
+            auto told = trace::unpack<trace::EndpointsChanged>(record.body);
             for (auto& each : told.changed) each.zone = token("zone", each.zone);
             out.body = trace::pack(told);
             return out;
@@ -63,24 +63,24 @@
             out.body = trace::pack(told);
             return out;
         }
-        case trace::answered:
+        case trace::actions:
         case trace::wake:
             return {};
         case trace::gap:
-        case trace::function_forgotten:
-        case trace::story:
-        case trace::take:
-        case trace::hop_accepted:
-        case trace::hop_ended:
-        case trace::client_left:
-        case trace::list_broke:
-        case trace::probe_answered:
-        case trace::load_answered:
-        case trace::turned:
+        case trace::function_released:
+        case trace::sampled_request:
+        case trace::submit:
+        case trace::response_started:
+        case trace::attempt_ended:
+        case trace::client_disconnected:
+        case trace::endpoint_stream_lost:
+        case trace::health_check_ended:
+        case trace::preload_ended:
+        case trace::transition:
             return out;  // numbers and times only
         default:
             return {};  // of a newer writer: who knows what it holds
     }
 }
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/tale/anonymous.hpp
+++ b/src/trace_analysis/pseudonymizer.hpp
@@ -5,21 +5,21 @@
 #include <optional>
 #include <string>
 
-#include "tale/names.hpp"
+#include "trace_analysis/name_table.hpp"
 
-namespace plumkeel::tale {
+namespace plumkeel::trace_analysis {
 
-class Anonymous {
+class Pseudonymizer {
 public:
     // Throws Fault where the key is under 16 bytes.
-    explicit Anonymous(std::string key);
+    explicit Pseudonymizer(std::string key);
 
     // The record without names; nothing where it serves only deciding again, which goes by names.
-    std::optional<Record> veiled(const Record& record);
+    std::optional<Record> pseudonymize(const Record& record);
     std::string token(std::string_view role, const std::string& name);  // such as "function-3f9a0c1b2d4e5f60"
 
 private:
     const std::string key_;
 };
 
-}  // namespace plumkeel::tale
+}  // namespace plumkeel::trace_analysis
--- a/src/web/service.hpp
+++ b/src/web/server.hpp
@@ -4,18 +4,18 @@
 
 #include <map>
 
-#include "fleet/roster.hpp"
+#include "consul/health_watcher.hpp"
 #include "gateway/gateway.hpp"
 
 namespace plumkeel::web {
 
-class Visit;
+class Connection;
 
-class Service {
+class Server {
 public:
     // `recorded` is told every call into the module and its answer, for traces.
-    Service(net::World& world, Charter charter, Log& log, std::uint64_t seed, trace::Recorded recorded = {});
-    ~Service();
+    Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, trace::RecordCallback recorded = {});
+    ~Server();
 
     // Takes jobs from now on; the error of the listen, if it did not come about.
     net::Error open();
@@ -23,28 +23,28 @@
     void close(std::function<void()> then);
     net::Address address() const { return listener_->address(); }
     boost::json::object status() const { return gateway_.status(); }
-    metrics::Meters* meters() { return gateway_.meters(); }
-    void measure_also(std::function<void(metrics::Levels&)> also) { gateway_.measure_also(std::move(also)); }
+    metrics::GatewayMetrics* metrics() { return gateway_.metrics(); }
+    void set_extra_levels(std::function<void(metrics::Levels&)> also) { gateway_.set_extra_levels(std::move(also)); }
 
-    net::World& world() { return world_; }
+    net::EventLoop& loop() { return loop_; }
     gateway::Gateway& gateway() { return gateway_; }
-    void visit_gone(const std::shared_ptr<Visit>& visit);
+    void connection_closed(const std::shared_ptr<Connection>& sink);
 
 private:
     net::Task<> accept();
-    net::Task<> turn_back(std::shared_ptr<net::Stream> stream, Objection objection);
-    void see_whether_done();
+    net::Task<> reject(std::shared_ptr<net::Stream> stream, RejectionReason objection);
+    void check_drained();
 
-    net::World& world_;
+    net::EventLoop& loop_;
     Log& log_;
     gateway::Gateway gateway_;
-    fleet::Roster roster_;
+    consul::HealthWatcher watcher_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::shared_ptr<Visit>> visits_;  // in the order in which they came
-    std::uint64_t visit_numbers_{};
-    int turning_back_{};
-    bool answered_all_{};
-    std::function<void()> then_;
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // in the order in which they came
+    std::uint64_t connection_ids_{};
+    int rejecting_{};
+    bool gateway_drained_{};
+    std::function<void()> on_drained_;
 };
 
 }  // namespace plumkeel::web
--- a/tests/auditor_test.cpp
+++ b/tests/auditor_test.cpp
@@ -1,9 +1,9 @@
 // Doctored records: each kind of breach is named, and a clean day is not.
 #include <gtest/gtest.h>
 
-#include "stand/auditor.hpp"
+#include "emulator/auditor.hpp"
 
-namespace plumkeel::stand {
+namespace plumkeel::emulator {
 namespace {
 
 namespace json = boost::json;
@@ -11,10 +11,10 @@
 class Doctored : public testing::Test {
 protected:
     Doctored() {
-        stated.hops = 2;
-        stated.use_cases["p"] = {"replayable", "everywhere", 0};
-        stated.use_cases["r"] = {"referenced", "zone", 5'000'000};
-        stated.use_cases["s"] = {"single_use", "everywhere", 0};
+        stated.attempts = 2;
+        stated.request_classes["p"] = {"replayable", "everywhere", 0};
+        stated.request_classes["r"] = {"referenced", "zone", 5'000'000};
+        stated.request_classes["s"] = {"single_use", "everywhere", 0};
         stated.places = {{"i1", {"a", 0}}, {"i2", {"a", 0}}, {"i3", {"b", 1}}};
     }
 
@@ -25,26 +25,26 @@
         line("clients", "c", json::serialize(json::object{{"t", ms * 1000}, {"e", "sent"}, {"id", id}, {"origin", origin},
              {"try", 0}, {"to", "A"}, {"use", use}, {"left_us", 4'000'000}, {"promised_us", 1'500'000}}));
     }
-    void answer(int id, std::int64_t ms, const std::string& outcome, const std::string& origin, const std::string& job,
-                int hops) {
+    void answer(int id, std::int64_t ms, const std::string& outcome, const std::string& origin, const std::string& request,
+                int attempts) {
         line("clients", "c", json::serialize(json::object{{"t", ms * 1000}, {"e", "answer"}, {"id", id}, {"origin", origin},
-             {"outcome", outcome}, {"controller", "k/1"}, {"job", job}, {"hops", std::to_string(hops)}}));
+             {"outcome", outcome}, {"controller", "k/1"}, {"job", request}, {"hops", std::to_string(attempts)}}));
     }
     void at(const std::string& invoker, std::int64_t ms, const std::string& event, const std::string& use,
-            const std::string& origin, const std::string& job, int hop, const std::string& word = "") {
-        json::object o{{"t", ms * 1000}, {"e", event}, {"controller", "k/1"}, {"job", job}, {"hop", std::to_string(hop)},
+            const std::string& origin, const std::string& request, int attempt, const std::string& word = "") {
+        json::object o{{"t", ms * 1000}, {"e", event}, {"controller", "k/1"}, {"job", request}, {"hop", std::to_string(attempt)},
                        {"function", "f"}, {"use", use}, {"origin", origin}};
         if (!word.empty()) o["word"] = word;
         line("invoker", invoker, json::serialize(o));
     }
     // One job, honoured in one hop.
     void honoured(int id, std::int64_t ms, const std::string& use = "p") {
-        const std::string origin = "o" + std::to_string(id), job = std::to_string(id);
+        const std::string origin = "o" + std::to_string(id), request = std::to_string(id);
         sent(id, ms, use, origin);
-        at("i1", ms + 1, "hop", use, origin, job, 0);
-        at("i1", ms + 2, "run", use, origin, job, 0);
-        at("i1", ms + 100, "answer", use, origin, job, 0, "honoured");
-        answer(id, ms + 101, "honoured", origin, job, 1);
+        at("i1", ms + 1, "hop", use, origin, request, 0);
+        at("i1", ms + 2, "run", use, origin, request, 0);
+        at("i1", ms + 100, "answer", use, origin, request, 0, "honoured");
+        answer(id, ms + 101, "honoured", origin, request, 1);
     }
 
     Verdict judge() {
@@ -159,7 +159,7 @@
 }
 
 TEST_F(Doctored, AReferencedHopAfterItsMarkWasForgotten) {
-    stated.use_cases["r"].remembered = 100'000;
+    stated.request_classes["r"].remembered = 100'000;
     sent(1, 0, "r", "o1");
     at("i1", 1, "hop", "r", "o1", "1", 0);
     at("i1", 50, "cut", "r", "o1", "1", 0);
@@ -248,4 +248,4 @@
 }
 
 }  // namespace
-}  // namespace plumkeel::stand
+}  // namespace plumkeel::emulator
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -2,11 +2,11 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "discovery/frames.hpp"
-#include "chance/pcg.hpp"
+#include "discovery/frame_decoder.hpp"
+#include "random/pcg.hpp"
 #include "fastcgi/records.hpp"
-#include "runline/words.hpp"
-#include "stand/platform_bytes.hpp"
+#include "invoker_protocol/codec.hpp"
+#include "emulator/platform_bytes.hpp"
 
 using namespace plumkeel;
 
@@ -19,22 +19,22 @@
 }
 
 // Writes down what was told, and answers nothing: what is whole counts as open.
-struct Notes : fastcgi::Told {
+struct Notes : fastcgi::ParserHandler {
     std::string text;
     std::map<int, bool> open;
-    void begun(std::uint16_t n) override { text += fmt::format("begun {};", n); }
-    void whole(fastcgi::Message m) override {
-        text += fmt::format("whole {} {} {} {};", m.number, m.keep, m.params.size(), m.body);
-        open[m.number] = true;
+    void on_request_begun(std::uint16_t n) override { text += fmt::format("begun {};", n); }
+    void on_request(fastcgi::RequestMessage m) override {
+        text += fmt::format("whole {} {} {} {};", m.request_id, m.keep_connection, m.params.size(), m.body);
+        open[m.request_id] = true;
     }
-    void wrong(std::uint16_t n, fastcgi::Wrong why, bool keep) override { text += fmt::format("wrong {} {} {};", n, static_cast<int>(why), keep); }
-    void taken_back(std::uint16_t n) override {
+    void on_request_error(std::uint16_t n, fastcgi::RequestError why, bool keep) override { text += fmt::format("wrong {} {} {};", n, static_cast<int>(why), keep); }
+    void on_abort(std::uint16_t n) override {
         text += fmt::format("back {};", n);
         open.erase(n);
     }
-    void asks_values(std::string_view names) override { text += fmt::format("values {};", names.size()); }
-    void unknown(std::uint8_t type) override { text += fmt::format("unknown {};", type); }
-    bool answering(std::uint16_t n) const override { return open.count(n) > 0; }
+    void on_get_values(std::string_view names) override { text += fmt::format("values {};", names.size()); }
+    void on_unknown_type(std::uint8_t type) override { text += fmt::format("unknown {};", type); }
+    bool is_pending(std::uint16_t n) const override { return open.count(n) > 0; }
 };
 
 std::string records() {
@@ -48,9 +48,9 @@
 
 std::string feed_fastcgi(std::string_view a, std::string_view b) {
     Notes notes;
-    fastcgi::Intake intake({});
+    fastcgi::RequestParser intake({});
     if (intake.feed(a, notes)) intake.feed(b, notes);
-    check(intake.held() < 40 * 24 * 1024, "more is held of messages than their bounds");
+    check(intake.held_bytes() < 40 * 24 * 1024, "more is held of messages than their bounds");
     return notes.text;
 }
 
@@ -62,12 +62,12 @@
 }
 
 std::string feed_lines(std::string_view a, std::string_view b) {
-    runline::Reader reader(256, 4096);
-    runline::Answer answer;
+    invoker_protocol::ResponseDecoder reader(256, 4096);
+    invoker_protocol::ResponseMessage answer;
     std::string text;
     for (std::string_view part : {a, b})
-        while (reader.next(part, answer)) text += fmt::format("{} {} {} {};", answer.id, answer.word, answer.fields, answer.body);
-    return text + runline::word_of(reader.broken());
+        while (reader.next(part, answer)) text += fmt::format("{} {} {} {};", answer.id, answer.result, answer.fields, answer.body);
+    return text + invoker_protocol::name_of(reader.error());
 }
 
 std::string frames() {
@@ -77,17 +77,17 @@
 }
 
 std::string feed_frames(std::string_view a, std::string_view b) {
-    discovery::Frames reader({{"a"}, {"k"}});
-    discovery::Event event;
+    discovery::FrameDecoder reader({{"a"}, {"k"}});
+    discovery::WatchEvent event;
     std::string text;
     for (std::string_view part : {a, b})
         while (reader.next(part, event)) {
-            text += fmt::format("{} {} {}", event.number, event.news, event.whole);
-            for (const auto& each : event.entries) text += fmt::format(" {}@{} {} {}", each.name, each.address, each.ready, each.units);
-            for (const auto& each : event.gone) text += " -" + each;
+            text += fmt::format("{} {} {}", event.number, event.has_changes, event.is_complete);
+            for (const auto& each : event.endpoints) text += fmt::format(" {}@{} {} {}", each.name, each.address, each.ready, each.capacity);
+            for (const auto& each : event.removed) text += " -" + each;
             text += ';';
         }
-    return text + discovery::word_of(reader.broken());
+    return text + discovery::name_of(reader.error());
 }
 
 template <class Feed>
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <queue>
 
-#include "chance/pcg.hpp"
-#include "dispatch/controller.hpp"
+#include "random/pcg.hpp"
+#include "scheduler/scheduler.hpp"
 
 namespace plumkeel {
 namespace {
@@ -30,35 +30,35 @@
     return std::chrono::duration<double>(t).count();
 }
 
-Rulebook rulebook() {
-    Rulebook rules;
-    rules.cold_for = 16s;
-    rules.cold_share = 0.16;
-    rules.push_multiple = 2;
-    rules.push_span = 2s;
+SafetyRules rulebook() {
+    SafetyRules rules;
+    rules.slow_start_duration = 16s;
+    rules.slow_start_initial_share = 0.16;
+    rules.slow_start_rate_multiple = 2;
+    rules.slow_start_window = 2s;
     return rules;
 }
 
 // One process: its module and all that it was told of. The cold invoker is the last of its fleet.
 struct Process {
     Process(std::uint64_t seed, int controllers) : controller(seed, rulebook(), allowances(controllers)) {
-        use.promised = 1500ms;
+        use.latency_target = 1500ms;
         for (int i = 0; i < fleet_size; ++i) {
             auto& it = *fleet.emplace_back(std::make_unique<Invoker>());
             it.name = "i" + std::to_string(i);
             it.ready = true;
-            it.units = units;
-            it.kind = &kind;
+            it.capacity = units;
+            it.type = &kind;
         }
     }
-    static Allowances allowances(int controllers) {
-        Allowances may;
-        may.call_off = may.retry_after = may.loads_on_demand = may.steady_units = true;
-        may.hops = 5;
-        may.controllers = controllers;
+    static Capabilities allowances(int controllers) {
+        Capabilities may;
+        may.cancellation = may.retry_after = may.on_demand_loading = may.stable_capacity = true;
+        may.max_attempts = 5;
+        may.controller_count = controllers;
         may.keep_alive = 10s;
-        may.tick = 2ms;
-        may.longest_retry_after = 2s;
+        may.clock_resolution = 2ms;
+        may.max_retry_after = 2s;
         return may;
     }
     // The list as it stands: at first all but the cold one, then that and the few that stay.
@@ -67,17 +67,17 @@
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const bool is_cold = i + 1 == fleet.size();
             fleet[i]->ready = !cold_came || is_cold || i < staying;
-            if (is_cold && cold_came) fleet[i]->started = cold_at;
+            if (is_cold && cold_came) fleet[i]->started_at = cold_at;
             if (!is_cold || cold_came) out.push_back(fleet[i].get());
         }
         return out;
     }
-    Controller controller;
-    UseCase use;
-    Kind kind;
+    Scheduler controller;
+    RequestClass use;
+    InvokerType kind;
     std::vector<std::unique_ptr<Invoker>> fleet;
     std::map<std::string, std::unique_ptr<Function>> functions;
-    std::vector<std::unique_ptr<Job>> jobs;
+    std::vector<std::unique_ptr<Request>> requests;
     Time next = Time::max();
 };
 
@@ -92,7 +92,7 @@
         std::uint64_t order;
         int process;  // whose job comes; or
         Process* of;  // whose hop ends
-        Hop* hop;
+        Attempt* attempt;
         bool operator>(const Event& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
     };
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
@@ -105,17 +105,17 @@
         const double gap = -std::log(1 - chance.next()) / (rate * part[static_cast<std::size_t>(i)] / sum);
         events.push({now + Time(static_cast<Time::rep>(gap * 1e6)), ++order, i, nullptr, nullptr});
     };
-    const auto carry_out = [&](Process& it, const Results& results, Time now) {
+    const auto carry_out = [&](Process& it, const Actions& results, Time now) {
         it.next = results.next_wake;
-        for (Hop* hop : results.started) {
-            if (hop->invoker == it.fleet.back().get()) out.push_back(now);
-            events.push({now + Time(static_cast<Time::rep>((0.5 + chance.next()) * run_s * 1e6)), ++order, -1, &it, hop});
+        for (Attempt* attempt : results.to_send) {
+            if (attempt->invoker == it.fleet.back().get()) out.push_back(now);
+            events.push({now + Time(static_cast<Time::rep>((0.5 + chance.next()) * run_s * 1e6)), ++order, -1, &it, attempt});
         }
-        for (Hop* hop : results.called_off) events.push({now, ++order, -1, &it, hop});
+        for (Attempt* attempt : results.to_cancel) events.push({now, ++order, -1, &it, attempt});
     };
     const auto start = [&](int i, Time now) {
         auto it = std::make_unique<Process>(seed * 1000 + static_cast<std::uint64_t>(i) + static_cast<std::uint64_t>(now.count()), of.controllers);
-        carry_out(*it, it->controller.fleet_changed(now, it->list(now >= cold_at, of.staying), true), now);
+        carry_out(*it, it->controller.endpoints_changed(now, it->list(now >= cold_at, of.staying), true), now);
         if (all.size() <= static_cast<std::size_t>(i)) return all.push_back(std::move(it));
         gone.push_back(std::exchange(all[static_cast<std::size_t>(i)], std::move(it)));
     };
@@ -134,7 +134,7 @@
         const bool read_first = of.pause && event == cold_at;
         if (!told && now >= cold_at && !read_first) {
             told = true;
-            for (const auto& it : all) carry_out(*it, it->controller.fleet_changed(now, it->list(true, of.staying), true), now);
+            for (const auto& it : all) carry_out(*it, it->controller.endpoints_changed(now, it->list(true, of.staying), true), now);
         }
         // Spread over four seconds of the ramp.
         while (of.restarts && started_anew < of.controllers / 2 &&
@@ -155,17 +155,17 @@
             if (!function) {
                 function = std::make_unique<Function>();
                 function->name = "f" + std::to_string(which);
-                function->lanes = 1;
+                function->concurrency = 1;
             }
-            Job& job = *process.jobs.emplace_back(std::make_unique<Job>());
-            job.id = ++ids;
-            job.use_case = &process.use;
-            job.function = function.get();
-            job.time_left = 4s;
-            carry_out(process, process.controller.take(now, job), now);
-        } else if (it.hop->out && std::any_of(all.begin(), all.end(), [&](const auto& p) { return p.get() == it.of; })) {
-            const Ending ending = it.hop->job->answered() ? Ending::called_off : Ending::honoured;
-            carry_out(*it.of, it.of->controller.hop_ended(now, *it.hop, ending, Note::stood_loaded, 0, {}), now);
+            Request& request = *process.requests.emplace_back(std::make_unique<Request>());
+            request.id = ++ids;
+            request.request_class = &process.use;
+            request.function = function.get();
+            request.remaining = 4s;
+            carry_out(process, process.controller.submit(now, request), now);
+        } else if (it.attempt->in_flight && std::any_of(all.begin(), all.end(), [&](const auto& p) { return p.get() == it.of; })) {
+            const AttemptOutcome ending = it.attempt->request->is_completed() ? AttemptOutcome::cancelled : AttemptOutcome::succeeded;
+            carry_out(*it.of, it.of->controller.attempt_ended(now, *it.attempt, ending, LoadEvent::was_loaded, 0, {}), now);
         }
     }
     return out;
@@ -175,7 +175,7 @@
 
 TEST_P(ColdRampTest, TheSumOfAllProcessesStaysWithinWhatAColdInvokerBears) {
     const Case& of = GetParam();
-    const Rulebook rules = rulebook();
+    const SafetyRules rules = rulebook();
     std::size_t most = 0, sent = 0;
     double nearest = 0;
     const int plays = of.controllers > 100 ? 3 : 10;
@@ -183,11 +183,11 @@
         const std::vector<Time> at = arrivals_at_cold(of, static_cast<std::uint64_t>(play));
         sent += at.size();
         for (std::size_t first = 0, last = 0; last < at.size(); ++last) {
-            while (at[first] + rules.push_span < at[last]) ++first;
+            while (at[first] + rules.slow_start_window < at[last]) ++first;
             // What it bears is least at the span's begin.
-            const double age = seconds(at[first] - cold_at) / seconds(rules.cold_for);
-            const double share = std::min(1.0, rules.cold_share + (1 - rules.cold_share) * age);
-            const double n = rules.push_multiple * share * units / run_s * seconds(rules.push_span);
+            const double age = seconds(at[first] - cold_at) / seconds(rules.slow_start_duration);
+            const double share = std::min(1.0, rules.slow_start_initial_share + (1 - rules.slow_start_initial_share) * age);
+            const double n = rules.slow_start_rate_multiple * share * units / run_s * seconds(rules.slow_start_window);
             const std::size_t got = last - first + 1;
             most = std::max(most, got);
             nearest = std::max(nearest, static_cast<double>(got) / (n + 2 * std::sqrt(n) + 2));
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -9,8 +9,8 @@
 
 #include <thread>
 
-#include "web/service.hpp"
-#include "net/real.hpp"
+#include "web/server.hpp"
+#include "net/socket_event_loop.hpp"
 
 namespace plumkeel {
 namespace {
@@ -20,20 +20,20 @@
 [[noreturn]] void serve_with_few(int tell) {
     const rlimit few{30, 30};
     ::setrlimit(RLIMIT_NOFILE, &few);
-    net::RealWorld world;
-    Charter charter;
-    charter.listen = "127.0.0.1:0";
-    charter.log.file = "/dev/null";
-    charter.allowances.hops = charter.allowances.controllers = 1;
-    charter.allowances.tick = 5ms;
-    charter.use_cases["p"].name = "p";
-    charter.use_cases["p"].promised = 1s;
-    Log log(world, charter.log);
-    web::Service gateway(world, charter, log, 1);
+    net::SocketEventLoop loop;
+    GatewayConfig config;
+    config.listen = "127.0.0.1:0";
+    config.log.file = "/dev/null";
+    config.capabilities.max_attempts = config.capabilities.controller_count = 1;
+    config.capabilities.clock_resolution = 5ms;
+    config.request_classes["p"].name = "p";
+    config.request_classes["p"].latency_target = 1s;
+    Log log(loop, config.log);
+    web::Server gateway(loop, config, log, 1);
     if (gateway.open()) _exit(1);
     const std::uint16_t port = gateway.address().port;
     if (::write(tell, &port, sizeof port) != sizeof port) _exit(1);
-    world.run();
+    loop.run();
     _exit(0);
 }
 
