--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -5,7 +5,7 @@
 
 #include <set>
 
-#include "net/real.hpp"
+#include "net/socket_event_loop.hpp"
 #include "tests/platform_world.hpp"
 
 namespace plumkeel::platform {
@@ -46,7 +46,7 @@
     // Job `id` on a connection of its own at `when`, taken back or left `after` its connection came up.
     Client& leaver(Time when, std::uint64_t id, Time after, const std::string& body = "") {
         Client& it = client(when, {{0ms, job_text(1, id, body)}});
-        world.at(when + 200us + after, [&it, this] {
+        loop.call_at(when + 200us + after, [&it, this] {
             if (GetParam().how == Leaves::cancels)
                 Peer::put(it.stream, record(2, 1, ""));
             else
@@ -63,11 +63,11 @@
     for (std::uint64_t i = 1; i <= 8; ++i) client(10ms, {{0ms, job_text(1, i)}});
     leaver(20ms, 9, 10ms);
     client(25ms, {{0ms, job_text(1, 10)}});
-    world.run(50ms);
+    loop.run(50ms);
     ASSERT_EQ(only.runs.size(), 8u);
     only.script = {Does::answers};
     Peer::put(only.streams[0], only.runs[0].second + " data n=reused 2\r\nok\r\n");
-    world.run(500ms);
+    loop.run(500ms);
     EXPECT_FALSE(ran(only, 9));
     EXPECT_TRUE(ran(only, 10));  // which waited behind it
 }
@@ -77,20 +77,20 @@
     Peer& only = peer({Does::answers});
     open_with(patient());
     leaver(10ms, 1, 50us);
-    world.run(300ms);
+    loop.run(300ms);
     EXPECT_FALSE(ran(only, 1));
     EXPECT_TRUE(only.stops.empty());
 }
 
 TEST_P(ClientLeavesTest, WhileItsJobIsParked) {
     Peer& only = peer({Does::answers});
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open_with(replaced(patient(), R"("state":"up")", R"("state":"draining")"));
     leaver(10ms, 1, 10ms);
     client(10ms, {{0ms, job_text(1, 2)}});
-    world.run(50ms);
+    loop.run(50ms);
     board.say(frame(board.last = 2, 2, {{1, "10.0.0.1"}}));
-    world.run(2s);
+    loop.run(2s);
     EXPECT_FALSE(ran(only, 1));
     EXPECT_TRUE(ran(only, 2));
 }
@@ -100,7 +100,7 @@
     open_with(patient());
     leaver(10ms, 1, 30ms);  // its first attempt was turned away after 20 ms
     client(10ms, {{0ms, job_text(1, 2)}});
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }), 1);
     EXPECT_GE(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(2); }), 2);
 }
@@ -109,11 +109,11 @@
     Peer& only = peer({Does::silent, Does::answers});
     open_with(patient());
     leaver(10ms, 1, 30ms);
-    world.run(100ms);
+    loop.run(100ms);
     ASSERT_TRUE(ran(only, 1));
     EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
     only.streams[0]->reset();  // which would send on a job that is still wanted
-    world.run(3s);
+    loop.run(3s);
     EXPECT_EQ(only.runs.size(), 1u);
 }
 
@@ -133,18 +133,18 @@
 TEST_P(FullSocketTest, WhileItsJobIsBehindAFullSocket) {
     Peer& only = peer({Does::answers});
     only.reads_from = 90ms;
-    world.narrow({"10.0.0.1", 7001}, 2000);
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open_with(one_line());
     Client& first = client(10ms, {{0ms, job_text(1, 1, large)}});
     Client& second = client(30ms, {{0ms, job_text(1, 2, large)}});
     Client& third = client(40ms, {{0ms, job_text(1, 3)}});
-    world.at(60ms, [&] {
+    loop.call_at(60ms, [&] {
         if (GetParam().how == Leaves::cancels)
             Peer::put(second.stream, record(2, 1, ""));
         else
             second.stream->close();
     });
-    world.run(3s);
+    loop.run(3s);
     EXPECT_EQ(only.connections, 1);
     EXPECT_EQ(first.answer(1).status(), "200");
     EXPECT_EQ(third.answer(1).status(), "200");
@@ -156,13 +156,13 @@
 TEST_P(FullSocketTest, OrItsInvokerDrains) {
     Peer& only = peer({Does::answers});
     only.reads_from = 90ms;
-    world.narrow({"10.0.0.1", 7001}, 2000);
-    Noticeboard board(world, "10.9.0.1");
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
+    Noticeboard board(loop, "10.9.0.1");
     open_with(one_line());
     Client& first = client(10ms, {{0ms, job_text(1, 1, large)}});
     client(30ms, {{0ms, job_text(1, 2, large)}});
-    world.at(60ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
-    world.run(3s);
+    loop.call_at(60ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
+    loop.run(3s);
     EXPECT_EQ(first.answer(1).status(), "200");
     EXPECT_FALSE(ran(only, 2));
 }
@@ -170,22 +170,22 @@
 // More answers pending than 64 KiB, since the client does not read: what it takes back is seen all the same.
 TEST_P(ClientLeavesTest, WhileItsAnswersAreNotRead) {
     Peer& only = peer({Does::silent, Does::answers});
-    world.narrow({"10.1.0.1", 7001}, 8000);
+    loop.limit_buffer({"10.1.0.1", 7001}, 8000);
     only.answer_body = std::string(16'000, 'a');
     open_with(patient());
     std::string text;
     for (int i = 1; i <= 7; ++i) text += job_text(i, static_cast<std::uint64_t>(i));
     Client& one = client(10ms, {{0ms, text}}, false);
-    world.run(200ms);
+    loop.run(200ms);
     ASSERT_EQ(only.runs.size(), 7u);
     ASSERT_EQ(host->gateway().status().at("jobs").at("open").to_number<int>(), 1);
     Peer::put(one.stream, record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // read after the answers were given
-    world.run(220ms);
+    loop.run(220ms);
     if (GetParam().how == Leaves::cancels)
         Peer::put(one.stream, record(2, 1, ""));
     else
         one.stream->close();
-    world.run(300ms);
+    loop.run(300ms);
     EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
     EXPECT_EQ(host->gateway().status().at("jobs").at("open").to_number<int>(), 0);
 }
@@ -203,7 +203,7 @@
 // Refusals to one who reads none are not held without end: the connection goes long before its answers count as unread.
 TEST_F(PlatformTest, AClientThatReadsNoRefusalsIsNotHeldForMuch) {
     peer();
-    world.narrow({"10.1.0.1", 7001}, 64 * 1024);
+    loop.limit_buffer({"10.1.0.1", 7001}, 64 * 1024);
     open(patient());
     std::string text;
     for (int i = 0; i < 200; ++i) text += message(1, {{"SCRIPT_NAME", "/invoke/nothing"}});
@@ -211,13 +211,13 @@
     std::size_t most = 0;
     Time gone = Time::max();
     for (int i = 0; i < 100; ++i)
-        world.at(20ms + 5ms * i, [&] {
+        loop.call_at(20ms + 5ms * i, [&] {
             Peer::put(flood.stream, text);
             const auto status = host->gateway().status();
-            if (status.at("door").at("connections").to_number<int>() == 0) gone = std::min(gone, world.now());
+            if (status.at("door").at("connections").to_number<int>() == 0) gone = std::min(gone, loop.now());
             most = std::max(most, status.at("door").at("turned_back").as_object().empty() ? 0 : 1ul);
         });
-    world.run(2s);
+    loop.run(2s);
     EXPECT_EQ(most, 1u);
     EXPECT_LT(gone, 500ms);
 }
@@ -243,8 +243,8 @@
 TEST_F(EndingsTest, AnInvokerWithoutAConnectionTakesThePlaceOfOneThatIdles) {
     for (int i = 0; i < 20; ++i) peer();
     open(listed(20, "64"));
-    for (std::uint64_t i = 1; i <= 300; ++i) job(30ms * static_cast<int>(i), i, hex16(i));
-    world.run(30s);
+    for (std::uint64_t i = 1; i <= 300; ++i) request(30ms * static_cast<int>(i), i, hex16(i));
+    loop.run(30s);
     EXPECT_EQ(honoured(), 300u);
     std::size_t used = 0;
     for (const auto& each : peers) used += !each->runs.empty();
@@ -258,7 +258,7 @@
     open(listed(20, "64"));
     std::vector<Client*> all;
     for (std::uint64_t i = 1; i <= 30; ++i) all.push_back(&client(10ms, {{0ms, job_text(1, i)}}));
-    world.run(200ms);
+    loop.run(200ms);
     std::size_t open_connections = 0;
     const std::size_t before = runs();
     for (const auto& each : peers) open_connections += static_cast<std::size_t>(each->open);
@@ -268,7 +268,7 @@
         each->script = {Does::answers};
         for (const auto& run : each->runs) Peer::put(each->streams[0], run.second + " data n=reused 2\r\nok\r\n");
     }
-    world.run(2s);
+    loop.run(2s);
     EXPECT_EQ(runs(), 30u);
     for (Client* each : all) EXPECT_EQ(each->answer(1).status(), "200");
 }
@@ -278,12 +278,12 @@
 TEST_F(EndingsTest, AnAddressThatMovesWhileItsConnectionComesUpIsNotSpokenTo) {
     Peer& old = peer();
     Peer& fresh = peer();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open(patient());
-    world.run(5ms);
-    job(10ms, 1);
-    world.at(10'300us, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });  // told at 10.4; sent at 10.3
-    world.run(2s);
+    loop.run(5ms);
+    request(10ms, 1);
+    loop.call_at(10'300us, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });  // told at 10.4; sent at 10.3
+    loop.run(2s);
     EXPECT_TRUE(old.runs.empty());
     EXPECT_EQ(fresh.runs.size(), 1u);
     EXPECT_EQ(honoured(), 1u);
@@ -294,11 +294,11 @@
     Peer& old = peer();
     Peer& fresh = peer();
     old.takes = 500ms;
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open(patient());
     patient_job(10ms, 1), patient_job(200ms, 2);
-    world.at(100ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });
-    world.run(2s);
+    loop.call_at(100ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });
+    loop.run(2s);
     EXPECT_EQ(old.runs.size(), 1u);
     EXPECT_EQ(fresh.runs.size(), 1u);
     EXPECT_EQ(honoured(), 2u);
@@ -318,7 +318,7 @@
     auto fields = job_fields(hex16(1), hex16(1));
     fields[2].second = GetParam();
     Client& one = client(10ms, {{0ms, message(1, fields)}});
-    world.run(3s);
+    loop.run(3s);
     EXPECT_EQ(only.connections, 1);
     EXPECT_TRUE(only.runs.empty());
     EXPECT_EQ(one.answer(1).times, 1);
@@ -331,8 +331,8 @@
     Peer& a = peer({Does::resets, Does::answers});
     Peer& b = peer({Does::resets, Does::answers});
     open();
-    job(10ms, 1);
-    world.run(3s);
+    request(10ms, 1);
+    loop.run(3s);
     EXPECT_EQ(honoured(), 1u);
     EXPECT_EQ(a.runs.size() + b.runs.size(), 2u);
 }
@@ -345,13 +345,13 @@
     patient_job(10ms, 1);
     Client& second = client(20ms, {});
     well.emplace_back(hex16(2), &second);
-    world.run(100ms);
+    loop.run(100ms);
     ASSERT_EQ(only.streams.size(), 1u);
-    world.at(110ms, [&] {
+    loop.call_at(110ms, [&] {
         Peer::put(second.stream, job_text(1, 2, "work"));  // both arrive at the same moment, this first
         only.streams[0]->reset();
     });
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(honoured(), 2u);
     EXPECT_EQ(only.runs.size(), 2u);
 }
@@ -363,7 +363,7 @@
     only.takes = 3s;
     open(patient());
     Client& one = client(10ms, {{0ms, job_text(1, 1, "work") + job_text(2, 2, "work").substr(0, 60)}});
-    world.run(10s);
+    loop.run(10s);
     EXPECT_EQ(one.answer(1).times, 1);
     EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(1)));
     EXPECT_LT(one.ended, 5s);
@@ -376,11 +376,11 @@
     Peer& a = peer();
     Peer& b = peer();
     a.takes = b.takes = 300ms;
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open(listed(2, "256"));
     for (std::uint64_t i = 1; i <= 40; ++i) patient_job(10ms * static_cast<int>(i), i);
-    world.at(200ms, [&] { board.say(frame(board.last = 2, 1, {{2, "10.0.0.2"}})); });
-    world.run(5s);
+    loop.call_at(200ms, [&] { board.say(frame(board.last = 2, 1, {{2, "10.0.0.2"}})); });
+    loop.run(5s);
     EXPECT_EQ(honoured(), 40u);
     EXPECT_GT(a.runs.size(), 0u);
     for (const auto& [at, id] : a.runs) EXPECT_LE(at, 201ms) << id;
@@ -388,22 +388,22 @@
 
 // Thirty controllers lose the board at the same moment: they don't come again in step.
 TEST_F(EndingsTest, ControllersThatLoseTheBoardTogetherDoNotReturnInStep) {
-    Config told = read_config(file_of(plain_config));
-    told.charter.log.file = "/dev/null";
-    Log quiet(world, told.charter.log);
-    auto board = std::make_unique<Noticeboard>(world, "10.9.0.1");
-    std::vector<std::unique_ptr<discovery::Watch>> all;
+    PlatformConfig told = load_platform_config(file_of(plain_config));
+    told.gateway.log.file = "/dev/null";
+    Log quiet(loop, told.gateway.log);
+    auto board = std::make_unique<Noticeboard>(loop, "10.9.0.1");
+    std::vector<std::unique_ptr<discovery::Watcher>> all;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-        all.push_back(std::make_unique<discovery::Watch>(world, quiet, told.places, told.discovery, 1, [](const discovery::Event&) {}, seed));
-        all.back()->follow();
+        all.push_back(std::make_unique<discovery::Watcher>(loop, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, seed));
+        all.back()->start();
     }
-    world.run(500ms);
+    loop.run(500ms);
     ASSERT_EQ(board->asked.size(), 30u);
     board->listener->close();
     for (const auto& stream : board->held) stream->close();
-    world.run(2s);
-    Noticeboard again(world, "10.9.0.1");
-    world.run(3500ms);  // the longest pause is 1.2 s; those that hear nothing here come again later
+    loop.run(2s);
+    Noticeboard again(loop, "10.9.0.1");
+    loop.run(3500ms);  // the longest pause is 1.2 s; those that hear nothing here come again later
     ASSERT_EQ(again.asked.size(), 30u);
     std::set<Time> moments;
     for (const auto& [at, number] : again.asked) moments.insert(at);
@@ -415,14 +415,14 @@
 // The board's address moves after the word to end: nothing is lost, and the process ends as it would.
 TEST_F(EndingsTest, ANewConfigurationDuringADrainChangesNothingOfIt) {
     peer(), peer();
-    Noticeboard old(world, "10.9.0.1"), fresh(world, "10.9.0.2");
+    Noticeboard old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
     open();
-    for (std::uint64_t i = 1; i <= 160; ++i) job(10ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 160; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
     Time ended{};
-    world.at(1s, [&] { host->end([&] { ended = world.now(); }); });
-    world.at(1200ms, [&] { host->reconfigured(read_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2")))); });
-    world.at(1300ms, [&] { host->end([] { FAIL() << "ended twice"; }); });
-    world.run(10s);
+    loop.call_at(1s, [&] { host->shut_down([&] { ended = loop.now(); }); });
+    loop.call_at(1200ms, [&] { host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2")))); });
+    loop.call_at(1300ms, [&] { host->shut_down([] { FAIL() << "ended twice"; }); });
+    loop.run(10s);
     EXPECT_EQ(honoured(), 160u);
     EXPECT_GE(ended, 1800ms);
     EXPECT_LT(ended, 4s);
@@ -434,12 +434,12 @@
 TEST_F(EndingsTest, TheProcessEndsOnlyAfterItsLastFarewell) {
     peer(), peer();
     open();
-    for (std::uint64_t i = 1; i <= 20; ++i) job(10ms * static_cast<int>(i), i);
+    for (std::uint64_t i = 1; i <= 20; ++i) request(10ms * static_cast<int>(i), i);
     int connections = -1;
-    world.at(300ms, [&] {
-        host->end([&] { connections = host->gateway().status().at("door").at("connections").to_number<int>(); });
+    loop.call_at(300ms, [&] {
+        host->shut_down([&] { connections = host->gateway().status().at("door").at("connections").to_number<int>(); });
     });
-    world.run(10s);
+    loop.run(10s);
     EXPECT_EQ(honoured(), 20u);
     EXPECT_EQ(connections, 0);
 }
@@ -451,12 +451,12 @@
     std::string text = patient();
     for (const auto& [from, to] : std::map<std::string, std::string>{{"10.1.0.1", own + "1"}, {"10.9.0.1", own + "9"}, {"10.0.0.1", own + "11"}})
         text = replaced(text, from, to);
-    Config config = read_config(file_of(text));
-    config.charter.log.file = "/dev/null";
-    net::RealWorld world;
-    Log log(world, config.charter.log);
-    Peer invoker(world, own + "11", {Does::answers});
-    auto host = std::make_unique<Host>(world, config, log);
+    PlatformConfig config = load_platform_config(file_of(text));
+    config.gateway.log.file = "/dev/null";
+    net::SocketEventLoop loop;
+    Log log(loop, config.gateway.log);
+    Peer invoker(loop, own + "11", {Does::answers});
+    auto host = std::make_unique<PlatformServer>(loop, config, log);
     ASSERT_FALSE(host->open());
 
     sockaddr_in to{};
@@ -471,28 +471,28 @@
         EXPECT_EQ(::connect(clients.back(), reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
     };
     const auto say = [&](std::size_t client, std::uint64_t id) {
-        const std::string job = job_text(1, id, "work");
-        EXPECT_EQ(::send(clients[client], job.data(), job.size(), MSG_NOSIGNAL), static_cast<ssize_t>(job.size()));
+        const std::string request = job_text(1, id, "work");
+        EXPECT_EQ(::send(clients[client], request.data(), request.size(), MSG_NOSIGNAL), static_cast<ssize_t>(request.size()));
     };
     connect();
     say(0, 1);
     bool ended = false;
     Time closes{};
-    world.at(world.now() + 200ms, [&] {
-        closes = world.now() + 800ms;
-        host->end([&] {
+    loop.call_at(loop.now() + 200ms, [&] {
+        closes = loop.now() + 800ms;
+        host->shut_down([&] {
             ended = true;
-            world.stop();
+            loop.stop();
         });
-        world.at(closes - 5ms, [&] {
+        loop.call_at(closes - 5ms, [&] {
             for (std::size_t i = 1; i <= 5; ++i) connect(), say(i, 10 + i);
             say(0, 2);
-            while (world.now() < closes + 5ms) {
+            while (loop.now() < closes + 5ms) {
             }
         });
     });
-    world.at(20s, [&] { world.stop(); });
-    world.run();
+    loop.call_at(20s, [&] { loop.stop(); });
+    loop.run();
     EXPECT_TRUE(ended);
     for (std::size_t i = 0; i < clients.size(); ++i) {
         std::string got;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -4,8 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "http/http.hpp"
-#include "web/service.hpp"
-#include "net/memory.hpp"
+#include "web/server.hpp"
+#include "net/simulated_event_loop.hpp"
 
 namespace plumkeel::gateway {
 namespace {
@@ -16,26 +16,26 @@
 // An invoker as a test scripts it: what it does with its nth hop.
 struct Peer {
     enum class Does { answers, hangs, resets_unread, resets, half_head, half_body, turns_away, bare_503, large, large_cut };
-    net::MemoryWorld& world;
+    net::SimulatedEventLoop& loop;
     std::string name;
     std::shared_ptr<net::Listener> listener;
     std::vector<Does> script;  // the last holds for all further hops
     Time takes = 10ms;
     std::optional<Time> closes_after;  // an idle connection, after its answer
-    std::vector<std::string> hops;     // "job/hop" as they came
+    std::vector<std::string> attempts;     // "job/hop" as they came
     std::vector<Time> came;
     int connections{}, gone{};
 
-    Peer(net::MemoryWorld& w, std::string n, std::vector<Does> does)
-        : world(w), name(std::move(n)), listener(w.listen({name, 1}).listener), script(std::move(does)) {
-        world.spawn(accept());
+    Peer(net::SimulatedEventLoop& w, std::string n, std::vector<Does> does)
+        : loop(w), name(std::move(n)), listener(w.listen({name, 1}).listener), script(std::move(does)) {
+        loop.spawn(accept());
     }
     Task<> accept() {
         for (;;) {
             auto accepted = co_await listener->accept();
             if (accepted.error) co_return;
             ++connections;
-            world.spawn(talk(accepted.stream));
+            loop.spawn(talk(accepted.stream));
         }
     }
     static void put(const std::shared_ptr<net::Stream>& stream, const std::string& text) {
@@ -57,16 +57,16 @@
                 put(stream, "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            const Does does = script[std::min(hops.size(), script.size() - 1)];
-            hops.push_back(std::string(http::field(parser.get(), "plumkeel-job")) + "/" +
+            const Does does = script[std::min(attempts.size(), script.size() - 1)];
+            attempts.push_back(std::string(http::field(parser.get(), "plumkeel-job")) + "/" +
                            std::string(http::field(parser.get(), "plumkeel-hop")));
-            came.push_back(world.now());
+            came.push_back(loop.now());
             if (does == Does::hangs) {
                 const net::Error end = co_await inbox.more();
                 if (end) ++gone;
                 co_return;
             }
-            co_await world.sleep(takes);
+            co_await loop.sleep(takes);
             const std::string answer = "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nContent-Length: 4\r\n\r\nwell";
             switch (does) {
                 case Does::answers:
@@ -79,7 +79,7 @@
                 case Does::half_head:
                 case Does::half_body:
                     put(stream, answer.substr(0, does == Does::half_head ? 20 : answer.size() - 2));
-                    co_await world.sleep(1ms);
+                    co_await loop.sleep(1ms);
                     stream->reset();
                     co_return;
                 case Does::turns_away:
@@ -92,11 +92,11 @@
                 case Does::large_cut: {
                     const std::size_t whole = 400'000;
                     const std::string head = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole);
-                    const auto outbox = std::make_shared<net::Outbox>(world, stream);
-                    outbox->send(head, std::make_shared<const std::string>(std::string(does == Does::large ? whole : whole / 2, 'x')));
-                    co_await outbox->below(0);
+                    const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+                    write_queue->send(head, std::make_shared<const std::string>(std::string(does == Does::large ? whole : whole / 2, 'x')));
+                    co_await write_queue->wait_below(0);
                     if (does == Does::large_cut) {
-                        co_await world.sleep(1s);
+                        co_await loop.sleep(1s);
                         stream->reset();
                         co_return;
                     }
@@ -106,7 +106,7 @@
                     break;
             }
             if (closes_after) {
-                co_await world.sleep(*closes_after);
+                co_await loop.sleep(*closes_after);
                 stream->close();
                 co_return;
             }
@@ -117,37 +117,37 @@
 
 // A client that sends a text and reads until the other side ends, or for so long.
 struct Client {
-    net::MemoryWorld& world;
+    net::SimulatedEventLoop& loop;
     std::string got;
     Time at{}, ended{};
     bool reset{}, over{};
 
-    Client(net::MemoryWorld& w, Time when, std::string text, Time stays = 1min, bool reads = true) : world(w) {
-        world.spawn(run(when, std::move(text), stays, reads));
+    Client(net::SimulatedEventLoop& w, Time when, std::string text, Time stays = 1min, bool reads = true) : loop(w) {
+        loop.spawn(run(when, std::move(text), stays, reads));
     }
     Task<> run(Time when, std::string text, Time stays, bool reads) {
-        co_await world.sleep(when - world.now());
+        co_await loop.sleep(when - loop.now());
         const net::Address front{"front", 1};  // this compiler frees a braced temporary of an await twice
-        auto connected = co_await world.connect(front, 1s);
+        auto connected = co_await loop.connect(front, 1s);
         if (connected.error) {
             over = true;
             co_return;
         }
         const auto stream = connected.stream;
-        world.at(world.now() + stays, [stream] { stream->close(); });
-        const auto outbox = std::make_shared<net::Outbox>(world, stream);
-        outbox->send(std::move(text));
+        loop.call_at(loop.now() + stays, [stream] { stream->close(); });
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+        write_queue->send(std::move(text));
         std::vector<char> room(4096);
         while (reads) {
             const auto moved = co_await stream->read(net::asio::buffer(room));
-            if (moved.bytes) at = world.now();
+            if (moved.bytes) at = loop.now();
             got.append(room.data(), moved.bytes);
             if (!moved.error) continue;
             reset = moved.error == net::asio::error::connection_reset;
             break;
         }
-        if (!reads) co_await world.sleep(stays);
-        ended = world.now();
+        if (!reads) co_await loop.sleep(stays);
+        ended = loop.now();
         over = true;
     }
     int count(const std::string& word) const {
@@ -160,48 +160,48 @@
 class GatewayTest : public testing::Test {
 protected:
     GatewayTest() {
-        charter.listen = "front:1";
-        charter.log.file = "/dev/null";
-        charter.rulebook.cold_for = 10s;
-        charter.rulebook.cold_share = 0.2;
-        charter.rulebook.push_multiple = 2;
-        charter.rulebook.push_span = 2s;
-        charter.allowances.call_off = charter.allowances.probe = charter.allowances.second_copies = true;
-        charter.allowances.retry_after = charter.allowances.loads_on_demand = charter.allowances.steady_units = true;
-        charter.allowances.hops = 5;
-        charter.allowances.controllers = 1;
-        charter.allowances.longest_retry_after = 2s;
-        charter.allowances.keep_alive = 10s;
-        charter.allowances.tick = 5ms;
-        use("p", Repeat::replayable);
-        use("r", Repeat::referenced);
-        use("s", Repeat::single_use);
+        config.listen = "front:1";
+        config.log.file = "/dev/null";
+        config.safety_rules.slow_start_duration = 10s;
+        config.safety_rules.slow_start_initial_share = 0.2;
+        config.safety_rules.slow_start_rate_multiple = 2;
+        config.safety_rules.slow_start_window = 2s;
+        config.capabilities.cancellation = config.capabilities.health_checks = config.capabilities.hedging = true;
+        config.capabilities.retry_after = config.capabilities.on_demand_loading = config.capabilities.stable_capacity = true;
+        config.capabilities.max_attempts = 5;
+        config.capabilities.controller_count = 1;
+        config.capabilities.max_retry_after = 2s;
+        config.capabilities.keep_alive = 10s;
+        config.capabilities.clock_resolution = 5ms;
+        use("p", Idempotency::idempotent);
+        use("r", Idempotency::deduplicated);
+        use("s", Idempotency::at_most_once);
     }
-    void use(const std::string& name, Repeat repeat) {
-        StatedUseCase& it = charter.use_cases[name];
+    void use(const std::string& name, Idempotency repeat) {
+        NamedRequestClass& it = config.request_classes[name];
         it.name = name;
-        it.promised = 1500ms;
-        it.repeat = repeat;
-        it.remembered = 5s;
+        it.latency_target = 1500ms;
+        it.idempotency = repeat;
+        it.deduplication_window = 5s;
     }
     Peer& peer(std::vector<Does> does) {
         const std::string name = "i" + std::to_string(peers.size() + 1);
-        charter.list.fixed.push_back({name, name + ":1", "a", "k", 1, 0});
-        return *peers.emplace_back(std::make_unique<Peer>(world, name, std::move(does)));
+        config.endpoint_source.fixed.push_back({name, name + ":1", "a", "k", 1, 0});
+        return *peers.emplace_back(std::make_unique<Peer>(loop, name, std::move(does)));
     }
     void open() {
-        log = std::make_unique<Log>(world, charter.log);
-        gateway = std::make_unique<web::Service>(world, charter, *log, 7, [this](const trace::Record& r) { trace.push_back(r); });
+        log = std::make_unique<Log>(loop, config.log);
+        gateway = std::make_unique<web::Server>(loop, config, *log, 7, [this](const trace::Record& r) { trace.push_back(r); });
         ASSERT_FALSE(gateway->open());
     }
-    static std::string job(const std::string& use_case, const std::string& more = "Connection: close\r\n",
+    static std::string request(const std::string& request_class, const std::string& more = "Connection: close\r\n",
                            const std::string& body = "work", int left = 4000) {
         return fmt::format("POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: {}\r\nplumkeel-time-left: {}\r\n"
                            "plumkeel-mark: m\r\nContent-Length: {}\r\n{}\r\n{}",
-                           use_case, left, body.size(), more, body);
+                           request_class, left, body.size(), more, body);
     }
     Client& client(Time when, std::string text, Time stays = 1min, bool reads = true) {
-        return *clients.emplace_back(std::make_unique<Client>(world, when, std::move(text), stays, reads));
+        return *clients.emplace_back(std::make_unique<Client>(loop, when, std::move(text), stays, reads));
     }
     std::int64_t figure(const char* part, const char* key) {
         const auto status = gateway->status();
@@ -214,24 +214,24 @@
     }
     std::size_t all_hops() const {
         std::size_t n = 0;
-        for (const auto& each : peers) n += each->hops.size();
+        for (const auto& each : peers) n += each->attempts.size();
         return n;
     }
 
     // Whatever the test did, the same calls give the same answers in a fresh controller.
     void TearDown() override {
-        trace::Again again;
+        trace::Replayer again;
         for (const trace::Record& each : trace) again.feed(each);
         const trace::Comparison found = again.compare();
         EXPECT_GT(found.calls, 0u);
-        EXPECT_EQ(found.different_calls, 0u) << found.first->then << "\n" << found.first->now;
+        EXPECT_EQ(found.different_calls, 0u) << found.first->recorded << "\n" << found.first->replayed;
     }
 
     std::vector<trace::Record> trace;
-    net::MemoryWorld world;
-    Charter charter;
+    net::SimulatedEventLoop loop;
+    GatewayConfig config;
     std::unique_ptr<Log> log;
-    std::unique_ptr<web::Service> gateway;
+    std::unique_ptr<web::Server> gateway;
     std::vector<std::unique_ptr<Peer>> peers;
     std::vector<std::unique_ptr<Client>> clients;
 };
@@ -239,11 +239,11 @@
 TEST_F(GatewayTest, AJobIsHonouredAndItsConnectionKept) {
     Peer& it = peer({Does::answers});
     open();
-    Client& one = client(10ms, job("p", "") + job("p"));
-    world.run(5s);
+    Client& one = client(10ms, request("p", "") + request("p"));
+    loop.run(5s);
     EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 2) << one.got;
     EXPECT_EQ(one.count("well"), 2);
-    EXPECT_EQ(it.hops.size(), 2u);
+    EXPECT_EQ(it.attempts.size(), 2u);
     EXPECT_EQ(it.connections, 1);
     EXPECT_GE(figure("lines", "reused"), 1);
 }
@@ -251,26 +251,26 @@
 // Resets after half the head, half the answer, and before any of it: for each kind of use case.
 struct Cut {
     Does how;
-    std::string use_case;
+    std::string request_class;
     bool again;
 };
 void PrintTo(const Cut& cut, std::ostream* out) {
-    *out << "how " << static_cast<int>(cut.how) << ", use case " << cut.use_case;
+    *out << "how " << static_cast<int>(cut.how) << ", use case " << cut.request_class;
 }
 class CutTest : public GatewayTest, public testing::WithParamInterface<Cut> {};
 TEST_P(CutTest, GoesAgainOnlyWhereARepeatIsHarmless) {
     Peer& a = peer({GetParam().how, Does::answers});
     Peer& b = peer({GetParam().how, Does::answers});
     open();
-    Client& one = client(10ms, job(GetParam().use_case));
-    world.run(10s);
+    Client& one = client(10ms, request(GetParam().request_class));
+    loop.run(10s);
     EXPECT_EQ(one.count("HTTP/1.1 "), 1) << one.got;
     if (GetParam().again) {
         EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 1) << one.got;
         EXPECT_GE(all_hops(), 2u);
     } else {
         EXPECT_EQ(one.count("plumkeel-outcome: written-off"), 1) << one.got;
-        EXPECT_EQ(a.hops.size() + b.hops.size(), 1u);
+        EXPECT_EQ(a.attempts.size() + b.attempts.size(), 1u);
     }
 }
 INSTANTIATE_TEST_SUITE_P(Cuts, CutTest,
@@ -282,13 +282,13 @@
                                          Cut{Does::turns_away, "s", true}, Cut{Does::turns_away, "r", true}));
 
 TEST_F(GatewayTest, AConnectionNeverMadeProvesThatItNeverRan) {
-    charter.list.fixed.push_back({"dead", "dead:1", "a", "k", 1, 0});
+    config.endpoint_source.fixed.push_back({"dead", "dead:1", "a", "k", 1, 0});
     Peer& it = peer({Does::answers});
     open();
-    for (int i = 0; i < 6; ++i) client(10ms * (i + 1), job("s"));
-    world.run(10s);
+    for (int i = 0; i < 6; ++i) client(10ms * (i + 1), request("s"));
+    loop.run(10s);
     for (const auto& each : clients) EXPECT_EQ(each->count("plumkeel-outcome: honoured"), 1) << each->got;
-    EXPECT_EQ(it.hops.size(), 6u);
+    EXPECT_EQ(it.attempts.size(), 6u);
 }
 
 // An invoker closes idle connections at every moment around the one when the next hop leaves on them.
@@ -298,10 +298,10 @@
     open();
     Time at = 10ms;
     for (int i = 0; i < 200; ++i) {
-        for (const char* kind : {"p", "s", "r"}) client(at, job(kind));
+        for (const char* kind : {"p", "s", "r"}) client(at, request(kind));
         at += 15ms + Time(i * 11);
     }
-    world.run(60s);
+    loop.run(60s);
     for (const auto& each : clients) EXPECT_EQ(each->count("HTTP/1.1 "), 1) << each->got;
     // Each leaves on a fresh connection where it may run but once, so none of these is written off.
     for (std::size_t i = 1; i < clients.size(); i += 3)
@@ -313,9 +313,9 @@
 TEST_F(GatewayTest, AnInvokerThatSaysNothingCostsOneAnswerBeforeTheExpiry) {
     Peer& it = peer({Does::hangs});
     open();
-    Client& one = client(10ms, job("s"));
-    Client& two = client(20ms, job("p", "Connection: close\r\n", "work", 1000));
-    world.run(20s);
+    Client& one = client(10ms, request("s"));
+    Client& two = client(20ms, request("p", "Connection: close\r\n", "work", 1000));
+    loop.run(20s);
     EXPECT_EQ(one.count("plumkeel-outcome: written-off"), 1) << one.got;
     EXPECT_LT(one.at, 4010ms);
     EXPECT_GT(one.at, 3900ms);
@@ -331,11 +331,11 @@
     open();
     std::vector<Client*> all;
     for (int us = -15000; us <= 5000; us += 100)
-        all.push_back(&client(1s + 2s * ((us + 15000) / 100), job("s", "Connection: close\r\n", "w", 500)));
+        all.push_back(&client(1s + 2s * ((us + 15000) / 100), request("s", "Connection: close\r\n", "w", 500)));
     std::size_t turn = 0;
     for (int us = -15000; us <= 5000; us += 100, ++turn)
-        world.at(900ms + 2s * static_cast<int>(turn), [&it, us] { it.takes = 500ms + Time(us); });
-    world.run(10min);
+        loop.call_at(900ms + 2s * static_cast<int>(turn), [&it, us] { it.takes = 500ms + Time(us); });
+    loop.run(10min);
     int honoured = 0, off = 0;
     for (Client* each : all) {
         EXPECT_EQ(each->count("HTTP/1.1 "), 1) << each->got;
@@ -350,9 +350,9 @@
 TEST_F(GatewayTest, AClientGoneMidJobCallsItsHopOff) {
     Peer& it = peer({Does::hangs});
     open();
-    client(10ms, job("p"), 300ms);
-    world.run(1s);
-    EXPECT_EQ(it.hops.size(), 1u);
+    client(10ms, request("p"), 300ms);
+    loop.run(1s);
+    EXPECT_EQ(it.attempts.size(), 1u);
     EXPECT_EQ(it.gone, 1);
     EXPECT_EQ(figure("jobs", "client_left"), 1);
     EXPECT_EQ(figure("jobs", "open"), 0);
@@ -362,21 +362,21 @@
 TEST_F(GatewayTest, AClientGoneMidBodyIsNoJob) {
     Peer& it = peer({Does::answers});
     open();
-    std::string text = job("p", "", std::string(100, 'b'));
+    std::string text = request("p", "", std::string(100, 'b'));
     client(10ms, text.substr(0, text.size() - 50), 300ms);
-    world.run(5s);
-    EXPECT_EQ(it.hops.size(), 0u);
+    loop.run(5s);
+    EXPECT_EQ(it.attempts.size(), 0u);
     EXPECT_EQ(figure("jobs", "taken"), 0);
     EXPECT_EQ(figure("door", "connections"), 0);
 }
 
 TEST_F(GatewayTest, LateAnswersAreDiscardedAndCounted) {
-    charter.allowances.call_off = false;
+    config.capabilities.cancellation = false;
     Peer& it = peer({Does::answers});
     it.takes = 600ms;
     open();
-    Client& one = client(10ms, job("s", "Connection: close\r\n", "w", 300));
-    world.run(3s);
+    Client& one = client(10ms, request("s", "Connection: close\r\n", "w", 300));
+    loop.run(3s);
     EXPECT_EQ(one.count("HTTP/1.1 "), 1);
     EXPECT_EQ(one.count("well"), 0);
     EXPECT_EQ(figure("jobs", "written_off"), 1);
@@ -385,9 +385,9 @@
 TEST_F(GatewayTest, ALargeAnswerStreamsAndOneCutIsNotTakenForWhole) {
     peer({Does::large, Does::large_cut});
     open();
-    Client& one = client(10ms, job("p"));
-    Client& two = client(2s, job("p"));
-    world.run(30s);
+    Client& one = client(10ms, request("p"));
+    Client& two = client(2s, request("p"));
+    loop.run(30s);
     EXPECT_EQ(one.count("Transfer-Encoding: chunked"), 1) << one.got.substr(0, 300);
     EXPECT_EQ(one.count("\r\n0\r\n\r\n"), 1);
     EXPECT_GT(one.got.size(), 400'000u);
@@ -398,12 +398,12 @@
 }
 
 TEST_F(GatewayTest, ASlowReaderIsLetGoAndHoldsNoMemory) {
-    charter.admission.unread_for = 2s;
-    charter.pool.stream_ahead = 64 * 1024;
+    config.admission.unread_timeout = 2s;
+    config.pool.stream_buffer_bytes = 64 * 1024;
     peer({Does::large});
     open();
-    Client& one = client(10ms, job("p"), 20s, false);
-    world.run(30s);
+    Client& one = client(10ms, request("p"), 20s, false);
+    loop.run(30s);
     EXPECT_TRUE(one.over);
     EXPECT_EQ(turned_back("unread_answer"), 1);
     EXPECT_EQ(figure("jobs", "open"), 0);
@@ -414,16 +414,16 @@
     peer({Does::resets, Does::answers});
     peer({Does::resets, Does::answers});
     open();
-    client(10ms, job("p"));
-    world.run(5s);
-    trace::Again again([](trace::Start& start) { start.may.hops = 1; });
+    client(10ms, request("p"));
+    loop.run(5s);
+    trace::Replayer again([](trace::Start& start) { start.capabilities.max_attempts = 1; });
     for (const trace::Record& each : trace) again.feed(each);
     const trace::Comparison found = again.compare();
     ASSERT_TRUE(found.first);
-    EXPECT_EQ(found.first->told.kind, trace::Told::hop_ended);
-    EXPECT_NE(found.first->then.find("hop 1 of job 1 goes to"), std::string::npos) << found.first->then;
-    EXPECT_NE(found.first->now.find("job 1 is bounced"), std::string::npos) << found.first->now;
-    EXPECT_EQ(found.different_jobs, 1u);
+    EXPECT_EQ(found.first->record.type, trace::RecordType::attempt_ended);
+    EXPECT_NE(found.first->recorded.find("hop 1 of job 1 goes to"), std::string::npos) << found.first->recorded;
+    EXPECT_NE(found.first->replayed.find("job 1 is bounced"), std::string::npos) << found.first->replayed;
+    EXPECT_EQ(found.different_requests, 1u);
 }
 
 // ---------------------------------------------------------------- the door
@@ -437,16 +437,16 @@
 }
 class AdmissionTest : public GatewayTest, public testing::WithParamInterface<Odd> {};
 TEST_P(AdmissionTest, TellsWhatItObjectsTo) {
-    charter.admission.head_bytes = 2048;
-    charter.admission.body_bytes = 100;
+    config.admission.max_head_bytes = 2048;
+    config.admission.max_body_bytes = 100;
     Peer& it = peer({Does::answers});
     open();
     Client& one = client(10ms, GetParam().text);
-    world.run(30s);
+    loop.run(30s);
     EXPECT_EQ(one.count("plumkeel-objection: " + GetParam().word), 1) << one.got;
     EXPECT_EQ(one.count("HTTP/1.1 " + std::to_string(GetParam().status)), 1) << one.got;
     EXPECT_EQ(turned_back(GetParam().word.c_str()), 1);
-    EXPECT_EQ(it.hops.size(), 0u);
+    EXPECT_EQ(it.attempts.size(), 0u);
     EXPECT_EQ(figure("door", "connections"), 0);
 }
 std::string head(const std::string& lines, const std::string& line = "POST /v1/jobs/f HTTP/1.1") {
@@ -479,42 +479,42 @@
     Peer& it = peer({Does::answers});
     open();
     Client& one = client(10ms, head(good + "Connection: close\r\nTransfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    world.run(3s);
+    loop.run(3s);
     EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 1) << one.got;
-    EXPECT_EQ(it.hops.size(), 1u);
+    EXPECT_EQ(it.attempts.size(), 1u);
 }
 
 TEST_F(GatewayTest, LimitsOnJobsConnectionsAndMemory) {
-    charter.admission.open_jobs = 2;
-    charter.admission.connections = 3;
-    charter.admission.memory_bytes = 1000;
+    config.admission.max_requests = 2;
+    config.admission.max_connections = 3;
+    config.admission.max_memory_bytes = 1000;
     peer({Does::hangs});
     open();
-    client(10ms, job("s"));
-    client(10ms, job("s", "", std::string(900, 'b')));
-    Client& third = client(20ms, job("s", "", std::string(300, 'b')));
+    client(10ms, request("s"));
+    client(10ms, request("s", "", std::string(900, 'b')));
+    Client& third = client(20ms, request("s", "", std::string(300, 'b')));
     Client& idle = client(1500ms, "");
-    Client& fifth = client(1600ms, job("s"));
-    world.run(2s);
+    Client& fifth = client(1600ms, request("s"));
+    loop.run(2s);
     EXPECT_EQ(third.count("too_many_jobs") + third.count("no_memory"), 1) << third.got;
     EXPECT_EQ(fifth.count("too_many_connections"), 1) << fifth.got;
     EXPECT_EQ(idle.got, "");
-    world.run(20s);
+    loop.run(20s);
     EXPECT_EQ(figure("jobs", "open"), 0);
     EXPECT_EQ(figure("door", "held_bytes"), 0);
 }
 
 TEST_F(GatewayTest, BodiesThatAreStillComingCountAgainstTheMemory) {
-    charter.admission.memory_bytes = 1000;
+    config.admission.max_memory_bytes = 1000;
     peer({Does::answers});
     open();
-    const std::string text = job("p", "", std::string(900, 'b'));
+    const std::string text = request("p", "", std::string(900, 'b'));
     client(10ms, text.substr(0, text.size() - 800), 1s);  // 100 of 900 bytes, then it stays away
-    Client& second = client(100ms, job("p", "", std::string(300, 'b')));
+    Client& second = client(100ms, request("p", "", std::string(300, 'b')));
     std::string chunked = head(good + "Transfer-Encoding: chunked\r\n") + "12c\r\n" + std::string(300, 'b');
     Client& third = client(100ms, chunked);
-    Client& after = client(2s, job("p", "", std::string(900, 'b')), 5s);
-    world.run(10s);
+    Client& after = client(2s, request("p", "", std::string(900, 'b')), 5s);
+    loop.run(10s);
     EXPECT_EQ(second.count("no_memory"), 1) << second.got;
     EXPECT_EQ(third.count("no_memory"), 1) << third.got;
     EXPECT_EQ(after.count("plumkeel-outcome: honoured"), 1) << after.got;
@@ -525,14 +525,14 @@
 
 // A list source whose text the test changes.
 struct Source {
-    net::MemoryWorld& world;
+    net::SimulatedEventLoop& loop;
     std::shared_ptr<net::Listener> listener;
     std::string body;
     int index = 1;
-    net::Signal changed;
+    net::Notification changed;
 
-    explicit Source(net::MemoryWorld& w) : world(w), listener(w.listen({"list", 1}).listener), changed(w) {
-        world.spawn(run());
+    explicit Source(net::SimulatedEventLoop& w) : loop(w), listener(w.listen({"list", 1}).listener), changed(w) {
+        loop.spawn(run());
     }
     static std::string entry(const std::string& name, bool drains = false) {
         return fmt::format(R"({{"Node":{{"Address":"{0}"}},"Service":{{"ID":"{0}","Port":1}},"Checks":[{{"Status":"{1}"}}]}})",
@@ -543,7 +543,7 @@
         for (const auto& each : entries) body += (body.size() > 1 ? "," : "") + each;
         body += "]";
         ++index;
-        changed.fire();
+        changed.notify();
     }
     Task<> run() {
         for (;;) {
@@ -559,34 +559,34 @@
             const bool waits = parser.get().target().find(fmt::format("index={}&", index)) != std::string::npos;
             if (waits) co_await changed.wait();
             Peer::put(accepted.stream, fmt::format("HTTP/1.1 200 OK\r\nX-Consul-Index: {}\r\nContent-Length: {}\r\n\r\n{}", index, body.size(), body));
-            accepted.stream->end_sending();
-            co_await world.sleep(1ms);
+            accepted.stream->shutdown_send();
+            co_await loop.sleep(1ms);
         }
     }
 };
 
 TEST_F(GatewayTest, GoneWhileAHopIsOutAndWhileOneWaitsForItsConnection) {
-    charter.pool.most = 1;
-    charter.list.consul = "list:1";
-    Source source(world);
+    config.pool.max_connections = 1;
+    config.endpoint_source.consul = "list:1";
+    Source source(loop);
     Peer& a = peer({Does::answers});
     a.takes = 1s;
-    charter.list.fixed.clear();
+    config.endpoint_source.fixed.clear();
     source.set({Source::entry("i1")});
     open();
-    Client& out = client(100ms, job("s"));
-    std::string other = job("s");
+    Client& out = client(100ms, request("s"));
+    std::string other = request("s");
     other.replace(other.find("jobs/f"), 6, "jobs/g");  // else it would park for the load of f
     Client& waits = client(150ms, other);
-    world.at(300ms, [&] { source.set({Source::entry("i1", true)}); });
+    loop.call_at(300ms, [&] { source.set({Source::entry("i1", true)}); });
     Peer& b = peer({Does::answers});
-    world.at(700ms, [&] { source.set({Source::entry("i1", true), Source::entry("i2")}); });
-    world.run(10s);
+    loop.call_at(700ms, [&] { source.set({Source::entry("i1", true), Source::entry("i2")}); });
+    loop.run(10s);
     // The one that is out is awaited; the one that waited never left, and goes elsewhere.
     EXPECT_EQ(out.count("plumkeel-outcome: honoured"), 1) << out.got;
     EXPECT_EQ(waits.count("plumkeel-outcome: honoured"), 1) << waits.got;
-    EXPECT_EQ(a.hops.size(), 1u);
-    EXPECT_EQ(b.hops.size(), 1u);
+    EXPECT_EQ(a.attempts.size(), 1u);
+    EXPECT_EQ(b.attempts.size(), 1u);
     EXPECT_EQ(figure("hops", nullptr), 3);
 }
 
@@ -594,12 +594,12 @@
     Peer& it = peer({Does::answers});
     it.takes = 800ms;
     open();
-    Client& open_job = client(100ms, job("s", ""));
+    Client& open_job = client(100ms, request("s", ""));
     Client& idle = client(100ms, "", 10s);
-    Client& later = client(400ms, job("p"));
+    Client& later = client(400ms, request("p"));
     Time done{};
-    world.at(300ms, [&] { gateway->close([&] { done = world.now(); }); });
-    world.run(5s);
+    loop.call_at(300ms, [&] { gateway->close([&] { done = loop.now(); }); });
+    loop.run(5s);
     EXPECT_EQ(open_job.count("plumkeel-outcome: honoured"), 1) << open_job.got;
     EXPECT_EQ(open_job.count("Connection: close"), 1);
     EXPECT_EQ(later.got, "");
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -7,11 +7,11 @@
 #include <filesystem>
 #include <iterator>
 
-#include "discovery/frames.hpp"
+#include "discovery/frame_decoder.hpp"
 #include "fastcgi/records.hpp"
-#include "net/memory.hpp"
-#include "remote/sender.hpp"
-#include "runline/words.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "remote_write/sender.hpp"
+#include "invoker_protocol/codec.hpp"
 #include "tests/platform_world.hpp"
 #include "tests/toy_trace.hpp"
 #include "trace/file.hpp"
@@ -58,68 +58,68 @@
 
 TEST(GoldenCodec, FastCgiRecords) {
     std::string all;
-    all += fastcgi::out_records(7, "Status: 200\r\n\r\nbody");
-    all += fastcgi::out_records(1, "");
-    all += fastcgi::end_records(7, 0, fastcgi::complete, true);
-    all += fastcgi::end_records(513, 9, fastcgi::overloaded, false);
-    all += fastcgi::end_records(2, 0, fastcgi::unknown_role, true);
+    all += fastcgi::encode_stdout(7, "Status: 200\r\n\r\nbody");
+    all += fastcgi::encode_stdout(1, "");
+    all += fastcgi::encode_end_request(7, 0, fastcgi::complete, true);
+    all += fastcgi::encode_end_request(513, 9, fastcgi::overloaded, false);
+    all += fastcgi::encode_end_request(2, 0, fastcgi::unknown_role, true);
     const std::string asked = bytes::pair("FCGI_MAX_CONNS", "") + bytes::pair("FCGI_MPXS_CONNS", "") +
                               bytes::pair("FCGI_MAX_REQS", "") + bytes::pair("FCGI_OTHER", "");
-    all += fastcgi::values_record(asked, 64, 512);
-    all += fastcgi::unknown_record(77);
+    all += fastcgi::encode_values(asked, 64, 512);
+    all += fastcgi::encode_unknown_type(77);
     expect_golden("fastcgi_records.txt", all);
     // A body longer than a record takes several.
-    expect_golden("fastcgi_long_body.txt", fastcgi::out_records(3, std::string(150'000, 'x')));
+    expect_golden("fastcgi_long_body.txt", fastcgi::encode_stdout(3, std::string(150'000, 'x')));
 }
 
 TEST(GoldenCodec, InvokerLines) {
     std::string all;
-    all += runline::run("00000000000000a1", "preview", "fn-7", "", 1500, 4);
-    all += runline::run("00000000000000a2", "charge", "fn-8", "key-1", 0, 0);
-    all += runline::stop("00000000000000a1");
-    all += runline::probe("t17", true);
-    all += runline::probe("t18", false);
-    all += runline::body_end;
+    all += invoker_protocol::encode_run("00000000000000a1", "preview", "fn-7", "", 1500, 4);
+    all += invoker_protocol::encode_run("00000000000000a2", "charge", "fn-8", "key-1", 0, 0);
+    all += invoker_protocol::encode_stop("00000000000000a1");
+    all += invoker_protocol::encode_probe("t17", true);
+    all += invoker_protocol::encode_probe("t18", false);
+    all += invoker_protocol::body_end;
     expect_golden("invoker_lines.txt", all);
 }
 
 TEST(GoldenCodec, DiscoveryAsks) {
     expect_golden("discovery_asks.txt",
-                  discovery::asking(0) + discovery::asking(1) + discovery::asking(0x0123456789abcdef));
+                  discovery::encode_subscription(0) + discovery::encode_subscription(1) + discovery::encode_subscription(0x0123456789abcdef));
 }
 
 TEST(GoldenCodec, RemoteWriteParts) {
-    remote::Scraper scraper(3);
-    std::vector<remote::Sample> samples;
+    remote_write::SeriesEncoder scraper(3);
+    std::vector<remote_write::Sample> samples;
     for (int i = 0; i < 12; ++i) {
         const std::string number = std::to_string(i);
         samples.push_back({{{"__name__", "plumkeel_metric"}, {"controller", "n1"}, {"series", number}}, 0.5 * i});
     }
     std::string all;
-    for (const remote::Part& part : scraper.scrape(samples, 1'700'000'000'000)) all += part.bytes + "|";
+    for (const remote_write::Shard& part : scraper.encode(samples, 1'700'000'000'000)) all += part.bytes + "|";
     samples.resize(5);
-    for (const remote::Part& part : scraper.scrape(samples, 1'700'000'005'000))
+    for (const remote_write::Shard& part : scraper.encode(samples, 1'700'000'005'000))
         all += part.bytes + "|";  // seven have ended
-    for (const remote::Part& part : scraper.end(1'700'000'010'000)) all += part.bytes + "|";
+    for (const remote_write::Shard& part : scraper.encode_end(1'700'000'010'000)) all += part.bytes + "|";
     expect_golden("remote_write_parts.txt", all);
 }
 
 // What a receiver reads, head and packed body.
 TEST(GoldenCodec, RemoteWriteRequest) {
-    net::MemoryWorld world;
-    remote::SpoolRules rules;
+    net::SimulatedEventLoop loop;
+    remote_write::QueueConfig rules;
     rules.folder = testing::TempDir() + "/golden_request." + std::to_string(::getpid());
-    rules.parts = 1;
+    rules.shards = 1;
     std::filesystem::remove_all(rules.folder);
-    remote::Spool spool(rules, {"store"});
-    remote::Scraper scraper(1);
+    remote_write::DurableQueue spool(rules, {"store"});
+    remote_write::SeriesEncoder scraper(1);
     spool.append(1'700'000'000'000,
-                 scraper.scrape({{{{"__name__", "up"}, {"controller", "n1"}}, 1}}, 1'700'000'000'000));
+                 scraper.encode({{{{"__name__", "up"}, {"controller", "n1"}}, 1}}, 1'700'000'000'000));
     const net::Address address{"10.0.0.9", 9090};
-    const std::shared_ptr<net::Listener> listener = world.listen(address).listener;
+    const std::shared_ptr<net::Listener> listener = loop.listen(address).listener;
     std::string got;
     std::shared_ptr<net::Stream> stream;
-    world.spawn([](std::shared_ptr<net::Listener> from, std::string& to, std::shared_ptr<net::Stream>& keep) -> Task<> {
+    loop.spawn([](std::shared_ptr<net::Listener> from, std::string& to, std::shared_ptr<net::Stream>& keep) -> Task<> {
         keep = (co_await from->accept()).stream;
         std::vector<char> room(4096);
         for (;;) {
@@ -128,14 +128,14 @@
             to.append(room.data(), moved.bytes);
         }
     }(listener, got, stream));
-    remote::ReceiverRules receiver;
+    remote_write::ReceiverConfig receiver;
     receiver.name = "store";
     receiver.address = address.text();
     receiver.bearer = "token-1";
-    remote::Sender sender(world, receiver, spool, 1, 1, [](const std::string&, const std::string&) {});
+    remote_write::Sender sender(loop, receiver, spool, 1, 1, [](const std::string&, const std::string&) {});
     sender.start();
-    sender.tell(100);
-    world.run(2s);
+    sender.notify(100);
+    loop.run(2s);
     std::filesystem::remove_all(rules.folder);
     expect_golden("remote_write_request.txt", got);
 }
@@ -145,7 +145,7 @@
 
 TEST_F(GoldenPlatform, AnswersAndRuns) {
     open();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     peer({Does::answers, Does::errs, Does::full, Does::answers});
     peer({Does::full, Does::answers});
     Client& well_served = client(20ms, {{0ms, message(1, job_fields(hex16(0xa1), hex16(0xf)), "work")},
@@ -169,7 +169,7 @@
                       {500ms, message(6, job_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
                       {700ms, record(9, 0, pair("FCGI_MAX_CONNS", "") + pair("FCGI_MPXS_CONNS", ""))},
                       {800ms, record(33, 0, "")}});
-    world.run(4s);
+    loop.run(4s);
     expect_golden("answers_served.txt", well_served.got);
     expect_golden("answers_refused.txt", turned_down.got);
     std::string lines;
@@ -184,9 +184,9 @@
 // The status that operators and tools read.
 TEST_F(GoldenPlatform, RefusedForWantOfInvokers) {
     open();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     Client& it = client(20ms, {{0ms, message(1, job_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
-    world.run(3s);
+    loop.run(3s);
     expect_golden("answers_without_invokers.txt", it.got);
 }
 
@@ -206,7 +206,7 @@
     EXPECT_TRUE(reader.finished());
     EXPECT_EQ(reader.begun(), Time(1'700'000'000'000'000));
     std::vector<trace::Record> then;
-    trace::Again again;
+    trace::Replayer again;
     reader.walk({}, [&](const trace::Record& record) {
         then.push_back(record);
         again.feed(record);
@@ -224,18 +224,18 @@
 
 // A spool written then is opened: what waits, each receiver's place and the count of what was dropped.
 TEST(GoldenFiles, ASpoolOfAnEarlierVersionIsOpened) {
-    remote::SpoolRules rules;
+    remote_write::QueueConfig rules;
     rules.folder = golden_path("spool");
-    rules.parts = 2;
-    rules.age = std::chrono::hours(24 * 365 * 100);
-    remote::Scraper scraper(2);
-    std::vector<remote::Sample> samples;
+    rules.shards = 2;
+    rules.max_age = std::chrono::hours(24 * 365 * 100);
+    remote_write::SeriesEncoder scraper(2);
+    std::vector<remote_write::Sample> samples;
     for (int i = 0; i < 6; ++i) samples.push_back({{{"__name__", "m"}, {"series", std::to_string(i)}}, 1.0 * i});
     if (writes_golden()) {
         std::filesystem::remove_all(rules.folder);
-        remote::Spool spool(rules, {"store", "other"});
+        remote_write::DurableQueue spool(rules, {"store", "other"});
         for (int i = 0; i < 4; ++i)
-            spool.append(1'700'000'000'000 + 5000 * i, scraper.scrape(samples, 1'700'000'000'000 + 5000 * i));
+            spool.append(1'700'000'000'000 + 5000 * i, scraper.encode(samples, 1'700'000'000'000 + 5000 * i));
         spool.advance("store", 0, spool.read("store", 0, 1).next);
     }
     const std::string copy = testing::TempDir() + "/golden_spool." + std::to_string(::getpid());
@@ -243,7 +243,7 @@
     std::filesystem::copy(rules.folder, copy, std::filesystem::copy_options::recursive);
     rules.folder = copy;
     {
-        remote::Spool spool(rules, {"store", "other"});
+        remote_write::DurableQueue spool(rules, {"store", "other"});
         EXPECT_EQ(spool.end(), 4u);
         EXPECT_EQ(spool.newest_ms(), 1'700'000'015'000);
         EXPECT_EQ(spool.dropped(), 0u);
@@ -252,7 +252,7 @@
         std::string all;
         for (int part = 0; part < 2; ++part)
             for (const char* receiver : {"store", "other"}) {
-                const remote::Spool::Batch batch = spool.read(receiver, part, 1000);
+                const remote_write::DurableQueue::Batch batch = spool.read(receiver, part, 1000);
                 all += fmt::format("{} {} samples {} next {} oldest {}: ", receiver, part, batch.samples, batch.next,
                                    batch.oldest_ms) +
                        batch.bytes + "\n";
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "net/memory.hpp"
+#include "net/simulated_event_loop.hpp"
 
 namespace plumkeel::gateway {
 namespace {
@@ -11,10 +11,10 @@
 using namespace std::chrono_literals;
 
 TEST(Invariants, CountEachBreakAndDescribeOnlyBreaks) {
-    net::MemoryWorld world;
-    LogRules rules;
+    net::SimulatedEventLoop loop;
+    LogConfig rules;
     rules.file = "/dev/null";
-    Log log(world, rules);
+    Log log(loop, rules);
     Invariants invariants(log);
     int described = 0;
     const auto fields = [&] {
@@ -42,37 +42,37 @@
         here.cell = same_cell.cell = 1;
         same_zone.cell = 2;
         elsewhere.cell = 3;
-        use.remembered = 5s;
+        use.deduplication_window = 5s;
     }
     bool may(const Invoker& to, Time now) const { return may_repeat(use, here, 1s, to, now); }
-    UseCase use;
+    RequestClass use;
     Invoker here, same_cell, same_zone, elsewhere;
 };
 
 TEST_F(RepeatTest, WhatMayRunAgainMayAnywhere) {
-    use.repeat = Repeat::replayable;
+    use.idempotency = Idempotency::idempotent;
     EXPECT_TRUE(may(elsewhere, 60s));
     EXPECT_TRUE(may_promise_no_effect(use, 1s, 60s));
 }
 
 TEST_F(RepeatTest, WhatMayRunButOnceNeverMay) {
-    use.repeat = Repeat::single_use;
+    use.idempotency = Idempotency::at_most_once;
     EXPECT_FALSE(may(here, 1s));
     EXPECT_FALSE(may_promise_no_effect(use, 1s, 1s));
 }
 
 TEST_F(RepeatTest, ByItsKeyItMayWhereAndWhileTheKeyIsKnown) {
-    use.repeat = Repeat::referenced;
-    use.reach = Reach::everywhere;
+    use.idempotency = Idempotency::deduplicated;
+    use.deduplication_scope = DeduplicationScope::global;
     EXPECT_TRUE(may(elsewhere, 6s));
     EXPECT_FALSE(may(elsewhere, 6001ms));
     EXPECT_TRUE(may_promise_no_effect(use, 1s, 6s));
     EXPECT_FALSE(may_promise_no_effect(use, 1s, 6001ms));
-    use.reach = Reach::zone;
+    use.deduplication_scope = DeduplicationScope::zone;
     EXPECT_TRUE(may(same_zone, 2s));
     EXPECT_FALSE(may(elsewhere, 2s));
     EXPECT_FALSE(may_promise_no_effect(use, 1s, 2s));
-    use.reach = Reach::cell;
+    use.deduplication_scope = DeduplicationScope::cell;
     EXPECT_TRUE(may(same_cell, 2s));
     EXPECT_FALSE(may(same_zone, 2s));
 }
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -4,13 +4,13 @@
 
 #include <fstream>
 
-#include "charter/charter.hpp"
+#include "config/gateway_config.hpp"
 #include "admission/admission.hpp"
-#include "fleet/follower.hpp"
-#include "gateway/proof.hpp"
+#include "consul/blocking_query.hpp"
+#include "gateway/delivery.hpp"
 #include "log/log.hpp"
-#include "net/memory.hpp"
-#include "net/outbox.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "net/write_queue.hpp"
 #include "orca/orca.hpp"
 #include "web/protocol.hpp"
 
@@ -18,8 +18,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using fleet::Follower;
-using Heard = Follower::Heard;
+using consul::BlockingQuery;
+using PollResult = BlockingQuery::PollResult;
 
 std::string row(const std::string& id, const std::string& more = "", const std::string& status = "passing") {
     return R"({"Node":{"Address":"10.0.0.1","Meta":{"kind":"std","zone":"a"}},"Service":{"ID":")" + id +
@@ -33,25 +33,25 @@
 
 class FollowerTest : public testing::Test {
 protected:
-    Follower::Step hear(std::uint64_t index, const std::string& body) {
+    BlockingQuery::Step hear(std::uint64_t index, const std::string& body) {
         return it.answered(now += 1s, {200, index, body});
     }
-    Follower it{10s, 1};
+    BlockingQuery it{10s, 1};
     Time now{};
 };
 
 TEST_F(FollowerTest, ReadsWhatTheEndpointTells) {
     const auto step = hear(7, list({row("x", R"("units":"2.5","cell":"4","start":"1700000000000","zone":"b")"), row("y", "", "critical")}));
-    ASSERT_EQ(step.heard, Heard::list);
+    ASSERT_EQ(step.result, PollResult::updated);
     EXPECT_EQ(step.next.index, 7u);
     ASSERT_EQ(it.list().size(), 2u);
     const auto& x = it.list()[0];
     EXPECT_EQ(x.address, "10.0.0.1:80");
     EXPECT_EQ(x.zone, "b");
-    EXPECT_EQ(x.kind, "std");
-    EXPECT_DOUBLE_EQ(x.units, 2.5);
+    EXPECT_EQ(x.type, "std");
+    EXPECT_DOUBLE_EQ(x.capacity, 2.5);
     EXPECT_EQ(x.cell, 4);
-    EXPECT_EQ(x.started, Time(1700000000000000));
+    EXPECT_EQ(x.started_at, Time(1700000000000000));
     EXPECT_TRUE(x.ready);
     EXPECT_FALSE(it.list()[1].ready);
 }
@@ -65,36 +65,36 @@
     step = hear(3, list({row("x")}));
     EXPECT_TRUE(step.complete);
     EXPECT_EQ(step.changed.size(), 1u);
-    EXPECT_EQ(hear(4, list({row("x")})).heard, Heard::same);
+    EXPECT_EQ(hear(4, list({row("x")})).result, PollResult::unchanged);
 }
 
 TEST_F(FollowerTest, AnIdBackWithANewStartIsAChange) {
     hear(1, list({row("x", R"("start":"1000")")}));
     const auto step = hear(2, list({row("x", R"("start":"2000")")}));
     ASSERT_EQ(step.changed.size(), 1u);
-    EXPECT_EQ(step.changed[0].started, Time(2s));
+    EXPECT_EQ(step.changed[0].started_at, Time(2s));
 }
 
 TEST_F(FollowerTest, AnIndexThatGoesBackIsAskedForAgainAndThenBelieved) {
     hear(50, list({row("x"), row("y")}));
     auto step = hear(3, list({row("x")}));
-    EXPECT_EQ(step.heard, Heard::doubted);
+    EXPECT_EQ(step.result, PollResult::unconfirmed);
     EXPECT_EQ(step.next.index, 0u);
     EXPECT_EQ(it.list().size(), 2u);
     step = hear(3, list({row("x")}));
-    EXPECT_EQ(step.heard, Heard::list);
+    EXPECT_EQ(step.result, PollResult::updated);
     EXPECT_EQ(step.next.index, 3u);
     EXPECT_EQ(it.list().size(), 1u);
 }
 
 TEST_F(FollowerTest, AListSuddenlyEmptyIsAskedForAgain) {
     hear(1, list({row("x")}));
-    EXPECT_EQ(hear(2, "[]").heard, Heard::doubted);
+    EXPECT_EQ(hear(2, "[]").result, PollResult::unconfirmed);
     EXPECT_EQ(it.list().size(), 1u);
-    EXPECT_EQ(hear(3, list({row("x")})).heard, Heard::same);  // it was not so
-    EXPECT_EQ(hear(4, "[]").heard, Heard::doubted);
+    EXPECT_EQ(hear(3, list({row("x")})).result, PollResult::unchanged);  // it was not so
+    EXPECT_EQ(hear(4, "[]").result, PollResult::unconfirmed);
     const auto step = hear(4, "[]");
-    EXPECT_EQ(step.heard, Heard::list);
+    EXPECT_EQ(step.result, PollResult::updated);
     EXPECT_TRUE(step.complete);
     EXPECT_TRUE(it.list().empty());
 }
@@ -110,17 +110,17 @@
     }
     EXPECT_GT(before, 1s);
     for (const char* nonsense : {"", "{}", "[", "null", "[[[["}) {
-        EXPECT_EQ(hear(10, nonsense).heard, Heard::nonsense);
+        EXPECT_EQ(hear(10, nonsense).result, PollResult::malformed);
         EXPECT_EQ(it.list().size(), 1u);
     }
-    EXPECT_EQ(it.answered(now, {500, 10, "[]"}).heard, Heard::nonsense);
+    EXPECT_EQ(it.answered(now, {500, 10, "[]"}).result, PollResult::malformed);
     EXPECT_EQ(it.list().size(), 1u);
 }
 
 TEST_F(FollowerTest, OddEntriesAreLeftOutAndCounted) {
     hear(1, list({row("x"), row("x"), R"({"Service":{"ID":"z"}})", "3", R"({"Service":{"ID":"q","Address":"h","Port":70000}})"}));
     EXPECT_EQ(it.list().size(), 1u);
-    EXPECT_EQ(it.left_out(), 4u);
+    EXPECT_EQ(it.skipped(), 4u);
 }
 
 TEST_F(FollowerTest, NoIndexIsNeverWaitedOnAndNeverSpun) {
@@ -132,37 +132,37 @@
 // ---------------------------------------------------------------- the door
 
 TEST(Admission, CountsInAndOut) {
-    AdmissionRules rules;
-    rules.open_jobs = 1;
-    rules.connections = 1;
-    rules.memory_bytes = 10;
+    AdmissionLimits rules;
+    rules.max_requests = 1;
+    rules.max_connections = 1;
+    rules.max_memory_bytes = 10;
     Admission admission(rules);
-    EXPECT_EQ(admission.connection_came(), Objection::none);
-    EXPECT_EQ(admission.connection_came(), Objection::too_many_connections);
-    admission.connection_left();
-    EXPECT_EQ(admission.connection_came(), Objection::none);
-    EXPECT_EQ(admission.job_came(), Objection::none);
-    EXPECT_EQ(admission.job_came(), Objection::too_many_jobs);
-    EXPECT_EQ(admission.hold(8), Objection::none);
-    EXPECT_EQ(admission.hold(8), Objection::no_memory);
-    EXPECT_EQ(admission.held_bytes(), 8u);
-    admission.let_go(8);
-    EXPECT_EQ(admission.hold(8), Objection::none);
+    EXPECT_EQ(admission.admit_connection(), RejectionReason::none);
+    EXPECT_EQ(admission.admit_connection(), RejectionReason::too_many_connections);
+    admission.release_connection();
+    EXPECT_EQ(admission.admit_connection(), RejectionReason::none);
+    EXPECT_EQ(admission.admit_request(), RejectionReason::none);
+    EXPECT_EQ(admission.admit_request(), RejectionReason::too_many_requests);
+    EXPECT_EQ(admission.reserve(8), RejectionReason::none);
+    EXPECT_EQ(admission.reserve(8), RejectionReason::no_memory);
+    EXPECT_EQ(admission.reserved_bytes(), 8u);
+    admission.release(8);
+    EXPECT_EQ(admission.reserve(8), RejectionReason::none);
     admission.close();
-    EXPECT_EQ(admission.head_read(0), Objection::closing);
+    EXPECT_EQ(admission.admit_body(0), RejectionReason::closing);
 }
 
 TEST(Admission, TimeLeft) {
-    AdmissionRules rules;
+    AdmissionLimits rules;
     Admission strict(rules);
     Time left{};
-    EXPECT_EQ(strict.time_left("", left), Objection::time_left_absent);
+    EXPECT_EQ(strict.parse_remaining("", left), RejectionReason::remaining_missing);
     for (const char* absurd : {"0", "-5", "1e3", "4000ms", "99999999999999999999", "9223372036854775807"})
-        EXPECT_EQ(strict.time_left(absurd, left), Objection::time_left_absurd) << absurd;
-    EXPECT_EQ(strict.time_left("4000", left), Objection::none);
+        EXPECT_EQ(strict.parse_remaining(absurd, left), RejectionReason::remaining_invalid) << absurd;
+    EXPECT_EQ(strict.parse_remaining("4000", left), RejectionReason::none);
     EXPECT_EQ(left, 4s);
-    rules.assumed_left = 3s;
-    EXPECT_EQ(Admission(rules).time_left("", left), Objection::none);
+    rules.default_remaining = 3s;
+    EXPECT_EQ(Admission(rules).parse_remaining("", left), RejectionReason::none);
     EXPECT_EQ(left, 3s);
 }
 
@@ -174,31 +174,31 @@
         EXPECT_LE(pause, 160ms);
         EXPECT_GE(pause, i < 3 ? 20ms : 160ms) << i;
     }
-    EXPECT_EQ(admission.counted(Objection::no_descriptors), 20u);
+    EXPECT_EQ(admission.counted(RejectionReason::no_descriptors), 20u);
     admission.accepted();
     EXPECT_LT(admission.accept_pause(), 50ms);
 }
 
 TEST(Admission, APaceIsJudgedOverTheWholeBody) {
     Admission admission({});
-    EXPECT_EQ(admission.pace(0s, 1s, 0), Objection::none);
-    EXPECT_EQ(admission.pace(0s, 3s, 100), Objection::body_too_slow);
-    EXPECT_EQ(admission.pace(0s, 3s, 5000), Objection::none);
+    EXPECT_EQ(admission.check_body_rate(0s, 1s, 0), RejectionReason::none);
+    EXPECT_EQ(admission.check_body_rate(0s, 3s, 100), RejectionReason::body_too_slow);
+    EXPECT_EQ(admission.check_body_rate(0s, 3s, 5000), RejectionReason::none);
 }
 
 // ---------------------------------------------------------------- settings
 
 class Settings : public testing::Test {
 protected:
-    Charter read(const std::string& text) {
+    GatewayConfig read(const std::string& text) {
         std::ofstream(file) << text;
-        return read_charter(file);
+        return load_config(file);
     }
     void complains(const std::string& text, const std::string& words) {
         try {
             read(text);
             FAIL() << "taken: " << text;
-        } catch (const CharterFault& fault) {
+        } catch (const ConfigError& fault) {
             EXPECT_NE(std::string(fault.what()).find(words), std::string::npos) << fault.what();
             EXPECT_NE(std::string(fault.what()).find(file), std::string::npos) << fault.what();
         }
@@ -208,9 +208,9 @@
 };
 
 TEST_F(Settings, AreTemplates) {
-    const Charter charter = read("local b = " + base + "; b { use_cases+: { q: self.p { promised: '%dms' % (3 * 50) } }, tenants: { t: { share_per_s: 4 } } }");
-    EXPECT_EQ(charter.use_cases.at("q").promised, 150ms);
-    EXPECT_EQ(charter.tenants.at("t").share_per_s, 4);
+    const GatewayConfig config = read("local b = " + base + "; b { use_cases+: { q: self.p { promised: '%dms' % (3 * 50) } }, tenants: { t: { share_per_s: 4 } } }");
+    EXPECT_EQ(config.request_classes.at("q").latency_target, 150ms);
+    EXPECT_EQ(config.tenants.at("t").quota_per_s, 4);
 }
 
 TEST_F(Settings, NameFileAndField) {
@@ -236,12 +236,12 @@
 TEST(Orca, ReadsTextAndJson) {
     for (const char* text : {"TEXT cpu_utilization=0.3, named_metrics.inflight=3,named_metrics.queue=1.5",
                              R"(JSON {"cpu_utilization":0.3,"named_metrics":{"inflight":3,"queue":1.5}})"}) {
-        const Report report = orca::read(text);
-        EXPECT_EQ(report.held, 3) << text;
+        const LoadReport report = orca::read(text);
+        EXPECT_EQ(report.in_flight, 3) << text;
         EXPECT_EQ(report.queued, 1.5) << text;
     }
-    const Report again = orca::read(orca::write({4, 2}));
-    EXPECT_EQ(again.held, 4);
+    const LoadReport again = orca::read(orca::write({4, 2}));
+    EXPECT_EQ(again.in_flight, 4);
     EXPECT_EQ(again.queued, 2);
 }
 
@@ -249,40 +249,40 @@
     for (const char* text : {"", "TEXT", "TEXT ", "TEXT named_metrics.inflight=many", "TEXT named_metrics.inflight=-1",
                              "TEXT named_metrics.inflight=nan", "JSON {", "JSON []", R"(JSON {"named_metrics":3})",
                              R"(JSON {"named_metrics":{"inflight":"3"}})", "BIN AAAA", "inflight=3"})
-        EXPECT_FALSE(orca::read(text).held) << text;
+        EXPECT_FALSE(orca::read(text).in_flight) << text;
 }
 
 TEST(Proof, OnlyTheInvokersWordOrAnUnwrittenByteProvesThatItNeverRan) {
     using namespace protocol;
-    using namespace proof;
-    EXPECT_EQ(ending_of(503, "turned-away"), Ending::turned_away);
-    EXPECT_EQ(ending_of(503, "not-loaded"), Ending::not_loaded);
-    EXPECT_EQ(ending_of(503, ""), Ending::errored);
-    EXPECT_EQ(ending_of(503, "surely"), Ending::errored);
-    EXPECT_EQ(ending_of(200, ""), Ending::honoured);
-    for (const Cause cause : {Cause::connection_broke, Cause::time_ran_out, Cause::called_off, Cause::withdrawn}) {
-        EXPECT_EQ(ending_of(Reached::not_written, cause), Ending::never_sent);
-        const Ending some = ending_of(Reached::may_have_run, cause);
-        EXPECT_TRUE(some == Ending::cut_off || some == Ending::overdue || some == Ending::called_off);
+    using namespace delivery;
+    EXPECT_EQ(ending_of(503, "turned-away"), AttemptOutcome::rejected);
+    EXPECT_EQ(ending_of(503, "not-loaded"), AttemptOutcome::load_failed);
+    EXPECT_EQ(ending_of(503, ""), AttemptOutcome::failed);
+    EXPECT_EQ(ending_of(503, "surely"), AttemptOutcome::failed);
+    EXPECT_EQ(ending_of(200, ""), AttemptOutcome::succeeded);
+    for (const StopCause cause : {StopCause::connection_lost, StopCause::timed_out, StopCause::cancelled, StopCause::cancelled_unsent}) {
+        EXPECT_EQ(outcome_of(Progress::not_written, cause), AttemptOutcome::never_sent);
+        const AttemptOutcome some = outcome_of(Progress::may_have_run, cause);
+        EXPECT_TRUE(some == AttemptOutcome::connection_lost || some == AttemptOutcome::timed_out || some == AttemptOutcome::cancelled);
     }
-    EXPECT_EQ(ending_of(Reached::nothing_connected, Cause::no_connection), Ending::unreachable);
+    EXPECT_EQ(outcome_of(Progress::not_connected, StopCause::no_connection), AttemptOutcome::unreachable);
 }
 
 TEST(Trickle, KeepsARateAndTellsWhatItLeftOut) {
-    Trickle trickle(10, 5);
+    RateLimiter trickle(10, 5);
     int passed = 0;
-    for (int i = 0; i < 1000; ++i) passed += trickle.pass(Time(i * 1000));
+    for (int i = 0; i < 1000; ++i) passed += trickle.allow(Time(i * 1000));
     EXPECT_GE(passed, 14);
     EXPECT_LE(passed, 16);
-    EXPECT_EQ(trickle.left_out(), 1000u - static_cast<unsigned>(passed));
-    EXPECT_EQ(trickle.left_out(), 0u);
+    EXPECT_EQ(trickle.take_suppressed(), 1000u - static_cast<unsigned>(passed));
+    EXPECT_EQ(trickle.take_suppressed(), 0u);
 }
 
 // ---------------------------------------------------------------- the seam
 
 TEST(Seam, StreamsInMemoryKeepOrderAndPressBack) {
-    net::MemoryWorld world(1ms, 1000);
-    const auto listener = world.listen({"a", 1}).listener;
+    net::SimulatedEventLoop loop(1ms, 1000);
+    const auto listener = loop.listen({"a", 1}).listener;
     const std::string text(50'000, 'x');
     std::string got;
     bool ended = false;
@@ -301,38 +301,38 @@
     };
     auto writer = [&]() -> net::Task<> {
         const net::Address to{"a", 1};
-        const auto connected = co_await world.connect(to, 1s);
-        const auto outbox = std::make_shared<net::Outbox>(world, connected.stream);
-        outbox->send("", std::make_shared<const std::string>(text));
-        most = outbox->pending();
-        co_await outbox->below(0);
-        connected.stream->end_sending();
+        const auto connected = co_await loop.connect(to, 1s);
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, connected.stream);
+        write_queue->send("", std::make_shared<const std::string>(text));
+        most = write_queue->pending_bytes();
+        co_await write_queue->wait_below(0);
+        connected.stream->shutdown_send();
     };
-    world.spawn(reader());
-    world.spawn(writer());
-    world.run();
+    loop.spawn(reader());
+    loop.spawn(writer());
+    loop.run();
     EXPECT_EQ(got, text);
     EXPECT_TRUE(ended);
     EXPECT_EQ(most, text.size() - 1000);
-    EXPECT_GE(world.now(), 50ms);  // a thousand bytes a way, a millisecond each
+    EXPECT_GE(loop.now(), 50ms);  // a thousand bytes a way, a millisecond each
 }
 
 TEST(Seam, DueTimesComeInOrderAndCanBeDropped) {
-    net::MemoryWorld world;
+    net::SimulatedEventLoop loop;
     std::string order;
-    world.at(3ms, [&] { order += 'c'; });
-    world.at(1ms, [&] { order += 'a'; });
-    auto dropped = world.at(2ms, [&] { order += 'x'; });
-    world.at(1ms, [&] { order += 'b'; });
-    world.drop(dropped);
-    world.run();
+    loop.call_at(3ms, [&] { order += 'c'; });
+    loop.call_at(1ms, [&] { order += 'a'; });
+    auto dropped = loop.call_at(2ms, [&] { order += 'x'; });
+    loop.call_at(1ms, [&] { order += 'b'; });
+    loop.cancel(dropped);
+    loop.run();
     EXPECT_EQ(order, "abc");
-    EXPECT_EQ(world.now(), 3ms);
+    EXPECT_EQ(loop.now(), 3ms);
 }
 
 TEST(Seam, TwoThatWaitForOneSignalAreBothWokenAndNotByEachOther) {
-    net::MemoryWorld world;
-    net::Signal signal(world);
+    net::SimulatedEventLoop loop;
+    net::Notification signal(loop);
     bool open = false;
     int woken = 0, through = 0;
     auto waiter = [&]() -> net::Task<> {
@@ -342,32 +342,32 @@
         }
         ++through;
     };
-    world.spawn(waiter());
-    world.spawn(waiter());
-    world.at(5ms, [&] {
+    loop.spawn(waiter());
+    loop.spawn(waiter());
+    loop.call_at(5ms, [&] {
         open = true;
-        signal.fire();
+        signal.notify();
     });
-    world.run();
+    loop.run();
     EXPECT_EQ(through, 2);
     EXPECT_EQ(woken, 2);
 }
 
 TEST(Seam, NobodyThereIsToldAndSoIsAReset) {
-    net::MemoryWorld world;
+    net::SimulatedEventLoop loop;
     net::Error refused, reset;
     auto run = [&]() -> net::Task<> {
         const net::Address nowhere{"b", 1}, there{"a", 1};
-        refused = (co_await world.connect(nowhere, 1s)).error;
-        const auto listener = world.listen(there).listener;
-        const auto connected = co_await world.connect(there, 1s);
+        refused = (co_await loop.connect(nowhere, 1s)).error;
+        const auto listener = loop.listen(there).listener;
+        const auto connected = co_await loop.connect(there, 1s);
         const auto accepted = co_await listener->accept();
         accepted.stream->reset();
         std::vector<char> room(10);
         reset = (co_await connected.stream->read(net::asio::buffer(room))).error;
     };
-    world.spawn(run());
-    world.run();
+    loop.spawn(run());
+    loop.run();
     EXPECT_EQ(refused, net::asio::error::connection_refused);
     EXPECT_EQ(reset, net::asio::error::connection_reset);
 }
--- a/tests/placement_index_test.cpp
+++ b/tests/placement_index_test.cpp
@@ -1,5 +1,5 @@
 // The index against the order it stands for: every invoker ranked for the key, sorted.
-#include "dispatch/placement_index.hpp"
+#include "scheduler/placement_index.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,9 +7,9 @@
 #include <map>
 #include <memory>
 
-#include "chance/pcg.hpp"
-#include "dispatch/hash.hpp"
-#include "dispatch/types.hpp"
+#include "random/pcg.hpp"
+#include "scheduler/hash.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel {
 namespace {
--- a/tests/platform_signals_test.cpp
+++ b/tests/platform_signals_test.cpp
@@ -11,8 +11,8 @@
 #include <fstream>
 #include <thread>
 
-#include "platform/platform.hpp"
-#include "stand/platform_bytes.hpp"
+#include "platform/serve.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::platform {
 namespace {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -13,7 +13,7 @@
     std::string text;
     for (int i = 1; i <= 32; ++i) text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
     Client& one = client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
-    world.run(5s);
+    loop.run(5s);
     for (int i = 1; i <= 32; ++i) EXPECT_EQ(one.answer(i).body(), Peer::body_for(hex16(static_cast<std::uint64_t>(i))));
     EXPECT_EQ(one.answer(40).status(), "200");
     EXPECT_EQ(runs(), 32u);
@@ -29,8 +29,8 @@
         peer(script);
     }
     open();
-    for (std::uint64_t i = 1; i <= 40; ++i) job(10ms * static_cast<int>(i), i);
-    world.run(20s);
+    for (std::uint64_t i = 1; i <= 40; ++i) request(10ms * static_cast<int>(i), i);
+    loop.run(20s);
     EXPECT_GE(honoured(), GetParam() == Does::silent ? 32u : 40u);
     for (const auto& [id, it] : well)
         if (it->answer(1).status() == "200") {
@@ -98,8 +98,8 @@
     open();
     std::vector<Client*> bad;
     for (int i = 0; i < 20; ++i) bad.push_back(&client(10ms * i, {{0ms, GetParam().text}}));
-    for (std::uint64_t i = 100; i < 120; ++i) job(10ms * static_cast<int>(i - 99), i);
-    world.run(10s);
+    for (std::uint64_t i = 100; i < 120; ++i) request(10ms * static_cast<int>(i - 99), i);
+    loop.run(10s);
     EXPECT_EQ(honoured(), 20u);
     EXPECT_EQ(runs(), 20u);
     for (const Client* each : bad) {
@@ -113,9 +113,9 @@
 TEST_F(PlatformTest, AnOpenIdUnderAnotherBodyIsNotTaken) {
     peer(), peer();
     open();
-    job(10ms, 5);
+    request(10ms, 5);
     Client& other = client(15ms, {{0ms, message(1, job_fields(hex16(5), hex16(0xf)), "other")}});
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(honoured(), 1u);
     EXPECT_EQ(runs(), 1u);
     EXPECT_EQ(other.answer(1).status(), "400");
@@ -134,7 +134,7 @@
     const std::vector<std::string> bad{"", "a,b", "a=b", "a b", "a\r\nSTOP 1", std::string(300, 'k')};
     std::vector<Client*> turned;
     for (std::size_t i = 0; i < bad.size(); ++i) turned.push_back(&client(20ms, {{0ms, with(10 + i, bad[i])}}));
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(good.answer(1).body(), Peer::body_for(hex16(1)));
     std::size_t attempts = 0;
     for (const auto& each : peers)
@@ -156,7 +156,7 @@
         fields[2].second = left;
         all.push_back(&client(10ms, {{0ms, message(1, fields, "work")}}));
     }
-    world.run(2s);
+    loop.run(2s);
     for (Client* each : all) EXPECT_EQ(each->answer(1).status(), "503");
     EXPECT_EQ(runs(), 0u);
 }
@@ -167,7 +167,7 @@
     open();
     const std::string second = message(1, job_fields(hex16(2), hex16(0xf)));
     Client& one = client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(a.stops.size() + b.stops.size(), 1u);
     EXPECT_EQ(one.answer(1).times, 2);  // one for each
     EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(2)));
@@ -184,7 +184,7 @@
         }
         client(10ms, {{0ms, text + back}});
     }
-    world.run(10s);
+    loop.run(10s);
     const auto status = host->gateway().status();
     EXPECT_EQ(status.at("jobs").at("open").to_number<int>(), 0);
     EXPECT_EQ(status.at("door").at("held_bytes").to_number<int>(), 0);
@@ -196,8 +196,8 @@
     std::string text;
     for (int i = 1; i <= 4000; ++i) text += record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}, {"FCGI_MAX_REQS", ""}}));
     client(10ms, {{0ms, text}}, false);
-    for (std::uint64_t i = 1; i <= 20; ++i) job(50ms * static_cast<int>(i), i);
-    world.run(15s);
+    for (std::uint64_t i = 1; i <= 20; ++i) request(50ms * static_cast<int>(i), i);
+    loop.run(15s);
     EXPECT_EQ(honoured(), 20u);
     EXPECT_EQ(host->gateway().status().at("door").at("connections").to_number<int>(), 0);
 }
@@ -207,8 +207,8 @@
     peer(), peer();
     open();
     for (int i = 0; i < 400; ++i) client(10ms, {});
-    for (std::uint64_t i = 1; i <= 20; ++i) job(100ms + 10ms * static_cast<int>(i), i);
-    world.run(10s);
+    for (std::uint64_t i = 1; i <= 20; ++i) request(100ms + 10ms * static_cast<int>(i), i);
+    loop.run(10s);
     EXPECT_EQ(honoured(), 20u);
 }
 
@@ -216,67 +216,67 @@
 
 TEST_F(PlatformTest, OfAListOverTheBoundOnlySoManyInvokersAreTakenUp) {
     most_invokers = 4;
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open();
     peer(), peer();
-    world.run(100ms);
+    loop.run(100ms);
     std::vector<Row> rows;
     for (std::uint32_t i = 3; i < 50; ++i) rows.push_back({i, "10.0.0." + std::to_string(i)});
     board.say(frame(2, 2, rows));
-    world.run(1s);
-    const auto invokers = [&] { return host->gateway().believed().size(); };
+    loop.run(1s);
+    const auto invokers = [&] { return host->gateway().estimates().size(); };
     EXPECT_EQ(invokers(), 4u);
-    for (int i = 0; i < 5; ++i) job(1s + i * 100ms, static_cast<std::uint64_t>(i) + 1);
+    for (int i = 0; i < 5; ++i) request(1s + i * 100ms, static_cast<std::uint64_t>(i) + 1);
     // Two leave; once they are let go, others are taken up when they are told of again.
     board.say(frame(3, 2, {{3, "10.0.0.3", 7001, 2}, {4, "10.0.0.4", 7001, 2}}));
-    world.run(12s);
+    loop.run(12s);
     board.say(frame(4, 2, {{5, "10.0.0.5"}, {6, "10.0.0.6"}, {7, "10.0.0.7"}}));
-    world.run(13s);
+    loop.run(13s);
     EXPECT_EQ(invokers(), 4u);
     EXPECT_EQ(honoured(), 5u) << "what is known serves on";
 }
 
 TEST_F(PlatformTest, TheBoardIsFollowedThroughRepeatsGapsBreaksAndSilence) {
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open();
-    world.run(500ms);
+    loop.run(500ms);
     ASSERT_EQ(board.asked.size(), 1u);
     EXPECT_EQ(board.asked[0].second, 1u);
     board.last = 2;
     const std::string second = frame(2, 2, {{3, "10.0.0.3"}});
     board.say(second + second);  // told twice
-    world.run(600ms);
-    EXPECT_EQ(host->watch().last(), 2u);
+    loop.run(600ms);
+    EXPECT_EQ(host->watcher().last(), 2u);
     board.say(frame(4, 2, {{4, "10.0.0.4"}}));  // the third is missing
-    world.run(1s);
+    loop.run(1s);
     ASSERT_EQ(board.asked.size(), 2u);
     EXPECT_EQ(board.asked[1].second, 2u);
     board.last = 4;
     board.say(frame(3, 2, {{3, "10.0.0.3", 7001, 2}}) + frame(4, 2, {{4, "10.0.0.4"}}).substr(0, 20));
-    world.run(1100ms);
+    loop.run(1100ms);
     board.stream->close();  // in the middle of an event
-    world.run(1500ms);
+    loop.run(1500ms);
     ASSERT_EQ(board.asked.size(), 3u);
     EXPECT_EQ(board.asked[2].second, 3u);
     board.beats = false;  // stays open and says nothing more
-    const Time silent_since = world.now();
-    world.run(silent_since + 3s);
+    const Time silent_since = loop.now();
+    loop.run(silent_since + 3s);
     ASSERT_GE(board.asked.size(), 4u);
     EXPECT_LE(board.asked[3].first - silent_since, 3s);
     board.say(frame(9, 1, {{9, "10.0.0.9"}}));  // a whole list makes good what was missed
-    world.run(world.now() + 100ms);
-    EXPECT_EQ(host->watch().last(), 9u);
+    loop.run(loop.now() + 100ms);
+    EXPECT_EQ(host->watcher().last(), 9u);
 }
 
 TEST_F(PlatformTest, ABrokenFrameMeansToAskAgain) {
     for (const std::string& bad : {std::string("\xff\xff\xff\xff", 4), big(3, 4), big(9, 4) + big(2, 8) + "\5", big(12, 4) + big(2, 8) + "\2abc"}) {
-        net::MemoryWorld own;
+        net::SimulatedEventLoop own;
         Noticeboard board(own, "10.9.0.1");
-        Config told = read_config(file_of(plain_config));
-        told.charter.log.file = "/dev/null";
-        Log quiet(own, told.charter.log);
-        discovery::Watch it(own, quiet, told.places, told.discovery, 1, [](const discovery::Event&) {}, 7);
-        it.follow();
+        PlatformConfig told = load_platform_config(file_of(plain_config));
+        told.gateway.log.file = "/dev/null";
+        Log quiet(own, told.gateway.log);
+        discovery::Watcher it(own, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, 7);
+        it.start();
         own.run(500ms);
         board.say(bad);
         own.run(1s);
@@ -285,14 +285,14 @@
 }
 
 TEST_F(PlatformTest, ANewConfigurationMovesToTheBoardsNewAddress) {
-    Noticeboard old(world, "10.9.0.1"), fresh(world, "10.9.0.2");
+    Noticeboard old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
     open();
-    world.run(500ms);
+    loop.run(500ms);
     old.last = 2;
     old.say(frame(2, 2, {{3, "10.0.0.3"}}));
-    world.run(600ms);
-    host->reconfigured(read_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2"))));
-    world.run(800ms);
+    loop.run(600ms);
+    host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2"))));
+    loop.run(800ms);
     ASSERT_EQ(fresh.asked.size(), 1u);
     EXPECT_EQ(fresh.asked[0].second, 2u);
     EXPECT_EQ(old.asked.size(), 1u);
@@ -303,12 +303,12 @@
 TEST_F(PlatformTest, ADrainingInvokerIsSentNothingNewAndOneAtAReusedAddressStartsAfresh) {
     Peer& a = peer();
     Peer& b = peer();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open();
-    for (std::uint64_t i = 1; i <= 300; ++i) job(10ms * static_cast<int>(i), i, hex16(i % 7 + (i > 220 ? 10 : 0)));
-    world.at(1s, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
-    world.at(2s, [&] { board.say(frame(board.last = 3, 2, {{1, "10.0.0.1", 7001, 2}, {3, "10.0.0.1"}})); });
-    world.run(8s);
+    for (std::uint64_t i = 1; i <= 300; ++i) request(10ms * static_cast<int>(i), i, hex16(i % 7 + (i > 220 ? 10 : 0)));
+    loop.call_at(1s, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
+    loop.call_at(2s, [&] { board.say(frame(board.last = 3, 2, {{1, "10.0.0.1", 7001, 2}, {3, "10.0.0.1"}})); });
+    loop.run(8s);
     EXPECT_EQ(honoured(), 300u);
     int drained = 0, later = 0;
     for (const auto& [at, id] : a.runs) {
@@ -325,15 +325,15 @@
     Peer& b = peer();
     a.takes = b.takes = 100ms;
     open();
-    for (std::uint64_t i = 1; i <= 160; ++i) job(10ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 160; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
     Time ended{};
-    world.at(1s, [&] { host->end([&] { ended = world.now(); }); });
-    world.run(10s);
+    loop.call_at(1s, [&] { host->shut_down([&] { ended = loop.now(); }); });
+    loop.run(10s);
     EXPECT_EQ(honoured(), 160u);  // the last 0.6 s after the word
     EXPECT_GE(ended, 1800ms);
     EXPECT_LT(ended, 4s);
-    Client& late = client(world.now() + 10ms, {});
-    world.run(world.now() + 1s);
+    Client& late = client(loop.now() + 10ms, {});
+    loop.run(loop.now() + 1s);
     EXPECT_NE(late.ended, Time::max());  // nobody listens any more
 }
 
@@ -341,11 +341,11 @@
 TEST_F(PlatformTest, AfterARestartAColdInvokerStaysWithinItsBudget) {
     peer(), peer();
     open(replaced(plain_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)", R"("state":"up","capacity_hint":5,"boot_ms":1},)"));
-    for (std::uint64_t i = 1; i <= 100; ++i) job(5ms * static_cast<int>(i), i, hex16(i));
-    world.run(120ms);
+    for (std::uint64_t i = 1; i <= 100; ++i) request(5ms * static_cast<int>(i), i, hex16(i));
+    loop.run(120ms);
     EXPECT_LE(peers[0]->runs.size(), 1u);
     EXPECT_GE(peers[1]->runs.size(), 10u);
-    world.run(10s);
+    loop.run(10s);
     EXPECT_GE(honoured(), 90u);
 }
 
@@ -360,19 +360,19 @@
 TEST(Connecting, OnlyARefusalOrSilenceSaysThatNobodyIsThere) {
     namespace error = net::asio::error;
     for (const net::Error& nobody : {net::Error(error::connection_refused), net::Error(error::timed_out), net::Error(error::host_unreachable)})
-        EXPECT_EQ(Causes::cause_of(nobody), proof::Cause::no_connection);
+        EXPECT_EQ(Causes::cause_of(nobody), delivery::StopCause::no_connection);
     for (const net::Error& here : {net::Error(error::connection_reset), net::Error(error::no_descriptors), net::Error(error::broken_pipe),
                                    net::Error(error::no_buffer_space), net::Error(error::operation_aborted), net::Error(error::network_unreachable)}) {
-        EXPECT_EQ(Causes::cause_of(here), proof::Cause::connection_broke);
-        EXPECT_EQ(proof::ending_of(proof::Reached::nothing_connected, Causes::cause_of(here)), Ending::never_sent);
+        EXPECT_EQ(Causes::cause_of(here), delivery::StopCause::connection_lost);
+        EXPECT_EQ(delivery::outcome_of(delivery::Progress::not_connected, Causes::cause_of(here)), AttemptOutcome::never_sent);
     }
 }
 
 TEST(PlatformConfig, AnErrorNamesFileAndField) {
     const auto why = [](const std::string& text) -> std::string {
         try {
-            read_config(file_of(text));
-        } catch (const settings::Fault& fault) {
+            load_platform_config(file_of(text));
+        } catch (const platform_settings::SettingsError& fault) {
             return fault.what();
         }
         return "";
@@ -394,8 +394,8 @@
     }
     EXPECT_NE([] {
         try {
-            read_config("/nowhere/config.json");
-        } catch (const settings::Fault& fault) {
+            load_platform_config("/nowhere/config.json");
+        } catch (const platform_settings::SettingsError& fault) {
             return std::string(fault.what());
         }
         return std::string();
@@ -405,7 +405,7 @@
 // Every field in turn is missing, of another kind, or absurd: the file is turned down with its name, or the controller
 // runs with it and answers.
 TEST(PlatformConfig, AForeignFieldIsNamedOrDoesNoHarm) {
-    using settings::json;
+    using platform_settings::json;
     const json plain = json::parse(plain_config);
     std::vector<json::json_pointer> fields;
     const std::function<void(const json&, const json::json_pointer&)> walk = [&](const json& at, const json::json_pointer& path) {
@@ -427,10 +427,10 @@
                 if (parent.is_array()) continue;
                 parent.erase(field.back());
             }
-            Config config;
+            PlatformConfig config;
             try {
-                config = read_config(file_of(changed.dump()));
-            } catch (const settings::Fault& fault) {
+                config = load_platform_config(file_of(changed.dump()));
+            } catch (const platform_settings::SettingsError& fault) {
                 ++named;
                 EXPECT_NE(std::string(fault.what()).find(config_file()), std::string::npos);
                 continue;
@@ -439,15 +439,15 @@
                 continue;
             }
             ++run;
-            net::MemoryWorld world;
-            config.charter.log.file = "/dev/null";
-            Log log(world, config.charter.log);
-            Host host(world, config, log);
+            net::SimulatedEventLoop loop;
+            config.gateway.log.file = "/dev/null";
+            Log log(loop, config.gateway.log);
+            PlatformServer host(loop, config, log);
             if (host.open()) continue;
-            Client client(world, 10ms, {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") + message(2, {{"SCRIPT_NAME", "/_health"}})}});
-            world.run(200ms);
-            host.reconfigured(config);
-            world.run(400ms);
+            Client client(loop, 10ms, {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") + message(2, {{"SCRIPT_NAME", "/_health"}})}});
+            loop.run(200ms);
+            host.reconfigure(config);
+            loop.run(400ms);
         }
     }
     EXPECT_GT(named, 200);
@@ -456,26 +456,26 @@
 
 TEST(PlatformConfig, AListOverTheBoundIsNamedAtTheStart) {
     std::string targets;
-    for (std::size_t i = 0; i <= discovery::most_records; ++i)
+    for (std::size_t i = 0; i <= discovery::max_records; ++i)
         targets += (i ? "," : "") + fmt::format(R"({{"uid":"s-{:08x}","endpoint":"10.{}.{}.{}:7001","state":"up"}})", i, i >> 16, i >> 8 & 255, i & 255);
     std::string text = plain_config;
     const auto from = text.find("\"targets\":[") + 11, to = text.find("]}}]}", from);
     text.replace(from, to - from, targets);
     try {
-        read_config(file_of(text));
+        load_platform_config(file_of(text));
         FAIL() << "it was read";
-    } catch (const settings::Fault& fault) {
+    } catch (const platform_settings::SettingsError& fault) {
         EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known' names 20001 invokers; 20000 at most"), std::string::npos) << fault.what();
     }
 }
 
 TEST(PlatformConfig, BoundsFollowFromTheLimits) {
-    const Config config = read_config(file_of(plain_config));
-    EXPECT_LE(config.charter.admission.connections + config.charter.pool.most_all, 256u);
-    EXPECT_GE(config.charter.admission.connections, 256u / 3);  // clients hold a third at the most
-    EXPECT_LT(config.charter.admission.memory_bytes, 48u * 1024 * 1024 / 4);
+    const PlatformConfig config = load_platform_config(file_of(plain_config));
+    EXPECT_LE(config.gateway.admission.max_connections + config.gateway.pool.max_total_connections, 256u);
+    EXPECT_GE(config.gateway.admission.max_connections, 256u / 3);  // clients hold a third at the most
+    EXPECT_LT(config.gateway.admission.max_memory_bytes, 48u * 1024 * 1024 / 4);
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(config.known_to, 1u);
+    EXPECT_EQ(config.last_known_event, 1u);
 }
 
 }  // namespace
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -7,10 +7,10 @@
 
 #include <fstream>
 
-#include "net/memory.hpp"
-#include "platform/host.hpp"
-#include "settings/fields.hpp"
-#include "stand/platform_bytes.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "platform/platform_server.hpp"
+#include "platform_settings/fields.hpp"
+#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::platform {
 
@@ -52,7 +52,7 @@
 
 // An invoker as a test scripts it: what it does with its nth hop; the last holds for all further ones.
 struct Peer {
-    net::World& world;
+    net::EventLoop& loop;
     std::shared_ptr<net::Listener> listener;
     std::vector<Does> script;
     Time takes = 20ms;
@@ -63,9 +63,9 @@
     std::vector<std::string> stops, odd, lines;  // `lines`: those of the runs
     int connections{}, open{};
 
-    Peer(net::World& w, const std::string& host, std::vector<Does> does)
-        : world(w), listener(w.listen({host, 7001}).listener), script(std::move(does)) {
-        world.spawn(accept());
+    Peer(net::EventLoop& w, const std::string& host, std::vector<Does> does)
+        : loop(w), listener(w.listen({host, 7001}).listener), script(std::move(does)) {
+        loop.spawn(accept());
     }
     static std::string body_for(const std::string& id) { return "made for " + id; }
     std::string answer_body;  // where not that
@@ -77,13 +77,13 @@
             ++connections;
             ++open;
             streams.push_back(accepted.stream);
-            world.spawn(talk(accepted.stream));
+            loop.spawn(talk(accepted.stream));
         }
     }
     Task<> talk(std::shared_ptr<net::Stream> stream) {
         std::string got;
         std::vector<char> room(4096);
-        if (reads_from > world.now()) co_await world.sleep(reads_from - world.now());
+        if (reads_from > loop.now()) co_await loop.sleep(reads_from - loop.now());
         for (;;) {
             const auto moved = co_await stream->read(net::asio::buffer(room));
             if (moved.error) break;
@@ -99,8 +99,8 @@
                     got.erase(0, end + 2 + length + 2);
                     const std::string id = line.substr(4, line.find(' ', 4) - 4);
                     const Does does = script[std::min(runs.size(), script.size() - 1)];
-                    runs.emplace_back(world.now(), id);
-                    world.spawn(answer(stream, id, does));
+                    runs.emplace_back(loop.now(), id);
+                    loop.spawn(answer(stream, id, does));
                     continue;
                 }
                 got.erase(0, end + 2);
@@ -120,7 +120,7 @@
         stream->write_now({&whole, 1});
     }
     Task<> answer(std::shared_ptr<net::Stream> stream, std::string id, Does does) {
-        co_await world.sleep(takes);
+        co_await loop.sleep(takes);
         const std::string body = answer_body.empty() ? body_for(id) : answer_body, head = id + " data n=reused " + std::to_string(body.size()) + "\r\n";
         const std::string good = head + body + "\r\n";
         switch (does) {
@@ -130,7 +130,7 @@
             case Does::short_body: put(stream, id + " data n=reused 4\r\n" + body + "\r\n"); break;
             case Does::long_body: put(stream, id + " data n=reused 90\r\n" + body + "\r\n" + good); break;
             case Does::huge: put(stream, id + " data n=reused 3000000000\r\n" + std::string(4000, 'h')); break;
-            case Does::cuts: put(stream, good.substr(0, good.size() - 4)); co_await world.sleep(1ms); stream->close(); break;
+            case Does::cuts: put(stream, good.substr(0, good.size() - 4)); co_await loop.sleep(1ms); stream->close(); break;
             case Does::resets: stream->reset(); break;
             case Does::half: put(stream, good.substr(0, good.size() / 2)); break;
             case Does::twice: put(stream, good + good); break;
@@ -139,7 +139,7 @@
             case Does::full: put(stream, id + " full - 0\r\n\r\n"); break;
             case Does::full_twice:  // the second some milliseconds late
                 put(stream, id + " full peers_in=1 0\r\n\r\n");
-                co_await world.sleep(3ms);
+                co_await loop.sleep(3ms);
                 put(stream, id + " full peers_in=1 0\r\n\r\n");
                 break;
             case Does::errs: put(stream, id + " failed - 0\r\n\r\n"); break;
@@ -149,39 +149,39 @@
 
 // A web server's connection: sends texts at their times and reads all that comes.
 struct Client {
-    net::World& world;
+    net::EventLoop& loop;
     std::string got;
     Time connected{}, last{}, ended = Time::max();
     std::shared_ptr<net::Stream> stream;
 
     const net::Address front;
 
-    Client(net::World& w, Time when, std::vector<std::pair<Time, std::string>> texts, bool reads = true, net::Address at = {"10.1.0.1", 7001})
-        : world(w), front(std::move(at)) {
-        world.spawn(run(when, std::move(texts), reads));
+    Client(net::EventLoop& w, Time when, std::vector<std::pair<Time, std::string>> texts, bool reads = true, net::Address at = {"10.1.0.1", 7001})
+        : loop(w), front(std::move(at)) {
+        loop.spawn(run(when, std::move(texts), reads));
     }
     Task<> run(Time when, std::vector<std::pair<Time, std::string>> texts, bool reads) {
-        co_await world.sleep(when - world.now());
-        auto result = co_await world.connect(front, 1s);
+        co_await loop.sleep(when - loop.now());
+        auto result = co_await loop.connect(front, 1s);
         if (result.error) {
-            ended = world.now();
+            ended = loop.now();
             co_return;
         }
         stream = result.stream;
-        connected = world.now();
-        const auto outbox = std::make_shared<net::Outbox>(world, stream);
+        connected = loop.now();
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
         for (auto& [after, text] : texts)
-            world.at(connected + after, [outbox, text] { outbox->send(text); });
+            loop.call_at(connected + after, [write_queue, text] { write_queue->send(text); });
         if (!reads) co_return;  // what it says still leaves
         std::vector<char> room(4096);
         for (;;) {
             const auto moved = co_await stream->read(net::asio::buffer(room));
             if (moved.error) break;
-            last = world.now();
+            last = loop.now();
             got.append(room.data(), moved.bytes);
         }
-        ended = world.now();
-        outbox->abandon();
+        ended = loop.now();
+        write_queue->abandon();
         stream->close();
     }
     Ended answer(int number) const {
@@ -194,7 +194,7 @@
 
 // The notice board: notes what it is asked for, and sends what the test tells it.
 struct Noticeboard {
-    net::World& world;
+    net::EventLoop& loop;
     std::shared_ptr<net::Listener> listener;
     std::vector<std::pair<Time, std::uint64_t>> asked;
     std::shared_ptr<net::Stream> stream;
@@ -203,9 +203,9 @@
     bool beats = true;
     Time speaks_after{};  // a connection has come up; until then it is one of a crowd
 
-    Noticeboard(net::World& w, const std::string& host) : world(w), listener(w.listen({host, 2379}).listener) {
-        world.spawn(accept());
-        world.spawn(beat());
+    Noticeboard(net::EventLoop& w, const std::string& host) : loop(w), listener(w.listen({host, 2379}).listener) {
+        loop.spawn(accept());
+        loop.spawn(beat());
     }
     Task<> accept() {
         for (;;) {
@@ -220,8 +220,8 @@
             }
             std::uint64_t number = 0;
             for (const char c : got) number = number << 8 | static_cast<unsigned char>(c);
-            asked.emplace_back(world.now(), number);
-            world.at(world.now() + speaks_after, [this, it = accepted.stream] {
+            asked.emplace_back(loop.now(), number);
+            loop.call_at(loop.now() + speaks_after, [this, it = accepted.stream] {
                 stream = it;
                 held.push_back(it);
             });
@@ -229,7 +229,7 @@
     }
     Task<> beat() {
         for (;;) {
-            co_await world.sleep(1s);
+            co_await loop.sleep(1s);
             if (beats) say(frame(last, 0));
         }
     }
@@ -240,13 +240,13 @@
 
 class PlatformTest : public testing::Test {
 protected:
-    explicit PlatformTest(Time latency = 100us, std::size_t room = 64 * 1024) : world(latency, room) {}
+    explicit PlatformTest(Time latency = 100us, std::size_t room = 64 * 1024) : loop(latency, room) {}
     void open(const std::string& text = plain_config) {
-        config = read_config(file_of(text));
-        config.charter.log.file = "/dev/null";
-        config.charter.pool.most_invokers = most_invokers;
-        log = std::make_unique<Log>(world, config.charter.log);
-        host = std::make_unique<Host>(world, config, *log, [this](const trace::Record& r) {
+        config = load_platform_config(file_of(text));
+        config.gateway.log.file = "/dev/null";
+        config.gateway.pool.max_invokers = most_invokers;
+        log = std::make_unique<Log>(loop, config.gateway.log);
+        host = std::make_unique<PlatformServer>(loop, config, *log, [this](const trace::Record& r) {
             trace.push_back(r);
             if (on_record) on_record(r);
         });
@@ -254,13 +254,13 @@
     }
     Peer& peer(std::vector<Does> does = {Does::answers}) {
         const std::string at = "10.0.0." + std::to_string(peers.size() + 1);
-        return *peers.emplace_back(std::make_unique<Peer>(world, at, std::move(does)));
+        return *peers.emplace_back(std::make_unique<Peer>(loop, at, std::move(does)));
     }
     Client& client(Time when, std::vector<std::pair<Time, std::string>> texts, bool reads = true) {
-        return *clients.emplace_back(std::make_unique<Client>(world, when, std::move(texts), reads));
+        return *clients.emplace_back(std::make_unique<Client>(loop, when, std::move(texts), reads));
     }
     // A job of its own connection, which every test may expect to be honoured.
-    void job(Time when, std::uint64_t id, const std::string& key = hex16(0xf)) {
+    void request(Time when, std::uint64_t id, const std::string& key = hex16(0xf)) {
         Client& it = client(when, {{0ms, message(1, job_fields(hex16(id), key), "work")}});
         well.emplace_back(hex16(id), &it);
     }
@@ -284,18 +284,18 @@
         for (const auto& each : clients) EXPECT_TRUE(answers(each->got));
         const auto broken = host ? host->gateway().status().at("invariants_broken").as_object() : boost::json::object();
         EXPECT_TRUE(broken.empty()) << boost::json::serialize(broken);
-        trace::Again again;
+        trace::Replayer again;
         for (const trace::Record& each : trace) again.feed(each);
         EXPECT_EQ(again.compare().different_calls, 0u);
     }
 
     std::vector<trace::Record> trace;
     std::function<void(const trace::Record&)> on_record;  // while a call of the module is told
-    net::MemoryWorld world;
-    Config config;
-    std::size_t most_invokers = Charter{}.pool.most_invokers;
+    net::SimulatedEventLoop loop;
+    PlatformConfig config;
+    std::size_t most_invokers = GatewayConfig{}.pool.max_invokers;
     std::unique_ptr<Log> log;
-    std::unique_ptr<Host> host;
+    std::unique_ptr<PlatformServer> host;
     std::vector<std::unique_ptr<Peer>> peers;
     std::vector<std::unique_ptr<Client>> clients;
     std::vector<std::pair<std::string, Client*>> well;
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <thread>
 
-#include "net/real.hpp"
-#include "stand/faults/fault_plan.hpp"
-#include "stand/faults/process.hpp"
+#include "net/socket_event_loop.hpp"
+#include "emulator/faults/fault_plan.hpp"
+#include "emulator/faults/process.hpp"
 #include "tests/platform_world.hpp"
 
 namespace plumkeel::platform {
@@ -52,17 +52,17 @@
                                                {faults::plan_variable, plan.path()}});
     }
     Peer& peer(int last, std::vector<Does> does = {Does::answers}) {
-        return *peers.emplace_back(std::make_unique<Peer>(world, host(last), std::move(does)));
+        return *peers.emplace_back(std::make_unique<Peer>(loop, host(last), std::move(does)));
     }
     // Moments are counted from when the program was first ready.
     Client& client(Time when, std::vector<std::pair<Time, std::string>> texts) {
         return *clients.emplace_back(
-            std::make_unique<Client>(world, ready + when, std::move(texts), true, net::Address{host(1), 7001}));
+            std::make_unique<Client>(loop, ready + when, std::move(texts), true, net::Address{host(1), 7001}));
     }
-    void at(Time when, std::function<void()> what) { world.at(ready + when, std::move(what)); }
+    void at(Time when, std::function<void()> what) { loop.call_at(ready + when, std::move(what)); }
     void run(Time until) {
-        at(until, [this] { world.stop(); });
-        world.run();
+        at(until, [this] { loop.stop(); });
+        loop.run();
     }
     void TearDown() override {
         for (const auto& each : clients)
@@ -95,11 +95,11 @@
             if (!up) std::this_thread::sleep_for(10ms);
         }
         ASSERT_TRUE(up);
-        if (ready == Time{}) ready = world.now();
+        if (ready == Time{}) ready = loop.now();
     }
 
     faults::PlanFile plan;
-    net::RealWorld world;
+    net::SocketEventLoop loop;
     Time ready{};
     std::unique_ptr<faults::Process> process;
     std::vector<std::unique_ptr<Peer>> peers;
@@ -279,7 +279,7 @@
 // goes on, and takes the new one up.
 TEST_F(ProcessFaultsTest, ANewConfigurationDuringTheStartDoesNotEndIt) {
     const std::string old = long_config();
-    Noticeboard board(world, host(9)), moved(world, host(10));
+    Noticeboard board(loop, host(9)), moved(loop, host(10));
     peer(11), peer(12);
     for (int i = 0; i < 12; ++i) {
         start(old);
@@ -290,7 +290,7 @@
         std::filesystem::rename(fresh, config_file());
         process->signal(SIGHUP);
         const std::size_t before = moved.asked.size();
-        run(world.now() - ready + 600ms);
+        run(loop.now() - ready + 600ms);
         ASSERT_FALSE(process->ended()) << "ended by signal " << process->ended()->code << ", told " << after_ms
                                        << " ms after its start";
         EXPECT_GT(moved.asked.size(), before) << "told " << after_ms << " ms after its start";
@@ -435,7 +435,7 @@
             Peer::put(all[i - 1]->stream, message(1, job_fields(hex16(i), hex16(i % 3))));
             for (Peer* each : {&a, &b})
                 for (const auto& stream : std::exchange(each->streams, {})) stream->close();
-            world.at(world.now() + 5ms, [&] { process->signal(SIGCONT); });
+            loop.call_at(loop.now() + 5ms, [&] { process->signal(SIGCONT); });
         });
     run(5s);
     std::size_t served = 0;
@@ -453,30 +453,30 @@
     for (const auto& [from, to] : std::map<std::string, std::string>{
              {"10.1.0.1", own(1)}, {"10.9.0.1", own(9)}, {"10.0.0.1", own(11)}, {"10.0.0.2", own(12)}})
         text = replaced(text, from, to);
-    Config config = read_config(file_of(text));
-    config.charter.log.file = "/dev/null";
-    net::RealWorld world;
-    Log log(world, config.charter.log);
-    Peer a(world, own(11), {Does::answers}), b(world, own(12), {Does::answers});
-    auto host = std::make_unique<Host>(world, config, log);
+    PlatformConfig config = load_platform_config(file_of(text));
+    config.gateway.log.file = "/dev/null";
+    net::SocketEventLoop loop;
+    Log log(loop, config.gateway.log);
+    Peer a(loop, own(11), {Does::answers}), b(loop, own(12), {Does::answers});
+    auto host = std::make_unique<PlatformServer>(loop, config, log);
     ASSERT_FALSE(host->open());
     const auto work = [&](Time span) {
-        const Time until = world.now() + span;
-        while (world.now() < until) {
+        const Time until = loop.now() + span;
+        while (loop.now() < until) {
         }
     };
     for (int i = 0; i < 90; ++i) {
-        world.at(400ms + 50ms * i, [&] { work(42ms); });
-        for (int k = 1; k < 40; ++k) world.at(400ms + 50ms * i + 1ms * k, [&] { work(100us); });
+        loop.call_at(400ms + 50ms * i, [&] { work(42ms); });
+        for (int k = 1; k < 40; ++k) loop.call_at(400ms + 50ms * i + 1ms * k, [&] { work(100us); });
     }
     std::vector<std::unique_ptr<Client>> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
         all.push_back(std::make_unique<Client>(
-            world, 1s + 10ms * static_cast<int>(i),
+            loop, 1s + 10ms * static_cast<int>(i),
             std::vector<std::pair<Time, std::string>>{{0ms, message(1, job_fields(hex16(i), hex16(i), 2900))}}, true,
             net::Address{own(1), 7001}));
-    world.at(5s, [&] { world.stop(); });
-    world.run();
+    loop.call_at(5s, [&] { loop.stop(); });
+    loop.run();
     std::size_t answered = 0;
     for (const auto& each : all) answered += each->answer(1).times == 1;
     EXPECT_EQ(answered, 10u);
@@ -486,20 +486,20 @@
 
 // Connecting never ends in the turn in which it was begun: what is put on the connection meanwhile learns of its end.
 TEST(Connecting, ToWhatIsNoAddressFailsInALaterTurn) {
-    net::RealWorld world;
+    net::SocketEventLoop loop;
     bool returned = false, in_time = true;
     const net::Address nowhere{"not an address", 1};
     const auto connect = [&]() -> Task<> {
-        const auto connected = co_await world.connect(nowhere, 1s);
+        const auto connected = co_await loop.connect(nowhere, 1s);
         EXPECT_TRUE(connected.error);
         in_time = !returned;
     };
-    world.at(world.now(), [&] {
-        world.spawn(connect());
+    loop.call_at(loop.now(), [&] {
+        loop.spawn(connect());
         returned = true;
-        world.at(world.now() + 10ms, [&] { world.stop(); });
+        loop.call_at(loop.now() + 10ms, [&] { loop.stop(); });
     });
-    world.run();
+    loop.run();
     EXPECT_FALSE(in_time);
 }
 
--- a/tests/promql_test.cpp
+++ b/tests/promql_test.cpp
@@ -4,7 +4,7 @@
 #include <bit>
 #include <cmath>
 
-#include "stand/promql.hpp"
+#include "emulator/promql.hpp"
 
 namespace plumkeel::promql {
 namespace {
--- a/tests/rare_events_test.cpp
+++ b/tests/rare_events_test.cpp
@@ -29,7 +29,7 @@
     only.takes = 200ms;
     open(patient());
     Client& one = client(10ms, {{0ms, request_text(1, 1, "work")}, {50ms, "\x07 this is not a record at all"}});
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(one.answer(1).times, 1);
     EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(1)));
     EXPECT_LT(one.ended, 2s);
@@ -54,9 +54,9 @@
     for (int i = 0; i < 8; ++i) client(20ms, {{0ms, halves(32, 15'000)}});
     for (int i = 0; i < 60; ++i) client(100ms, {{0ms, halves(1, 8'000)}});
     const std::string second = request_text(2, 1002, std::string(12'000, 'w'));
-    world.at(300ms, [&] { Peer::put(good.stream, second.substr(0, 9'000)); });
-    world.at(320ms, [&] { Peer::put(good.stream, second.substr(9'000)); });
-    world.run(5s);
+    loop.call_at(300ms, [&] { Peer::put(good.stream, second.substr(0, 9'000)); });
+    loop.call_at(320ms, [&] { Peer::put(good.stream, second.substr(9'000)); });
+    loop.run(5s);
     EXPECT_EQ(good.answer(1).times, 1);
     EXPECT_EQ(good.answer(1).status(), "200");
     EXPECT_EQ(good.answer(2).times, 1);
@@ -73,7 +73,7 @@
         texts.emplace_back(100ms * i, message(2, job_fields(hex16(1), hex16(1)), std::string(36'000, 'b'), 8000));
     texts.emplace_back(650ms, request_text(1, 1, "work"));
     Client& one = client(10ms, texts);
-    world.run(5s);
+    loop.run(5s);
     EXPECT_EQ(one.answer(1).times, 1);
     EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(1)));
 }
@@ -85,12 +85,12 @@
 TEST_F(PlatformTest, AnAttemptOfWhichAPartHasLeftDoesNotBeginLongAfterItsClientWent) {
     Peer& only = peer();
     only.reads_from = 500ms;
-    world.narrow({"10.0.0.1", 7001}, 2000);
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open(patient());
     Client& gone = client(10ms, {{0ms, request_text(1, 1, std::string(16'000, 'x'))}});
     Client& stays = client(20ms, {{0ms, request_text(1, 2, "work")}});
-    world.at(60ms, [&] { gone.stream->close(); });
-    world.run(5s);
+    loop.call_at(60ms, [&] { gone.stream->close(); });
+    loop.run(5s);
     for (const auto& [at, id] : only.runs) EXPECT_NE(id, hex16(1)) << "began at " << at.count() << " us";
     EXPECT_EQ(stays.answer(1).status(), "200");
 }
@@ -99,10 +99,10 @@
 TEST_F(PlatformTest, AnAttemptThatStoodInAFullSocketTellsNoMoreTimeThanItsClientHas) {
     Peer& only = peer();
     only.reads_from = 500ms;
-    world.narrow({"10.0.0.1", 7001}, 2000);
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open(patient());
     client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000), std::string(16'000, 'x'))}});
-    world.run(8s);
+    loop.run(8s);
     ASSERT_EQ(only.runs.size(), only.lines.size());
     for (std::size_t i = 0; i < only.runs.size(); ++i) {
         const int patience = std::stoi(only.lines[i].substr(only.lines[i].find("patience=") + 9));
@@ -114,13 +114,13 @@
 // list has changed. The second answer is not one to the second attempt, which runs: a third would take effect twice.
 TEST_F(PlatformTest, ASecondAnswerIsNotTakenForThatOfTheNextAttempt) {
     Peer& only = peer({Does::answers, Does::full_twice, Does::answers});
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open(replaced(patient(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
     const std::string function = hex16(7);
     client(10ms, {{0ms, message(1, job_fields(hex16(1), function, 60000))}});
     client(100ms, {{0ms, message(1, job_fields(hex16(2), function, 60000))}});
-    world.at(122ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1"}})); });
-    world.run(5s);
+    loop.call_at(122ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1"}})); });
+    loop.run(5s);
     ASSERT_GE(only.runs.size(), 3u);
     EXPECT_LT(only.runs[2].first, 124ms);  // else the two answers did not come round the second attempt
     EXPECT_EQ(only.runs.size(), 3u);
@@ -134,15 +134,15 @@
     peer(), peer();
     open(replaced(plain_config, R"("cold":1000.0)", R"("cold":16000.0)"));
     const auto fail = [&](net::Error error) {
-        for (const char* each : {"10.0.0.1", "10.0.0.2"}) world.fail_connects({each, 7001}, error);
+        for (const char* each : {"10.0.0.1", "10.0.0.2"}) loop.fail_connects({each, 7001}, error);
     };
     fail(net::asio::error::network_unreachable);
-    for (std::uint64_t i = 1; i <= 20; ++i) job(10ms * static_cast<int>(i), i, hex16(i));
-    world.at(400ms, [&] { fail({}); });
-    for (std::uint64_t i = 21; i <= 60; ++i) job(1s + 50ms * static_cast<int>(i), i, hex16(i));
-    world.run(2s);
-    for (const auto& row : host->gateway().believed()) EXPECT_FALSE(row.as_object().contains("cold"));
-    world.run(10s);
+    for (std::uint64_t i = 1; i <= 20; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
+    loop.call_at(400ms, [&] { fail({}); });
+    for (std::uint64_t i = 21; i <= 60; ++i) request(1s + 50ms * static_cast<int>(i), i, hex16(i));
+    loop.run(2s);
+    for (const auto& row : host->gateway().estimates()) EXPECT_FALSE(row.as_object().contains("cold"));
+    loop.run(10s);
     EXPECT_GE(honoured(), 40u);
 }
 
@@ -154,10 +154,10 @@
     Client& one = client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000))}});
     bool paused = false;
     on_record = [&](const trace::Record& record) {
-        if (record.job == 0 || std::exchange(paused, true)) return;
-        world.stand_still(1s);
+        if (record.request == 0 || std::exchange(paused, true)) return;
+        loop.stall(1s);
     };
-    world.run(5s);
+    loop.run(5s);
     ASSERT_TRUE(paused);
     ASSERT_EQ(only.lines.size(), 1u);
     const int patience = std::stoi(only.lines[0].substr(only.lines[0].find("patience=") + 9));
@@ -171,45 +171,45 @@
 // is never told of anything.
 TEST_F(PlatformTest, ACrowdedDiscoveryIsHeardInTheEnd) {
     peer(), peer();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     board.speaks_after = 2500ms;
     open();
-    world.run(12s);
-    EXPECT_TRUE(host->watch().told_at());
+    loop.run(12s);
+    EXPECT_TRUE(host->watcher().confirmed_at());
     EXPECT_LE(board.asked.size(), 3u);
 }
 
 // The address of discovery moves at every instant of losing it, pausing and connecting anew: the new one is asked soon.
 TEST_F(PlatformTest, ANewAddressOfDiscoveryIsTakenUpAtEveryInstantOfAReconnect) {
-    Config told = read_config(file_of(plain_config));
-    told.charter.log.file = "/dev/null";
-    Log quiet(world, told.charter.log);
-    auto old = std::make_unique<Noticeboard>(world, "10.9.0.1");
-    std::vector<std::unique_ptr<discovery::Watch>> all;
+    PlatformConfig told = load_platform_config(file_of(plain_config));
+    told.gateway.log.file = "/dev/null";
+    Log quiet(loop, told.gateway.log);
+    auto old = std::make_unique<Noticeboard>(loop, "10.9.0.1");
+    std::vector<std::unique_ptr<discovery::Watcher>> all;
     std::vector<std::optional<Time>> told_after_move(160);
     for (std::uint64_t i = 0; i < told_after_move.size(); ++i) {
-        all.push_back(std::make_unique<discovery::Watch>(
-            world, quiet, told.places, told.discovery, 1, [](const discovery::Event&) {}, i + 1));
-        all.back()->follow();
+        all.push_back(std::make_unique<discovery::Watcher>(
+            loop, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, i + 1));
+        all.back()->start();
     }
-    Noticeboard fresh(world, "10.9.0.2");
-    world.at(1s, [&] {
+    Noticeboard fresh(loop, "10.9.0.2");
+    loop.call_at(1s, [&] {
         old->listener->close();
         for (const auto& stream : old->held) stream->close();
     });
     for (std::size_t i = 0; i < all.size(); ++i) {
         const Time moves = 900ms + 20ms * static_cast<int>(i) + 50us * static_cast<int>(i % 7);
-        world.at(moves, [&, i] { all[i]->move_to({"10.9.0.2", 2379}); });
-        world.at(moves + 1200ms, [&, i] { told_after_move[i] = all[i]->told_at(); });
+        loop.call_at(moves, [&, i] { all[i]->set_address({"10.9.0.2", 2379}); });
+        loop.call_at(moves + 1200ms, [&, i] { told_after_move[i] = all[i]->confirmed_at(); });
     }
-    world.at(1ms, [&] { fresh.beats = false; });
+    loop.call_at(1ms, [&] { fresh.beats = false; });
     // It says something to each as it comes.
     std::function<void()> greet = [&] {
         for (const auto& stream : fresh.held) Peer::put(stream, frame(1, 0));
-        if (world.now() < 8s) world.at(world.now() + 50ms, greet);
+        if (loop.now() < 8s) loop.call_at(loop.now() + 50ms, greet);
     };
     greet();
-    world.run(8s);
+    loop.run(8s);
     EXPECT_GE(fresh.asked.size(), all.size());
     for (std::size_t i = 0; i < all.size(); ++i) {
         const Time moves = 900ms + 20ms * static_cast<int>(i);
--- a/tests/recorder_test.cpp
+++ b/tests/recorder_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/memory_file.hpp"
 #include "tests/toy_trace.hpp"
-#include "trace/calls.hpp"
+#include "trace/recording_scheduler.hpp"
 #include "trace/recorder.hpp"
 
 namespace plumkeel::trace {
@@ -37,7 +37,7 @@
             const std::size_t taken = std::min(bytes.size(), disk.room);
             disk.files[name] += bytes.substr(0, taken);  // what still fits is written, torn
             if (disk.room != SIZE_MAX) disk.room -= taken;
-            if (taken < bytes.size()) throw Fault(name + ": no space left");
+            if (taken < bytes.size()) throw TraceError(name + ": no space left");
         }
     };
     MakeSink maker() {
@@ -76,8 +76,8 @@
     return out;
 }
 
-RecorderRules rules() {
-    RecorderRules out;
+RecorderConfig rules() {
+    RecorderConfig out;
     out.folder = testing::TempDir() + "plumkeel_recorder_" + std::to_string(::getpid());
     return out;
 }
@@ -89,8 +89,8 @@
 bool names_known(const std::vector<Record>& records) {
     std::set<std::uint64_t> functions;
     for (const Record& each : records) {
-        if (each.kind == Told::function_known) functions.insert(unpack<Known>(each.body).number);
-        if (each.kind == Told::take && !functions.count(unpack<Taken>(each.body).function)) return false;
+        if (each.type == RecordType::function_known) functions.insert(unpack<NameRecord>(each.body).number);
+        if (each.type == RecordType::submit && !functions.count(unpack<RequestSubmitted>(each.body).function)) return false;
     }
     return true;
 }
@@ -99,11 +99,11 @@
 // once, and the trace goes on behind a gap, with all names.
 TEST(Recorder, AStalledDiskCostsAGapAndNoWait) {
     ToyPlay play;
-    play.jobs = 2000;
+    play.requests = 2000;
     const auto records = toy_trace(play);
     Disk disk;
-    RecorderRules small = rules();
-    small.memory_bytes = 200'000;
+    RecorderConfig small = rules();
+    small.max_memory_bytes = 200'000;
     std::uint64_t dropped = 0;
     {
         Recorder recorder(small, "c", Time(5), disk.maker());
@@ -125,18 +125,18 @@
     ASSERT_EQ(files.size(), 1u);
     std::uint64_t told = 0, calls = 0;
     for (const Record& each : files[0]) {
-        if (each.kind == Told::gap) told += unpack<Gap>(each.body).records;
-        calls += each.kind >= Told::take;
+        if (each.type == RecordType::gap) told += unpack<Gap>(each.body).records;
+        calls += each.type >= RecordType::submit;
     }
     EXPECT_EQ(told, dropped);
     EXPECT_GT(calls, 0u);
     EXPECT_TRUE(names_known(files[0]));
-    Again again;
+    Replayer again;
     EXPECT_THROW(
         {
             for (const Record& each : files[0]) again.feed(each);
         },
-        Fault);
+        TraceError);
     EXPECT_FALSE(again.compare().first);
 }
 
@@ -164,7 +164,7 @@
     for (const auto& file : read_all(disk)) {
         EXPECT_TRUE(names_known(file));
         for (const Record& each : file)
-            if (each.kind == Told::gap) told += unpack<Gap>(each.body).records;
+            if (each.type == RecordType::gap) told += unpack<Gap>(each.body).records;
     }
     EXPECT_EQ(told, dropped);
 }
@@ -172,33 +172,33 @@
 TEST(Recorder, AFileIsBegunAnewForItsAgeAndEachDecidesOnFromTheLast) {
     const auto records = toy_trace({});
     Disk disk;
-    RecorderRules aged = rules();
-    aged.file_for = 1s;
+    RecorderConfig aged = rules();
+    aged.max_file_age = 1s;
     {
         Recorder recorder(aged, "c", Time(5), disk.maker());
         for (const Record& each : records) {
             recorder.offer(each);
-            if (each.kind == Told::wake) recorder.flush();
+            if (each.type == RecordType::wake) recorder.flush();
         }
     }
     const auto files = read_all(disk);
     EXPECT_GE(files.size(), 3u);  // about 4.5 s
-    Again again;
+    Replayer again;
     for (const auto& file : files)
         for (const Record& each : file) again.feed(each);
     EXPECT_FALSE(again.compare().first);
-    EXPECT_EQ(again.compare().jobs, 400u);
+    EXPECT_EQ(again.compare().requests, 400u);
     for (std::size_t i = 1; i < files.size(); ++i) {
-        EXPECT_EQ(files[i].front().kind, Told::resumed);
+        EXPECT_EQ(files[i].front().type, RecordType::resumed);
         EXPECT_TRUE(names_known(files[i]));
     }
 }
 
 TEST(Recorder, FilesAreRemovedForTheirAge) {
-    RecorderRules aged = rules();
+    RecorderConfig aged = rules();
     std::filesystem::remove_all(aged.folder);
-    aged.file_bytes = 1;  // each batch has its own
-    aged.keep_for = 60s;
+    aged.max_file_bytes = 1;  // each batch has its own
+    aged.max_age = 60s;
     const Time begun = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
     {
         Recorder recorder(aged, "c", begun);
@@ -218,46 +218,46 @@
     std::map<std::uint64_t, bool> out;
     std::map<std::uint64_t, Time> late;
     for (const Record& each : records) {
-        if (each.kind == Told::take) {
-            const auto told = unpack<Taken>(each.body);
-            late[each.job] = each.at + (told.use_case == 0 ? Time(1s) : Time(800ms));
-            out[each.job] = true;
+        if (each.type == RecordType::submit) {
+            const auto told = unpack<RequestSubmitted>(each.body);
+            late[each.request] = each.at + (told.request_class == 0 ? Time(1s) : Time(800ms));
+            out[each.request] = true;
         }
-        if (each.kind == Told::turned)
-            if (const auto told = unpack<TurnedTo>(each.body); told.to >= JobState::honoured)
-                out[each.job] = told.to != JobState::honoured || each.at > late[each.job];
+        if (each.type == RecordType::transition)
+            if (const auto told = unpack<TransitionRecord>(each.body); told.to >= RequestState::succeeded)
+                out[each.request] = told.to != RequestState::succeeded || each.at > late[each.request];
     }
     return out;
 }
 
 TEST(Sampler, KeepsAllThatEndedBadlyAndItsPartOfTheRest) {
     ToyPlay play;
-    play.jobs = 3000;
+    play.requests = 3000;
     const auto records = toy_trace(play);
     std::map<std::uint64_t, std::size_t> whole, kept;
     for (const Record& each : records)
-        if (each.job && each.kind != Told::answered) ++whole[each.job];
+        if (each.request && each.type != RecordType::actions) ++whole[each.request];
     Sampler sampler(0.1, 1'000'000);
     Time last{};
     const auto emit = [&](const Record& record) {
         EXPECT_GE(record.at, last);  // the file's order
         last = record.at;
-        if (record.kind == Told::story) kept[record.job] = unpack<Story>(record.body).records.size();
-        EXPECT_TRUE(record.kind == Told::story || record.job == 0);
-        EXPECT_NE(record.kind, Told::answered);
+        if (record.type == RecordType::sampled_request) kept[record.request] = unpack<SampledRequest>(record.body).records.size();
+        EXPECT_TRUE(record.type == RecordType::sampled_request || record.request == 0);
+        EXPECT_NE(record.type, RecordType::actions);
     };
     for (const Record& each : records) sampler.feed(each, emit);
     sampler.finish(emit);
     std::size_t bad = 0, good = 0;
-    for (const auto& [job, badly] : ended_badly(records)) {
+    for (const auto& [request, badly] : ended_badly(records)) {
         if (badly) {
             ++bad;
-            EXPECT_TRUE(kept.count(job)) << job;
+            EXPECT_TRUE(kept.count(request)) << request;
         } else {
-            good += kept.count(job);
+            good += kept.count(request);
         }
     }
-    for (const auto& [job, n] : kept) EXPECT_EQ(n, whole[job]) << job;
+    for (const auto& [request, n] : kept) EXPECT_EQ(n, whole[request]) << request;
     EXPECT_GT(bad, 50u);
     const double rest = static_cast<double>(good) / static_cast<double>(3000 - bad);
     EXPECT_GT(rest, 0.07);
@@ -268,10 +268,10 @@
     Sampler sampler(0, 1000);
     std::vector<std::uint64_t> told;
     const auto emit = [&](const Record& record) {
-        if (record.kind == Told::story) told.push_back(record.job);
+        if (record.type == RecordType::sampled_request) told.push_back(record.request);
     };
-    for (std::uint64_t job = 1; job <= 100; ++job)
-        sampler.feed({Time(job), Told::take, job, pack(Taken{0, 0, 0, 1, {}, 4s, false})}, emit);
+    for (std::uint64_t request = 1; request <= 100; ++request)
+        sampler.feed({Time(request), RecordType::submit, request, pack(RequestSubmitted{0, 0, 0, 1, {}, 4s, false})}, emit);
     ASSERT_GT(told.size(), 50u);
     EXPECT_EQ(told.front(), 1u);
     sampler.finish(emit);
--- a/tests/remote_test.cpp
+++ b/tests/remote_test.cpp
@@ -11,12 +11,12 @@
 #include <filesystem>
 #include <limits>
 
-#include "net/memory.hpp"
-#include "net/real.hpp"
-#include "remote/sender.hpp"
-#include "stand/receiver.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "net/socket_event_loop.hpp"
+#include "remote_write/sender.hpp"
+#include "emulator/receiver.hpp"
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 namespace {
 
 using namespace std::chrono_literals;
@@ -24,66 +24,66 @@
 // ---------------------------------------------------------------- the pacer
 
 TEST(Pacer, TroubleMakesPausesGrowAndBatchesSmall) {
-    Pacer pacer({}, 7);
+    SendController pacer({}, 7);
     Time now{};
     Time last{};
     for (int i = 0; i < 12; ++i) {
-        const auto leave = pacer.ask(now, 1000);
+        const auto leave = pacer.request(now, 1000);
         ASSERT_GT(leave.samples, 0u) << i;
         EXPECT_LE(leave.samples, 200u);
-        pacer.sent(now, leave.samples);
-        EXPECT_EQ(pacer.ask(now, 1000).samples, 0u);  // one lane only
-        pacer.answered(now, Heard::later, 10ms, {});
-        const auto next = pacer.ask(now, 1000);
+        pacer.on_sent(now, leave.samples);
+        EXPECT_EQ(pacer.request(now, 1000).samples, 0u);  // one lane only
+        pacer.on_result(now, SendResult::retryable, 10ms, {});
+        const auto next = pacer.request(now, 1000);
         EXPECT_EQ(next.samples, 0u);
-        last = next.again - now;
+        last = next.retry_at - now;
         const double nominal = std::min(30.0, 0.2 * std::pow(2, i));
         EXPECT_GE(static_cast<double>(last.count()) / 1e6, nominal * 0.5) << i;
         EXPECT_LE(static_cast<double>(last.count()) / 1e6, nominal * 1.5) << i;
-        now = next.again + 2s;  // allowance gathers again
+        now = next.retry_at + 2s;  // allowance gathers again
     }
 }
 
 TEST(Pacer, RetryAfterIsKept) {
-    Pacer pacer({}, 7);
-    pacer.sent(Time{}, 200);
-    pacer.answered(Time{}, Heard::later, 10ms, Time(17s));
-    EXPECT_EQ(pacer.ask(1s, 1000).again, Time(17s));
-    EXPECT_GT(pacer.ask(17s, 1000).samples, 0u);
+    SendController pacer({}, 7);
+    pacer.on_sent(Time{}, 200);
+    pacer.on_result(Time{}, SendResult::retryable, 10ms, Time(17s));
+    EXPECT_EQ(pacer.request(1s, 1000).retry_at, Time(17s));
+    EXPECT_GT(pacer.request(17s, 1000).samples, 0u);
 }
 
 TEST(Pacer, ItWidensStepByStepAndASlowReceiverHalvesIt) {
-    Pacer pacer({}, 7);
+    SendController pacer({}, 7);
     Time now{};
-    EXPECT_EQ(pacer.width(), 1);
+    EXPECT_EQ(pacer.concurrency(), 1);
     for (int i = 0; i < 20; ++i) {
         now += 1s;
-        pacer.sent(now, 1);
-        pacer.answered(now, Heard::taken, 10ms, {});
-        EXPECT_LE(pacer.width(), 4);
+        pacer.on_sent(now, 1);
+        pacer.on_result(now, SendResult::accepted, 10ms, {});
+        EXPECT_LE(pacer.concurrency(), 4);
     }
-    EXPECT_EQ(pacer.width(), 4);
-    pacer.sent(now, 1);
-    pacer.answered(now, Heard::taken, 5s, {});
-    EXPECT_EQ(pacer.width(), 2);
-    pacer.sent(now, 1);
-    pacer.answered(now, Heard::lost, 10s, {});
-    EXPECT_EQ(pacer.width(), 1);
+    EXPECT_EQ(pacer.concurrency(), 4);
+    pacer.on_sent(now, 1);
+    pacer.on_result(now, SendResult::accepted, 5s, {});
+    EXPECT_EQ(pacer.concurrency(), 2);
+    pacer.on_sent(now, 1);
+    pacer.on_result(now, SendResult::unknown, 10s, {});
+    EXPECT_EQ(pacer.concurrency(), 1);
 }
 
 TEST(Pacer, ABacklogIsWorkedOffAtAMultipleOfTheInflow) {
-    Pacer pacer({}, 7);
+    SendController pacer({}, 7);
     Time now{};
     double sent = 0;
     while (now < 100s) {
-        const auto leave = pacer.ask(now, 1000);
+        const auto leave = pacer.request(now, 1000);
         if (leave.samples == 0) {
-            now = leave.again;
+            now = leave.retry_at;
             continue;
         }
-        pacer.sent(now, leave.samples);
+        pacer.on_sent(now, leave.samples);
         sent += static_cast<double>(leave.samples);
-        pacer.answered(now, Heard::taken, 1ms, {});
+        pacer.on_result(now, SendResult::accepted, 1ms, {});
     }
     EXPECT_NEAR(sent, 4 * 1000 * 100, 4 * 1000 * 100 * 0.05);
 }
@@ -101,7 +101,7 @@
     family.metric.resize(1);
     family.metric[0].label = {{"zone", "a"}, {"empty", ""}};
     family.metric[0].histogram = {3, 4.5, {{2, 0.5}, {3, std::numeric_limits<double>::infinity()}}};
-    const auto samples = flat({family});
+    const auto samples = flatten({family});
     ASSERT_EQ(samples.size(), 4u);
     EXPECT_EQ(samples[0].labels, (Labels{{"__name__", "h_bucket"}, {"le", "0.5"}, {"zone", "a"}}));
     EXPECT_EQ(samples[1].labels[1].second, "+Inf");
@@ -129,14 +129,14 @@
 }
 
 TEST(Series, ASeriesThatEndsGetsItsMarkOnce) {
-    Scraper scraper(1);
-    EXPECT_EQ(scraper.scrape({sample("m", 1, 5), sample("m", 2, 6)}, 1000)[0].samples, 2u);
-    const auto second = scraper.scrape({sample("m", 1, 7)}, 2000);
+    SeriesEncoder scraper(1);
+    EXPECT_EQ(scraper.encode({sample("m", 1, 5), sample("m", 2, 6)}, 1000)[0].samples, 2u);
+    const auto second = scraper.encode({sample("m", 1, 7)}, 2000);
     EXPECT_EQ(second[0].samples, 2u);
-    const double mark = stale_mark();
+    const double mark = stale_marker();
     EXPECT_NE(second[0].bytes.find(std::string(reinterpret_cast<const char*>(&mark), sizeof mark)), std::string::npos);
-    EXPECT_EQ(scraper.scrape({sample("m", 1, 8)}, 3000)[0].samples, 1u);
-    EXPECT_EQ(scraper.end(4000)[0].samples, 1u);
+    EXPECT_EQ(scraper.encode({sample("m", 1, 8)}, 3000)[0].samples, 1u);
+    EXPECT_EQ(scraper.encode_end(4000)[0].samples, 1u);
     EXPECT_EQ(scraper.series(), 0u);
 }
 
@@ -147,29 +147,29 @@
     SpoolTest() {
         rules.folder = testing::TempDir() + "plumkeel_spool_" + std::to_string(::getpid());
         std::filesystem::remove_all(rules.folder);
-        rules.parts = 2;
+        rules.shards = 2;
     }
     ~SpoolTest() override { std::filesystem::remove_all(rules.folder); }
-    static std::vector<Part> parts_of(Scraper& scraper, int series, std::int64_t at, double value) {
+    static std::vector<Shard> parts_of(SeriesEncoder& scraper, int series, std::int64_t at, double value) {
         std::vector<Sample> samples;
         for (int i = 0; i < series; ++i) samples.push_back(sample("m", i, value));
-        return scraper.scrape(samples, at);
+        return scraper.encode(samples, at);
     }
-    SpoolRules rules;
+    QueueConfig rules;
 };
 
 TEST_F(SpoolTest, WhatWasAppendedAndEachPlaceOutliveTheProcess) {
-    Scraper scraper(2);
-    Spool::Batch before;
+    SeriesEncoder scraper(2);
+    DurableQueue::Batch before;
     {
-        Spool spool(rules, {"a", "b"});
+        DurableQueue spool(rules, {"a", "b"});
         for (int i = 0; i < 10; ++i) spool.append(1000 * i, parts_of(scraper, 20, 1000 * i, i));
         before = spool.read("a", 0, 25);
         EXPECT_GT(before.samples, 0u);
         EXPECT_LE(before.samples, 25u);
         spool.advance("a", 0, before.next);
     }
-    Spool spool(rules, {"a", "b"});
+    DurableQueue spool(rules, {"a", "b"});
     EXPECT_EQ(spool.end(), 10u);
     EXPECT_EQ(spool.waiting("a"), 200u - before.samples);
     EXPECT_EQ(spool.waiting("b"), 200u);
@@ -178,8 +178,8 @@
 }
 
 TEST_F(SpoolTest, WhatAllHaveTakenIsLetGo) {
-    Scraper scraper(2);
-    Spool spool(rules, {"a", "b"});
+    SeriesEncoder scraper(2);
+    DurableQueue spool(rules, {"a", "b"});
     for (int i = 0; i < 10; ++i) spool.append(1000 * i, parts_of(scraper, 20, 1000 * i, i));
     for (const char* name : {"a", "b"})
         for (int part = 0; part < 2; ++part) spool.advance(name, part, spool.end());
@@ -188,11 +188,11 @@
 }
 
 TEST_F(SpoolTest, PastItsBoundsTheOldestIsDroppedAndCounted) {
-    Scraper scraper(2);
-    rules.bytes = 20'000;
+    SeriesEncoder scraper(2);
+    rules.max_bytes = 20'000;
     std::uint64_t dropped = 0;
     {
-        Spool spool(rules, {"a"});
+        DurableQueue spool(rules, {"a"});
         for (int i = 0; i < 200; ++i) {
             spool.append(1000 * i, parts_of(scraper, 50, 1000 * i, i * 1.7));
             EXPECT_LE(spool.bytes(), 20'000u);
@@ -202,33 +202,33 @@
         EXPECT_EQ(spool.waiting("a") + dropped, 200u * 50);
         EXPECT_GT(spool.read("a", 0, 1).oldest_ms, 100'000);
     }
-    EXPECT_EQ(Spool(rules, {"a"}).dropped(), dropped);
-    rules.age = 10s;
-    Spool spool(rules, {"a"});
+    EXPECT_EQ(DurableQueue(rules, {"a"}).dropped(), dropped);
+    rules.max_age = 10s;
+    DurableQueue spool(rules, {"a"});
     spool.append(1'000'000, parts_of(scraper, 50, 1'000'000, 1));
     EXPECT_EQ(spool.waiting("a"), 50u);
 }
 
 TEST_F(SpoolTest, AnotherNumberOfPartsIsTakenOnlyOnceNothingWaits) {
-    Scraper scraper(2);
+    SeriesEncoder scraper(2);
     {
-        Spool spool(rules, {"a"});
+        DurableQueue spool(rules, {"a"});
         spool.append(1000, parts_of(scraper, 20, 1000, 1));
     }
-    SpoolRules more = rules;
-    more.parts = 3;
+    QueueConfig more = rules;
+    more.shards = 3;
     try {
-        Spool spool(more, {"a"});
+        DurableQueue spool(more, {"a"});
         FAIL();
-    } catch (const SpoolFault& fault) {
+    } catch (const QueueError& fault) {
         EXPECT_NE(std::string(fault.what()).find("holds samples in 2 parts"), std::string::npos);
     }
     {
-        Spool spool(rules, {"a"});
+        DurableQueue spool(rules, {"a"});
         EXPECT_EQ(spool.newest_ms(), 1000);
         for (int part = 0; part < 2; ++part) spool.advance("a", part, spool.end());
     }
-    EXPECT_EQ(Spool(more, {"a"}).newest_ms(), 1000);
+    EXPECT_EQ(DurableQueue(more, {"a"}).newest_ms(), 1000);
 }
 
 // Ten times killed at some moment: whatever append() had said is on disk is there.
@@ -240,8 +240,8 @@
         ASSERT_EQ(::pipe(ends), 0);
         const pid_t child = ::fork();
         if (child == 0) {
-            Spool spool(rules, {"a"});
-            Scraper scraper(2);
+            DurableQueue spool(rules, {"a"});
+            SeriesEncoder scraper(2);
             for (std::int64_t i = 1;; ++i) {
                 spool.append(at + i, parts_of(scraper, 10, at + i, 1));
                 const std::uint64_t end = spool.end();
@@ -260,7 +260,7 @@
         while (::read(ends[0], &end, sizeof end) == sizeof end) told = end;
         ::close(ends[0]);
         ::waitpid(child, nullptr, 0);
-        Spool spool(rules, {"a"});
+        DurableQueue spool(rules, {"a"});
         EXPECT_GE(spool.end(), told);
         EXPECT_LE(spool.end(), told + 1);
         at += 1000;
@@ -272,31 +272,31 @@
 class SenderTest : public SpoolTest {
 protected:
     static constexpr int parts = 4, series = 300;
-    SenderTest() : receiver(world, world.listen({"127.0.0.1", 9090}).listener) {
-        rules.parts = parts;
+    SenderTest() : receiver(loop, loop.listen({"127.0.0.1", 9090}).listener) {
+        rules.shards = parts;
         wanted.name = "r";
         wanted.address = "127.0.0.1:9090";
-        wanted.within = 2s;
+        wanted.timeout = 2s;
     }
     void begin() {
-        spool = std::make_unique<Spool>(rules, std::vector<std::string>{"r"});
-        sender = std::make_unique<Sender>(world, wanted, *spool, parts, 3,
+        spool = std::make_unique<DurableQueue>(rules, std::vector<std::string>{"r"});
+        sender = std::make_unique<Sender>(loop, wanted, *spool, parts, 3,
                                           [this](const std::string& kind, const std::string&) { ++notices[kind]; });
         sender->start();
     }
     // One scrape a second.
     void scrape_for(int seconds) {
         for (int i = 0; i < seconds; ++i) {
-            world.run(world.now() + 1s);
+            loop.run(loop.now() + 1s);
             std::vector<Sample> samples;
             for (int n = 0; n < series; ++n) samples.push_back(sample("m", n, scraped * 10.0 + n));
             ++scraped;
-            spool->append(scraped * 1000, scraper.scrape(samples, scraped * 1000));
-            sender->tell(series);
+            spool->append(scraped * 1000, scraper.encode(samples, scraped * 1000));
+            sender->notify(series);
         }
     }
     void expect_all() {
-        world.run(world.now() + 3s);  // the last scrape
+        loop.run(loop.now() + 3s);  // the last scrape
         for (const std::string& each : receiver.breaches()) ADD_FAILURE() << each;
         ASSERT_EQ(receiver.series().size(), static_cast<std::size_t>(series));
         for (const auto& [labels, points] : receiver.series()) {
@@ -305,22 +305,22 @@
         }
     }
 
-    net::MemoryWorld world;
-    stand::WriteReceiver receiver;
-    ReceiverRules wanted;
-    Scraper scraper{parts};
-    std::unique_ptr<Spool> spool;
+    net::SimulatedEventLoop loop;
+    emulator::WriteReceiver receiver;
+    ReceiverConfig wanted;
+    SeriesEncoder scraper{parts};
+    std::unique_ptr<DurableQueue> spool;
     std::unique_ptr<Sender> sender;
     std::map<std::string, int> notices;
     std::int64_t scraped = 0;
 };
 
-using Mood = stand::WriteReceiver::Mood;
+using Mood = emulator::WriteReceiver::Mood;
 
 TEST_F(SenderTest, EverySampleArrivesInOrder) {
     begin();
     scrape_for(30);
-    world.run(world.now() + 5s);
+    loop.run(loop.now() + 5s);
     expect_all();
     EXPECT_EQ(receiver.repeated(), 0u);
     EXPECT_EQ(spool->bytes(), 0u);
@@ -337,14 +337,14 @@
     ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &before), 0);
     const rlimit none{0, before.rlim_max};
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &none), 0);
-    EXPECT_THROW(spool->append(99'000, scraper.scrape({sample("m", 0, 1)}, 99'000)), SpoolFault);
-    sender->tell(series);
-    world.run(world.now() + 30s);
+    EXPECT_THROW(spool->append(99'000, scraper.encode({sample("m", 0, 1)}, 99'000)), QueueError);
+    sender->notify(series);
+    loop.run(loop.now() + 30s);
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &before), 0);
     EXPECT_EQ(receiver.samples(), 5u * series);
     EXPECT_EQ(receiver.repeated(), 0u);
     EXPECT_GE(notices["spool_broken"], 1);
-    EXPECT_NO_THROW(spool->append(100'000, scraper.scrape({sample("m", 0, 2)}, 100'000)));  // and it works again
+    EXPECT_NO_THROW(spool->append(100'000, scraper.encode({sample("m", 0, 2)}, 100'000)));  // and it works again
     EXPECT_TRUE(receiver.breaches().empty());
 }
 
@@ -352,11 +352,11 @@
 TEST_F(SenderTest, PartsWithoutSeriesHoldNothingUp) {
     begin();
     for (int i = 1; i <= 20; ++i) {
-        world.run(world.now() + 1s);
-        spool->append(i * 1000, scraper.scrape({sample("m", 1, i)}, i * 1000));
-        sender->tell(1);
+        loop.run(loop.now() + 1s);
+        spool->append(i * 1000, scraper.encode({sample("m", 1, i)}, i * 1000));
+        sender->notify(1);
     }
-    world.run(world.now() + 3s);
+    loop.run(loop.now() + 3s);
     EXPECT_EQ(receiver.samples(), 20u);
     EXPECT_EQ(spool->bytes(), 0u);
 }
@@ -367,7 +367,7 @@
     receiver.be(Mood::stalls);
     scrape_for(60);
     receiver.be(Mood::takes);
-    const Time back = world.now();
+    const Time back = loop.now();
     scrape_for(90);
     expect_all();
     // The rate while catching up is 4 times the inflow, give or take what was saved up.
@@ -404,9 +404,9 @@
     begin();
     receiver.be(Mood::status, 400);
     scrape_for(10);
-    world.run(world.now() + 5s);
-    EXPECT_EQ(sender->counts().never, 10u * series);
-    EXPECT_EQ(sender->counts().again, 0u);
+    loop.run(loop.now() + 5s);
+    EXPECT_EQ(sender->counts().rejected, 10u * series);
+    EXPECT_EQ(sender->counts().resent, 0u);
     EXPECT_EQ(notices["receiver_turns_down"], 1);
     EXPECT_EQ(spool->bytes(), 0u);
 }
@@ -415,13 +415,13 @@
     begin();
     receiver.be(Mood::status, 429, "7");
     scrape_for(1);
-    world.run(world.now() + 1s);
+    loop.run(loop.now() + 1s);
     const auto before = receiver.questions();
     EXPECT_LE(before, 4u);
-    world.run(world.now() + 5s);
+    loop.run(loop.now() + 5s);
     EXPECT_EQ(receiver.questions(), before);
     receiver.be(Mood::takes);
-    world.run(world.now() + 10s);
+    loop.run(loop.now() + 10s);
     expect_all();
 }
 
@@ -443,13 +443,13 @@
     EXPECT_GE(waiting, 20u * series);
     sender.reset();  // its coroutines wait in a world that is not run any more
     spool.reset();
-    net::MemoryWorld second;
-    stand::WriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
-    Spool reopened(rules, {"r"});
+    net::SimulatedEventLoop second;
+    emulator::WriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
+    DurableQueue reopened(rules, {"r"});
     EXPECT_EQ(reopened.waiting("r"), waiting);
     Sender next(second, wanted, reopened, parts, 4, [](const std::string&, const std::string&) {});
     next.start();
-    next.tell(series);
+    next.notify(series);
     second.run(second.now() + 60s);
     EXPECT_EQ(again.samples(), waiting);
     EXPECT_TRUE(again.breaches().empty());
@@ -457,27 +457,27 @@
 
 // On sockets: a process that appends and sends is killed ten times in a backlog, at some moment each.
 TEST_F(SpoolTest, KilledTenTimesInABacklogNothingIsMissingAndNothingCountsTwice) {
-    net::RealWorld world;
-    const auto listened = world.listen({"127.0.0.1", 0});
+    net::SocketEventLoop loop;
+    const auto listened = loop.listen({"127.0.0.1", 0});
     ASSERT_FALSE(listened.error);
     const std::string address = listened.listener->address().text();
-    stand::WriteReceiver receiver(world, listened.listener);
+    emulator::WriteReceiver receiver(loop, listened.listener);
     std::uint64_t dice = 5, told = 0;
     for (int round = 0; round < 11; ++round) {
         int ends[2];
         ASSERT_EQ(::pipe2(ends, O_NONBLOCK), 0);
-        receiver.be(round < 3 ? stand::WriteReceiver::Mood::status : stand::WriteReceiver::Mood::takes);
+        receiver.be(round < 3 ? emulator::WriteReceiver::Mood::status : emulator::WriteReceiver::Mood::takes);
         const pid_t child = ::fork();
         if (child == 0) {
-            net::RealWorld own;
-            Spool spool(rules, {"r"});
-            ReceiverRules wanted;
+            net::SocketEventLoop own;
+            DurableQueue spool(rules, {"r"});
+            ReceiverConfig wanted;
             wanted.name = "r";
             wanted.address = address;
-            wanted.pace.first_pause = 5ms;
-            wanted.pace.longest_pause = 20ms;
-            Sender sender(own, wanted, spool, rules.parts, 3, [](const std::string&, const std::string&) {});
-            Scraper scraper(rules.parts);
+            wanted.send_control.initial_backoff = 5ms;
+            wanted.send_control.max_backoff = 20ms;
+            Sender sender(own, wanted, spool, rules.shards, 3, [](const std::string&, const std::string&) {});
+            SeriesEncoder scraper(rules.shards);
             sender.start();
             std::function<void()> again = [&] {
                 if (round == 10) {  // the last one only sends what is left
@@ -487,8 +487,8 @@
                     spool.append(n, parts_of(scraper, 10, n, static_cast<double>(n)));
                     if (::write(ends[1], &n, sizeof n) != sizeof n) _exit(1);
                 }
-                sender.tell(5000);
-                own.at(own.now() + 2ms, again);
+                sender.notify(5000);
+                own.call_at(own.now() + 2ms, again);
             };
             again();
             own.run();
@@ -498,15 +498,15 @@
         const int status = [&] {
             int left = 0;
             if (round < 10) {
-                world.at(world.now() + 50ms + Time(dice >> 46), [&world] { world.stop(); });
-                world.run();
+                loop.call_at(loop.now() + 50ms + Time(dice >> 46), [&loop] { loop.stop(); });
+                loop.run();
                 ::kill(child, SIGKILL);
                 ::waitpid(child, &left, 0);
                 return 0;
             }
             while (::waitpid(child, &left, WNOHANG) == 0) {
-                world.at(world.now() + 10ms, [&world] { world.stop(); });
-                world.run();
+                loop.call_at(loop.now() + 10ms, [&loop] { loop.stop(); });
+                loop.run();
             }
             return left;
         }();
@@ -524,4 +524,4 @@
 }
 
 }  // namespace
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <ostream>
 
-#include "charter/reader.hpp"
+#include "config/jsonnet_reader.hpp"
 #include "scale/plan.hpp"
 #include "scale/slopes.hpp"
 
@@ -129,7 +129,7 @@
     std::string plan_fault(const std::string& text) const {
         try {
             read_plan(file(text));
-        } catch (const CharterFault& fault) {
+        } catch (const ConfigError& fault) {
             return fault.what();
         }
         return "none";
@@ -178,12 +178,12 @@
     try {
         refuse_what_does_not_fit("a case", need_of(of));
         FAIL() << "32 GB were granted";
-    } catch (const CharterFault& fault) {
+    } catch (const ConfigError& fault) {
         EXPECT_NE(std::string(fault.what()).find("would need"), std::string::npos) << fault.what();
     }
     PlatformCase many;
     many.watchers = 1'000'000;
-    EXPECT_THROW(refuse_what_does_not_fit("a case", need_of(many)), CharterFault);
+    EXPECT_THROW(refuse_what_does_not_fit("a case", need_of(many)), ConfigError);
     EXPECT_NO_THROW(refuse_what_does_not_fit("a case", need_of(DecisionCase{})));
 }
 
--- a/tests/scenarios.cpp
+++ b/tests/scenarios.cpp
@@ -29,7 +29,7 @@
 #include <set>
 #include <sstream>
 
-#include "dispatch/controller.hpp"
+#include "scheduler/scheduler.hpp"
 
 using namespace plumkeel;
 
@@ -57,49 +57,49 @@
     fail("'" + text + "' is no number");
 }
 
-const std::map<std::string, Ending> endings = {
-    {"honoured", Ending::honoured},       {"errored", Ending::errored},
-    {"turned_away", Ending::turned_away}, {"unreachable", Ending::unreachable},
-    {"never_sent", Ending::never_sent},   {"not_loaded", Ending::not_loaded},
-    {"overdue", Ending::overdue},         {"cut_off", Ending::cut_off},
-    {"called_off", Ending::called_off}};
-const std::map<std::string, Note> notes = {{"loaded", Note::stood_loaded},
-                                           {"began", Note::began_load},
-                                           {"joined", Note::joined_load},
-                                           {"broke", Note::load_broke}};
-const std::map<std::string, JobState> states = {{"fresh", JobState::fresh},
-                                                {"hopping", JobState::hopping},
-                                                {"parked", JobState::parked},
-                                                {"streaming", JobState::streaming},
-                                                {"honoured", JobState::honoured},
-                                                {"bounced", JobState::bounced},
-                                                {"written_off", JobState::written_off},
-                                                {"abandoned", JobState::abandoned}};
+const std::map<std::string, AttemptOutcome> endings = {
+    {"honoured", AttemptOutcome::succeeded},       {"errored", AttemptOutcome::failed},
+    {"turned_away", AttemptOutcome::rejected}, {"unreachable", AttemptOutcome::unreachable},
+    {"never_sent", AttemptOutcome::never_sent},   {"not_loaded", AttemptOutcome::load_failed},
+    {"overdue", AttemptOutcome::timed_out},         {"cut_off", AttemptOutcome::connection_lost},
+    {"called_off", AttemptOutcome::cancelled}};
+const std::map<std::string, LoadEvent> notes = {{"loaded", LoadEvent::was_loaded},
+                                           {"began", LoadEvent::started_load},
+                                           {"joined", LoadEvent::joined_load},
+                                           {"broke", LoadEvent::load_failed}};
+const std::map<std::string, RequestState> states = {{"fresh", RequestState::received},
+                                                {"hopping", RequestState::in_flight},
+                                                {"parked", RequestState::parked},
+                                                {"streaming", RequestState::streaming},
+                                                {"honoured", RequestState::succeeded},
+                                                {"bounced", RequestState::rejected},
+                                                {"written_off", RequestState::failed},
+                                                {"abandoned", RequestState::cancelled}};
 
-const std::map<std::string, Why> whys = {{"best_invoker", Why::best_invoker},
-                                         {"calm_copy", Why::calm_copy},
-                                         {"silent_there", Why::silent_there},
-                                         {"none_usable", Why::none_usable},
-                                         {"crowded", Why::crowded},
-                                         {"load_out", Why::load_out},
-                                         {"lanes_taken", Why::lanes_taken},
-                                         {"load_ordered", Why::load_ordered},
-                                         {"loads_rationed", Why::loads_rationed},
-                                         {"never_ran", Why::never_ran},
-                                         {"hops_used", Why::hops_used},
-                                         {"parked_long", Why::parked_long},
-                                         {"time_up", Why::time_up},
-                                         {"may_have_run", Why::may_have_run},
-                                         {"answer_came", Why::answer_came},
-                                         {"client_left", Why::client_left}};
-const std::map<std::string, Bar> bars = {{"fits", Bar::none},
-                                         {"not_ready", Bar::not_ready},
-                                         {"cold_budget", Bar::cold_budget},
-                                         {"doubted", Bar::doubted},
-                                         {"eased", Bar::eased},
-                                         {"may_not_repeat", Bar::may_not_repeat},
-                                         {"turned_away", Bar::turned_away},
-                                         {"no_room", Bar::no_room}};
+const std::map<std::string, DecisionReason> whys = {{"best_invoker", DecisionReason::best_invoker},
+                                         {"calm_copy", DecisionReason::new_replica},
+                                         {"silent_there", DecisionReason::invoker_unresponsive},
+                                         {"none_usable", DecisionReason::no_eligible_invoker},
+                                         {"crowded", DecisionReason::overloaded},
+                                         {"load_out", DecisionReason::load_in_progress},
+                                         {"lanes_taken", DecisionReason::concurrency_limit},
+                                         {"load_ordered", DecisionReason::preload_sent},
+                                         {"loads_rationed", DecisionReason::load_budget_exhausted},
+                                         {"never_ran", DecisionReason::attempt_never_ran},
+                                         {"hops_used", DecisionReason::attempts_exhausted},
+                                         {"parked_long", DecisionReason::parking_budget_exceeded},
+                                         {"time_up", DecisionReason::deadline_exceeded},
+                                         {"may_have_run", DecisionReason::may_have_run},
+                                         {"answer_came", DecisionReason::response_received},
+                                         {"client_left", DecisionReason::client_disconnected}};
+const std::map<std::string, ExclusionReason> bars = {{"fits", ExclusionReason::none},
+                                         {"not_ready", ExclusionReason::not_ready},
+                                         {"cold_budget", ExclusionReason::slow_start_budget},
+                                         {"doubted", ExclusionReason::unhealthy},
+                                         {"eased", ExclusionReason::recovery_limit},
+                                         {"may_not_repeat", ExclusionReason::not_retryable},
+                                         {"turned_away", ExclusionReason::recently_rejected},
+                                         {"no_room", ExclusionReason::no_capacity}};
 
 template <class T>
 T word(const std::map<std::string, T>& table, const std::string& text) {
@@ -109,55 +109,55 @@
 }
 
 struct Scenario {
-    Rulebook rules;
-    Allowances may;
-    UseCase use;
+    SafetyRules rules;
+    Capabilities may;
+    RequestClass use;
     Time expiry{};
     Tenant tenant;
-    Kind kind;
-    std::unique_ptr<Controller> controller;
+    InvokerType kind;
+    std::unique_ptr<Scheduler> controller;
     std::map<std::string, std::unique_ptr<Invoker>> invokers;
     std::map<std::string, std::unique_ptr<Function>> functions;
-    std::map<std::string, std::unique_ptr<Job>> jobs;
+    std::map<std::string, std::unique_ptr<Request>> requests;
     std::map<std::string, Invoker*> bound;
     Time now = ms(1), next = Time::max();
     std::vector<std::vector<std::string>> happened;
-    std::map<std::string, Turned> turned;  // each job's last
+    std::map<std::string, StateTransition> turned;  // each job's last
 
     Scenario() {
-        may.call_off = may.probe = may.second_copies = may.retry_after = may.loads_on_demand = true;
-        may.steady_units = true;
-        may.hops = 5;
-        may.controllers = 1;
+        may.cancellation = may.health_checks = may.hedging = may.retry_after = may.on_demand_loading = true;
+        may.stable_capacity = true;
+        may.max_attempts = 5;
+        may.controller_count = 1;
         may.keep_alive = ms(10000);
-        may.tick = ms(2);
-        may.longest_retry_after = ms(2000);
-        rules.cold_for = ms(10000);
-        rules.cold_share = 0.2;
-        rules.push_multiple = 2;
-        rules.push_span = ms(2000);
-        use.promised = ms(1500);
+        may.clock_resolution = ms(2);
+        may.max_retry_after = ms(2000);
+        rules.slow_start_duration = ms(10000);
+        rules.slow_start_initial_share = 0.2;
+        rules.slow_start_rate_multiple = 2;
+        rules.slow_start_window = ms(2000);
+        use.latency_target = ms(1500);
         expiry = ms(4000);
-        use.remembered = ms(5000);
+        use.deduplication_window = ms(5000);
     }
 
     void set(const std::string& key, const std::string& value) {
         const std::map<std::string, Time*> times = {
-            {"keep_alive", &may.keep_alive}, {"cold_for", &rules.cold_for},
-            {"push_span", &rules.push_span}, {"load_span", &rules.load_span},
-            {"promised", &use.promised},     {"expiry", &expiry},
-            {"remembered", &use.remembered}, {"retry_after", &may.longest_retry_after}};
+            {"keep_alive", &may.keep_alive}, {"cold_for", &rules.slow_start_duration},
+            {"push_span", &rules.slow_start_window}, {"load_span", &rules.load_budget_window},
+            {"promised", &use.latency_target},     {"expiry", &expiry},
+            {"remembered", &use.deduplication_window}, {"retry_after", &may.max_retry_after}};
         const std::map<std::string, double*> figures = {
-            {"cold_share", &rules.cold_share},    {"push_multiple", &rules.push_multiple},
-            {"free_loads", &rules.free_loads},    {"loads_per_job", &rules.loads_per_job},
-            {"share_per_s", &tenant.share_per_s}, {"memory_price", &may.memory_price},
-            {"probe_price", &may.probe_price}};
-        const std::map<std::string, bool*> flags = {{"call_off", &may.call_off},
-                                                    {"probe", &may.probe},
-                                                    {"second_copies", &may.second_copies},
-                                                    {"order_copies", &may.order_copies},
-                                                    {"loads_on_demand", &may.loads_on_demand}};
-        const std::map<std::string, int*> counts = {{"hops", &may.hops}, {"controllers", &may.controllers}};
+            {"cold_share", &rules.slow_start_initial_share},    {"push_multiple", &rules.slow_start_rate_multiple},
+            {"free_loads", &rules.load_budget_base},    {"loads_per_job", &rules.load_budget_per_request},
+            {"share_per_s", &tenant.quota_per_s}, {"memory_price", &may.memory_price},
+            {"probe_price", &may.health_check_price}};
+        const std::map<std::string, bool*> flags = {{"call_off", &may.cancellation},
+                                                    {"probe", &may.health_checks},
+                                                    {"second_copies", &may.hedging},
+                                                    {"order_copies", &may.preload},
+                                                    {"loads_on_demand", &may.on_demand_loading}};
+        const std::map<std::string, int*> counts = {{"hops", &may.max_attempts}, {"controllers", &may.controller_count}};
         if (times.count(key))
             *times.at(key) = ms(number(value));
         else if (figures.count(key))
@@ -167,53 +167,53 @@
         else if (counts.count(key))
             *counts.at(key) = static_cast<int>(number(value));
         else if (key == "repeat")
-            use.repeat = word<Repeat>({{"replayable", Repeat::replayable},
-                                       {"referenced", Repeat::referenced},
-                                       {"single_use", Repeat::single_use}},
+            use.idempotency = word<Idempotency>({{"replayable", Idempotency::idempotent},
+                                       {"referenced", Idempotency::deduplicated},
+                                       {"single_use", Idempotency::at_most_once}},
                                       value);
         else if (key == "reach")
-            use.reach = word<Reach>(
-                {{"everywhere", Reach::everywhere}, {"zone", Reach::zone}, {"cell", Reach::cell}}, value);
+            use.deduplication_scope = word<DeduplicationScope>(
+                {{"everywhere", DeduplicationScope::global}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}}, value);
         else
             fail("unknown setting '" + key + "'");
     }
 
-    Controller& it() {
+    Scheduler& it() {
         if (!controller) {
-            controller = std::make_unique<Controller>(7, rules, may);
-            controller->tell(Tell::weighed);
+            controller = std::make_unique<Scheduler>(7, rules, may);
+            controller->set_trace_detail(TraceDetail::candidates);
         }
         return *controller;
     }
 
-    void note(const Results& r) {
-        for (const Invoker* invoker : r.released) happened.push_back({"release", invoker->name});
-        for (const Hop* hop : r.called_off) happened.push_back({"off", name_of(hop->job)});
-        for (const Hop* hop : r.started) happened.push_back({"hop", name_of(hop->job), hop->invoker->name});
-        for (const Invoker* invoker : r.probed) happened.push_back({"probe", invoker->name});
-        for (const CopyOrder& order : r.ordered)
+    void note(const Actions& r) {
+        for (const Invoker* invoker : r.released_invokers) happened.push_back({"release", invoker->name});
+        for (const Attempt* attempt : r.to_cancel) happened.push_back({"off", name_of(attempt->request)});
+        for (const Attempt* attempt : r.to_send) happened.push_back({"hop", name_of(attempt->request), attempt->invoker->name});
+        for (const Invoker* invoker : r.to_probe) happened.push_back({"probe", invoker->name});
+        for (const PreloadCommand& order : r.to_preload)
             happened.push_back(
                 {order.copies ? "order" : "unload", order.function->name, order.invoker->name});
-        for (const Turned& each : r.turned) turned[name_of(each.job)] = each;
+        for (const StateTransition& each : r.transitions) turned[name_of(each.request)] = each;
         next = r.next_wake;
     }
 
     // How an invoker was weighed for a job in its last turn.
-    const Weighed* weighed(const std::string& job_name, const Invoker& there) {
-        for (const Weighed& each : turned.at(job_name).weighed)
+    const Candidate* weighed(const std::string& job_name, const Invoker& there) {
+        for (const Candidate& each : turned.at(job_name).candidates)
             if (each.invoker == &there) return &each;
         return nullptr;
     }
 
-    std::string name_of(const Job* job) const {
-        for (const auto& [name, each] : jobs)
-            if (each.get() == job) return name;
+    std::string name_of(const Request* request) const {
+        for (const auto& [name, each] : requests)
+            if (each.get() == request) return name;
         return "?";
     }
 
-    Job& job(const std::string& name) {
-        if (!jobs.count(name)) fail("no job '" + name + "'");
-        return *jobs.at(name);
+    Request& request(const std::string& name) {
+        if (!requests.count(name)) fail("no job '" + name + "'");
+        return *requests.at(name);
     }
 
     Invoker& invoker(const std::string& name) {
@@ -232,14 +232,14 @@
             std::unique_ptr<Invoker>& entry = invokers[name];
             if (!entry) entry = std::make_unique<Invoker>();
             entry->name = name;
-            entry->kind = &kind;
-            entry->units = 1;
+            entry->type = &kind;
+            entry->capacity = 1;
             entry->ready = true;
             while (std::getline(parts, part, '/')) {
                 if (part == "draining" || part == "gone")
                     entry->ready = false;
                 else if (part.rfind("started=", 0) == 0)
-                    entry->started = ms(number(part.substr(8)));
+                    entry->started_at = ms(number(part.substr(8)));
                 else if (part.rfind("zone=", 0) == 0)
                     entry->zone = part.substr(5);
                 else if (part.rfind("cell=", 0) == 0)
@@ -249,7 +249,7 @@
             }
             changed.push_back(entry.get());
         }
-        note(it().fleet_changed(now, changed, complete));
+        note(it().endpoints_changed(now, changed, complete));
     }
 
     bool matches(const std::vector<std::string>& was, const std::vector<std::string>& wanted) {
@@ -299,33 +299,33 @@
             std::unique_ptr<Function>& function = functions[w.at(2)];
             if (!function) function = std::make_unique<Function>();
             function->name = w[2];
-            function->lanes = option(w, "lanes").empty() ? 1 : static_cast<int>(number(option(w, "lanes")));
-            auto fresh = std::make_unique<Job>();
-            fresh->use_case = &use;
+            function->concurrency = option(w, "lanes").empty() ? 1 : static_cast<int>(number(option(w, "lanes")));
+            auto fresh = std::make_unique<Request>();
+            fresh->request_class = &use;
             fresh->function = function.get();
-            fresh->again = option(w, "again") == "yes";
-            fresh->time_left = option(w, "left").empty() ? expiry : ms(number(option(w, "left")));
-            if (tenant.share_per_s > 0) fresh->tenant = &tenant;
-            Job& taken = *(jobs[w.at(1)] = std::move(fresh));
-            note(it().take(now, taken));
+            fresh->is_client_retry = option(w, "again") == "yes";
+            fresh->remaining = option(w, "left").empty() ? expiry : ms(number(option(w, "left")));
+            if (tenant.quota_per_s > 0) fresh->tenant = &tenant;
+            Request& taken = *(requests[w.at(1)] = std::move(fresh));
+            note(it().submit(now, taken));
         } else if (verb == "end") {
             const auto index = static_cast<std::size_t>(number(w.at(2)));
-            if (index >= job(w.at(1)).hops.size() || !job(w[1]).hops[index].out) fail("no such hop is out");
-            Note told = Note::none;
+            if (index >= request(w.at(1)).attempts.size() || !request(w[1]).attempts[index].in_flight) fail("no such hop is out");
+            LoadEvent told = LoadEvent::none;
             if (w.size() > 4 && w[4].find('=') == std::string::npos) told = word(notes, w[4]);
-            const std::string company = option(w, "company");
-            note(it().hop_ended(now, job(w[1]).hops[index], word(endings, w.at(3)), told,
-                                company.empty() ? 0 : static_cast<int>(number(company)), {}));
+            const std::string concurrent_requests = option(w, "company");
+            note(it().attempt_ended(now, request(w[1]).attempts[index], word(endings, w.at(3)), told,
+                                concurrent_requests.empty() ? 0 : static_cast<int>(number(concurrent_requests)), {}));
         } else if (verb == "probe") {
-            Report report;
-            if (const std::string held = option(w, "held"); !held.empty()) report.held = number(held);
-            note(it().probe_answered(now, invoker(w.at(1)), w.at(2) == "ok", report));
+            LoadReport report;
+            if (const std::string held = option(w, "held"); !held.empty()) report.in_flight = number(held);
+            note(it().health_check_ended(now, invoker(w.at(1)), w.at(2) == "ok", report));
         } else if (verb == "load") {
             const std::string copies = option(w, "copies");
-            note(it().load_answered(now, *functions.at(w.at(1)), invoker(w.at(2)), word(endings, w.at(3)),
+            note(it().preload_ended(now, *functions.at(w.at(1)), invoker(w.at(2)), word(endings, w.at(3)),
                                     copies.empty() ? 0 : static_cast<int>(number(copies))));
         } else if (verb == "leave") {
-            note(it().client_left(now, job(w.at(1))));
+            note(it().client_disconnected(now, request(w.at(1))));
         } else if (verb == "to") {
             const Time until = ms(number(w.at(1)));
             if (until < now) fail("time runs backwards");
@@ -342,24 +342,24 @@
         } else if (verb == "deny") {
             if (seen(w)) fail("it did happen");
         } else if (verb == "state") {
-            if (job(w.at(1)).state != word(states, w.at(2))) {
+            if (request(w.at(1)).state != word(states, w.at(2))) {
                 for (const auto& [name, state] : states)
-                    if (state == job(w[1]).state) fail("it is " + name);
+                    if (state == request(w[1]).state) fail("it is " + name);
             }
         } else if (verb == "why") {
-            if (job(w.at(1)).why != word(whys, w.at(2)))
+            if (request(w.at(1)).reason != word(whys, w.at(2)))
                 for (const auto& [name, why] : whys)
-                    if (why == job(w[1]).why) fail("it is " + name);
+                    if (why == request(w[1]).reason) fail("it is " + name);
         } else if (verb == "weighed") {
-            const Weighed* found = weighed(w.at(1), invoker(w.at(2)));
+            const Candidate* found = weighed(w.at(1), invoker(w.at(2)));
             if (!found) fail("it was not weighed");
-            if (found->bar != word(bars, w.at(3)))
+            if (found->exclusion != word(bars, w.at(3)))
                 for (const auto& [name, bar] : bars)
-                    if (bar == found->bar) fail("it is " + name);
-            if (found->bar == Bar::none && !(found->finish > 0 && found->wait >= 0)) fail("without an estimate");
+                    if (bar == found->exclusion) fail("it is " + name);
+            if (found->exclusion == ExclusionReason::none && !(found->finish_s > 0 && found->contention_s >= 0)) fail("without an estimate");
         } else if (verb == "hops") {
-            if (static_cast<double>(job(w.at(1)).hops.size()) != number(w.at(2)))
-                fail("it had " + std::to_string(job(w[1]).hops.size()));
+            if (static_cast<double>(request(w.at(1)).attempts.size()) != number(w.at(2)))
+                fail("it had " + std::to_string(request(w[1]).attempts.size()));
         } else if (verb == "sent") {
             int count = 0;
             for (const auto& was : happened) count += was[0] == "hop" && was[2] == invoker(w.at(1)).name;
--- a/tests/shares_test.cpp
+++ b/tests/shares_test.cpp
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "dispatch/controller.hpp"
+#include "scheduler/scheduler.hpp"
 
 namespace plumkeel {
 namespace {
@@ -11,27 +11,27 @@
 using namespace std::chrono_literals;
 
 TEST(Shares, ABusyControllerTakesNobodyToBeOverForItsOwnShareOfTheTraffic) {
-    Allowances may;
-    may.hops = 5;
-    may.controllers = 100;
-    may.tick = 2ms;
-    Controller controller(1, {}, may);
-    UseCase use;
-    use.promised = 1500ms;
+    Capabilities may;
+    may.max_attempts = 5;
+    may.controller_count = 100;
+    may.clock_resolution = 2ms;
+    Scheduler controller(1, {}, may);
+    RequestClass use;
+    use.latency_target = 1500ms;
     Function function;
     function.name = "f";
     Tenant a{20, 0, {}}, b{20, 0, {}};
-    std::vector<std::unique_ptr<Job>> jobs;
+    std::vector<std::unique_ptr<Request>> requests;
     Time now{};
     const auto take = [&](Tenant& tenant) {
-        Job& job = *jobs.emplace_back(std::make_unique<Job>());
-        job.id = jobs.size();
-        job.use_case = &use;
-        job.tenant = &tenant;
-        job.function = &function;
-        job.time_left = 60s;
-        controller.take(now += 100ms, job);
-        return job.over_share;
+        Request& request = *requests.emplace_back(std::make_unique<Request>());
+        request.id = requests.size();
+        request.request_class = &use;
+        request.tenant = &tenant;
+        request.function = &function;
+        request.remaining = 60s;
+        controller.submit(now += 100ms, request);
+        return request.over_quota;
     };
     for (int i = 0; i < 20; ++i) take(i % 2 ? a : b);
     // 10 jobs a second here would be 1,000 of all controllers, for 40 of the shares: but both have their part.
--- a/tests/spool_faults_test.cpp
+++ b/tests/spool_faults_test.cpp
@@ -7,11 +7,11 @@
 #include <cerrno>
 #include <filesystem>
 
-#include "chance/pcg.hpp"
-#include "remote/spool.hpp"
-#include "stand/faults/fault_plan.hpp"
+#include "random/pcg.hpp"
+#include "remote_write/durable_queue.hpp"
+#include "emulator/faults/fault_plan.hpp"
 
-namespace plumkeel::remote {
+namespace plumkeel::remote_write {
 namespace {
 
 using faults::Call;
@@ -20,7 +20,7 @@
 protected:
     SpoolFaultsTest() : plan(testing::TempDir() + "/spool_plan." + std::to_string(::getpid())) {
         rules.folder = testing::TempDir() + "/spool_faults." + std::to_string(::getpid());
-        rules.parts = 2;
+        rules.shards = 2;
         faults::plumkeel_use_fault_plan(&plan.plan());
     }
     ~SpoolFaultsTest() override {
@@ -33,24 +33,24 @@
                std::string(static_cast<std::size_t>(n % 17) * 40, '.') + "\n";
     }
     // Whether it was taken. Every third scrape has nothing in its second part.
-    bool append(Spool& spool, int n) {
-        std::vector<Part> parts{{text(n, 0), 1}, {text(n, 1), 1}};
+    bool append(DurableQueue& spool, int n) {
+        std::vector<Shard> parts{{text(n, 0), 1}, {text(n, 1), 1}};
         if (n % 3 == 0) parts[1] = {};
         try {
             spool.append(1000 * n, parts);
-        } catch (const SpoolFault&) {
+        } catch (const QueueError&) {
             return false;
         }
         for (int part = 0; part < 2; ++part)
             if (parts[static_cast<std::size_t>(part)].samples) taken[part] += text(n, part);
         return true;
     }
-    void expect_taken(Spool& spool) {
+    void expect_taken(DurableQueue& spool) {
         for (int part = 0; part < 2; ++part)
             EXPECT_EQ(spool.read("a", part, 100'000).bytes, taken[part]) << "part " << part;
     }
 
-    SpoolRules rules;
+    QueueConfig rules;
     faults::PlanFile plan;
     std::string taken[2];
 };
@@ -62,7 +62,7 @@
         taken[0] = taken[1] = "";
         std::filesystem::remove_all(rules.folder);
         {
-            Spool spool(rules, {"a"});
+            DurableQueue spool(rules, {"a"});
             EXPECT_TRUE(append(spool, 1));
             plan.fail(call, 1'000'000, {error});
             EXPECT_FALSE(append(spool, 2));
@@ -71,7 +71,7 @@
             EXPECT_TRUE(append(spool, 4));
             expect_taken(spool);
         }
-        Spool again(rules, {"a"});
+        DurableQueue again(rules, {"a"});
         expect_taken(again);
     }
 }
@@ -81,7 +81,7 @@
     Pcg random(7);
     int n = 0, refused = 0;
     for (int life = 0; life < 40; ++life) {
-        Spool spool(rules, {"a"});
+        DurableQueue spool(rules, {"a"});
         plan.fail(Call::sync, 60'000, {EIO});
         plan.fail(Call::write_file, 60'000, {EIO, ENOSPC});
         for (int i = 0; i < 20; ++i) refused += !append(spool, ++n);
@@ -90,9 +90,9 @@
     }
     EXPECT_GT(refused, 20);
     EXPECT_LT(refused, 600);
-    Spool again(rules, {"a"});
+    DurableQueue again(rules, {"a"});
     expect_taken(again);
 }
 
 }  // namespace
-}  // namespace plumkeel::remote
+}  // namespace plumkeel::remote_write
--- a/tests/trace_fuzz.cpp
+++ b/tests/trace_fuzz.cpp
@@ -5,10 +5,10 @@
 #include <cstdlib>
 
 #include "tests/memory_file.hpp"
-#include "tale/anonymous.hpp"
-#include "tale/stream.hpp"
-#include "tale/summary.hpp"
-#include "tale/telling.hpp"
+#include "trace_analysis/pseudonymizer.hpp"
+#include "trace_analysis/merged_stream.hpp"
+#include "trace_analysis/summary.hpp"
+#include "trace_analysis/history_format.hpp"
 #include "tests/toy_trace.hpp"
 
 namespace {
@@ -19,7 +19,7 @@
 void try_to(What what) {
     try {
         what();
-    } catch (const trace::Fault&) {
+    } catch (const trace::TraceError&) {
     }
 }
 
@@ -28,39 +28,39 @@
     file.bytes = bytes;
     const auto open = [&](const std::string&) { return std::make_unique<MemoryFile>(file); };
     try_to([&] {
-        auto parts = tale::open_all({"x", "y"}, open);
-        std::vector<tale::Chapters*> all;
+        auto parts = trace_analysis::open_all({"x", "y"}, open);
+        std::vector<trace_analysis::ControllerTrace*> all;
         for (const auto& each : parts) all.push_back(each.get());
         std::vector<trace::Record> records;
         while (const auto record = all.front()->next()) records.push_back(*record);
-        tale::Names names(true);
-        tale::Summary summary(50, 100);
-        tale::Tales tales(
-            [&](const tale::Tale& one) {
+        trace_analysis::NameTable names(true);
+        trace_analysis::Summary summary(50, 100);
+        trace_analysis::HistoryBuilder histories(
+            [&](const trace_analysis::RequestHistory& one) {
                 summary.add(one);
-                tale::story_of(one, names);
-                tale::json_of(one, names);
-                tale::chrome_events(one, names);
+                trace_analysis::format_history(one, names);
+                trace_analysis::format_json(one, names);
+                trace_analysis::chrome_events(one, names);
             },
             false, 40);
-        tale::Anonymous anonymous("sixteen bytes or more");
+        trace_analysis::Pseudonymizer anonymous("sixteen bytes or more");
         for (const trace::Record& record : records) {
             try_to([&] { names.feed(record); });
-            try_to([&] { tales.feed(record); });
+            try_to([&] { histories.feed(record); });
             try_to([&] { summary.note(record, names); });
-            try_to([&] { anonymous.veiled(record); });
+            try_to([&] { anonymous.pseudonymize(record); });
         }
-        tales.finish();
+        histories.finish();
         summary.finish();
         summary.worst();
         try_to([&] {
-            const auto braid = tale::merged(all, std::vector<trace::Time>(all.size()), trace::Time(300'000));
+            const auto braid = trace_analysis::merge_traces(all, std::vector<trace::Time>(all.size()), trace::Time(300'000));
             while (braid->next()) {
             }
         });
-        try_to([&] { tale::estimate_offsets(all); });
+        try_to([&] { trace_analysis::estimate_offsets(all); });
         try_to([&] {
-            trace::Again again;
+            trace::Replayer again;
             for (const trace::Record& record : records) again.feed(record);
             again.compare();
         });
@@ -111,7 +111,7 @@
 int main(int argc, char** argv) {
     const int rounds = argc > 1 ? std::atoi(argv[1]) : 600;
     ToyPlay play;
-    play.jobs = 40;
+    play.requests = 40;
     play.reasons = true;
     const auto records = toy_trace(play);
     const std::string whole = file_of(records);
@@ -126,10 +126,10 @@
             trace::Record& one = hostile[toy_dice(dice) % hostile.size()];
             switch (toy_dice(dice) % 4) {
                 case 0:
-                    one.kind = static_cast<std::uint8_t>(toy_dice(dice) % 35);
+                    one.type = static_cast<std::uint8_t>(toy_dice(dice) % 35);
                     break;
                 case 1:
-                    one.job = toy_dice(dice) % 50;
+                    one.request = toy_dice(dice) % 50;
                     break;
                 default:
                     harm(one.body, dice);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -24,8 +24,8 @@
     Time at{};
     for (int i = 0; i < count; ++i) {
         at += Time(next(dice) % 200);
-        const std::uint64_t job = next(dice) % 10 == 0 ? 0 : 1 + static_cast<std::uint64_t>(i) / 4;
-        out.push_back({at, static_cast<std::uint8_t>(40 + next(dice) % 20), job, "f" + std::to_string(next(dice) % 50) + "=" + std::to_string(next(dice) % 1000)});
+        const std::uint64_t request = next(dice) % 10 == 0 ? 0 : 1 + static_cast<std::uint64_t>(i) / 4;
+        out.push_back({at, static_cast<std::uint8_t>(40 + next(dice) % 20), request, "f" + std::to_string(next(dice) % 50) + "=" + std::to_string(next(dice) % 1000)});
     }
     return out;
 }
@@ -79,7 +79,7 @@
         return true;
     });
     for (const Record& each : records)
-        if (each.job == 3000) expected.push_back(each);
+        if (each.request == 3000) expected.push_back(each);
     EXPECT_EQ(of_job, expected);
 }
 
@@ -100,12 +100,12 @@
         MemoryFile part;
         part.bytes = whole.bytes.substr(0, cut);
         if (cut < 40) {
-            EXPECT_THROW(Reader{part}, Fault) << cut;
+            EXPECT_THROW(Reader{part}, TraceError) << cut;
             continue;
         }
         std::size_t expected = 0;
         bool torn = cut > 40;
-        for (const Place& place : all.places()) {
+        for (const BlockLocation& place : all.places()) {
             if (place.offset + place.bytes <= cut) expected += place.records;
             if (place.offset + place.bytes == cut) torn = false;
         }
@@ -154,11 +154,11 @@
             for (const Record& each : got) ASSERT_TRUE(known.count({each.at, each.body})) << round;
             std::size_t before = 0;  // all that stood before the damage
             Reader clean(whole);
-            for (const Place& place : clean.places())
+            for (const BlockLocation& place : clean.places())
                 if (place.offset + place.bytes <= first) before += place.records;
             ASSERT_GE(got.size(), before) << round;
             ASSERT_TRUE(std::equal(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(before), got.begin())) << round;
-        } catch (const Fault&) {
+        } catch (const TraceError&) {
             ASSERT_LT(first, 40u) << round;  // only a damaged head, or a part that must be known, stops a reader
         }
     }
@@ -170,13 +170,13 @@
     try {
         Reader reader(file);
         FAIL();
-    } catch (const Fault& fault) {
+    } catch (const TraceError& fault) {
         EXPECT_STREQ(fault.what(), "the trace is of version 9, this reader knows up to 1");
     }
     MemoryFile empty, other;
     other.bytes = "#!/bin/bash\necho this is something else entirely, and long enough\n";
-    EXPECT_THROW(Reader{empty}, Fault);
-    EXPECT_THROW(Reader{other}, Fault);
+    EXPECT_THROW(Reader{empty}, TraceError);
+    EXPECT_THROW(Reader{other}, TraceError);
 }
 
 // What all files of a folder hold, in order.
@@ -187,7 +187,7 @@
     for (const auto& [name, unused] : names) {
         const FileSource source(name);
         Reader(source).walk(Time::min(), [&](const Record& record) {
-            if (record.kind == Told::gap || record.kind > last_of_names) out.push_back(record);
+            if (record.type == RecordType::gap || record.type > last_name_type) out.push_back(record);
             return true;
         });
     }
@@ -198,11 +198,11 @@
 protected:
     RecorderTest() { std::filesystem::remove_all(rules.folder); }
     ~RecorderTest() override { std::filesystem::remove_all(rules.folder); }
-    RecorderRules rules{.folder = testing::TempDir() + "plumkeel_traces_" + std::to_string(::getpid())};
+    RecorderConfig rules{.folder = testing::TempDir() + "plumkeel_traces_" + std::to_string(::getpid())};
 };
 
 TEST_F(RecorderTest, WritesAllThatWasOfferedOverSeveralFiles) {
-    rules.file_bytes = 100'000;
+    rules.max_file_bytes = 100'000;
     const auto records = some(100'000);
     {
         Recorder recorder(rules, "c", Time(5));
@@ -213,7 +213,7 @@
 }
 
 TEST_F(RecorderTest, PastItsMemoryWholeBatchesAreDroppedAndTold) {
-    rules.memory_bytes = 1;  // no batch fits
+    rules.max_memory_bytes = 1;  // no batch fits
     const auto records = some(10'000);
     std::uint64_t dropped = 0;
     {
@@ -227,7 +227,7 @@
 }
 
 TEST_F(RecorderTest, OnlyTheNewestFilesAreKeptOverRestarts) {
-    rules.keep_files = 3;
+    rules.max_files = 3;
     for (int run = 0; run < 6; ++run) {
         Recorder recorder(rules, "c", Time(1'000'000 * (run + 1)));
         recorder.offer({Time(run), 9, 1, "x"});
@@ -238,7 +238,7 @@
 }
 
 TEST_F(RecorderTest, WhatTheDiskDidNotTakeIsAGapInTheTrace) {
-    rules.file_bytes = 1;  // each batch begins a file
+    rules.max_file_bytes = 1;  // each batch begins a file
     {
         Recorder recorder(rules, "c", Time(5));
         auto give = [&](int from) {
@@ -257,7 +257,7 @@
     const auto got = all_of(rules.folder);
     ASSERT_EQ(got.size(), 3u);
     EXPECT_EQ(got[0].at, Time(1));
-    EXPECT_EQ(got[1].kind, gap);
+    EXPECT_EQ(got[1].type, gap);
     EXPECT_EQ(unpack<Gap>(got[1].body).records, 1u);
     EXPECT_EQ(got[2].at, Time(3));
 }
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -16,7 +16,7 @@
         return static_cast<std::uint64_t>((day + at + (GetParam().everywhere ? GetParam().by : Time{})) / 1ms);
     }
     boost::json::object believed(const char* name) const {
-        for (const auto& row : host->gateway().believed())
+        for (const auto& row : host->gateway().estimates())
             if (row.at("i").as_string() == name) return row.as_object();
         return {};
     }
@@ -25,44 +25,44 @@
                         R"("cold_share":0.1)");
     }
     static constexpr Time day = 24h;
-    void SetUp() override { world.step_wall(day); }
+    void SetUp() override { loop.step_wall_clock(day); }
 };
 
 // An invoker that starts after the step is cold for as long as the settings say, no shorter and no longer.
 TEST_P(WallClockTest, LeavesTheColdTimeOfALateStarterAsItIs) {
     peer(), peer();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     open(slow_ramp());
-    world.at(5s, [&] { world.step_wall(GetParam().by); });
-    world.at(20s, [&] { board.say(frame(board.last = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
-    for (std::uint64_t i = 1; i <= 600; ++i) job(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
-    world.run(21s);
+    loop.call_at(5s, [&] { loop.step_wall_clock(GetParam().by); });
+    loop.call_at(20s, [&] { board.say(frame(board.last = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
+    for (std::uint64_t i = 1; i <= 600; ++i) request(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
+    loop.run(21s);
     EXPECT_TRUE(believed("s-00000002").contains("cold"));
-    world.run(30s);
+    loop.run(30s);
     EXPECT_TRUE(believed("s-00000002").contains("cold"));
-    world.run(45s);
+    loop.run(45s);
     EXPECT_FALSE(believed("s-00000002").contains("cold"));
-    world.run(62s);
+    loop.run(62s);
 }
 
 // The list tells again of an invoker whose start it told before: it has not started anew, and what was learned of it
 // stands.
 TEST_P(WallClockTest, DoesNotMakeAKnownInvokerLookRestarted) {
     peer(), peer();
-    Noticeboard board(world, "10.9.0.1");
+    Noticeboard board(loop, "10.9.0.1");
     const std::string start = std::to_string((day - 60s) / 1ms);
     open(replaced(plain_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
-    for (std::uint64_t i = 1; i <= 60; ++i) job(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
-    world.run(5s);
+    for (std::uint64_t i = 1; i <= 60; ++i) request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
+    loop.run(5s);
     ASSERT_TRUE(believed("s-00000001").contains("told"));
-    world.step_wall(GetParam().by);
-    world.at(5001ms, [&] {
+    loop.step_wall_clock(GetParam().by);
+    loop.call_at(5001ms, [&] {
         board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
     });
-    world.run(5002ms);
+    loop.run(5002ms);
     EXPECT_TRUE(believed("s-00000001").contains("told"));
     EXPECT_FALSE(believed("s-00000001").contains("cold"));
-    world.run(8s);
+    loop.run(8s);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, WallClockTest,
