--- a/src/invoker_protocol/connection_pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -4,17 +4,18 @@
 #include <limits>
 
 #include "gateway/gateway.hpp"
-#include "net/lazy_timer.hpp"
 #include "invoker_protocol/codec.hpp"
+#include "net/lazy_timer.hpp"
 
 namespace plumkeel::invoker_protocol {
 
 using namespace std::chrono_literals;
-using delivery::StopCause;
 using delivery::Progress;
+using delivery::StopCause;
 
 constexpr std::size_t read_at_once = 8 * 1024, line_most = 1024;
-constexpr Time half_sent_for = 90ms;  // a client is gone for 0.1 s at most, and time left overstated by 0.15 s, when an attempt begins
+constexpr Time half_sent_for =
+    90ms;  // a client is gone for 0.1 s at most, and time left overstated by 0.15 s, when an attempt begins
 constexpr std::size_t most_borne = 64;  // remembered of a connection: second answers come within milliseconds
 constexpr Time unheard_pause = 1ms;
 
@@ -23,9 +24,10 @@
     explicit InvokerConnection(ConnectionPool& pool)
         : pool_(pool),
           loop_(pool.loop_),
-          idle_(pool.loop_, [this] {
-              if (out_.empty()) close();
-          }),
+          idle_(pool.loop_,
+                [this] {
+                    if (out_.empty()) close();
+                }),
           half_(pool.loop_, [this] { spoilt("half_an_answer"); }),
           half_sent_(pool.loop_, [this] {
               if (write_queue_ && write_queue_->sent_bytes() < whole_at_) spoilt("half_an_attempt");
@@ -95,7 +97,8 @@
         return std::any_of(out_.begin(), out_.end(), [&](const Placed& p) { return p.id == id; });
     }
     std::size_t attempts() const {
-        return static_cast<std::size_t>(std::count_if(out_.begin(), out_.end(), [](const Placed& p) { return !p.call->has_priority(); }));
+        return static_cast<std::size_t>(
+            std::count_if(out_.begin(), out_.end(), [](const Placed& p) { return !p.call->has_priority(); }));
     }
     // Whether an attempt of the request has been on this connection and ended: what else it says of that request may be
     // said of that attempt.
@@ -147,7 +150,9 @@
             put(out_[i]);
         }
         const auto waits = [](const Placed& p) { return p.whole_at == unwritten; };
-        if (!alive_ || putting_ || (write_queue_->pending_bytes() == 0 && !full_) || std::none_of(out_.begin(), out_.end(), waits)) return;
+        if (!alive_ || putting_ || (write_queue_->pending_bytes() == 0 && !full_) ||
+            std::none_of(out_.begin(), out_.end(), waits))
+            return;
         putting_ = true;
         loop_.spawn(put_later(shared_from_this()));
     }
@@ -188,12 +193,13 @@
         placed.since = loop_.now();
     }
 
-    // False: no byte of it could leave. One that leaves in part has to be whole soon: it tells the time left of now, and
-    // its client may go. Else the connection ends, and it never ran.
+    // False: no byte of it could leave. One that leaves in part has to be whole soon: it tells the time left of now,
+    // and its client may go. Else the connection ends, and it never ran.
     bool put_attempt(Placed& placed, std::size_t before) {
         const gateway::ActiveRequest& request = *placed.call->request;
-        std::string head = encode_run(placed.id, static_cast<const NamedRequestClass*>(request.request_class)->name, request.function->name, request.idempotency_key,
-                               (placed.call->deadline - loop_.now()) / 1ms, request.body->size());
+        std::string head = encode_run(placed.id, static_cast<const NamedRequestClass*>(request.request_class)->name,
+                                      request.function->name, request.idempotency_key,
+                                      (placed.call->deadline - loop_.now()) / 1ms, request.body->size());
         const std::size_t whole_at = before + head.size() + request.body->size() + body_end.size();
         full_ = !write_queue_->send_if_room(std::move(head), request.body, std::string(body_end));
         if (full_) return false;
@@ -232,7 +238,9 @@
         pool_.connection_closed(self);
         for (const Placed& placed : ends) {
             ConnectionPool::connection_of(*placed.call).reset();
-            const Progress reached = !write_queue_ ? Progress::not_connected : sent >= placed.whole_at ? Progress::may_have_run : Progress::not_written;
+            const Progress reached = !write_queue_             ? Progress::not_connected
+                                     : sent >= placed.whole_at ? Progress::may_have_run
+                                                               : Progress::not_written;
             pool_.finish(placed.call, delivery::outcome_of(reached, why));
         }
     }
@@ -278,7 +286,8 @@
         // It may be a second one to the earlier attempt: what runs under the id is given up, so that nothing else does.
         if (again) write_queue_->send(encode_stop(answer.id));
         gateway::CallResult outcome;
-        outcome.outcome = of_probe ? (answer.result == "well" ? AttemptOutcome::succeeded : AttemptOutcome::failed) : parse_outcome(answer.result);
+        outcome.outcome = of_probe ? (answer.result == "well" ? AttemptOutcome::succeeded : AttemptOutcome::failed)
+                                   : parse_outcome(answer.result);
         outcome.load_event = parse_load_event(answer.fields);
         outcome.concurrent_requests = pool_.options_.reports_concurrency ? parse_concurrency(answer.fields) : 0;
         outcome.report = parse_report(answer.fields, pool_.options_.report_fields);
@@ -313,8 +322,8 @@
     ConnectionPool& pool_;
     net::EventLoop& loop_;
     bool alive_ = true, retired_{}, counted_ = true, putting_{}, put_on_due_{};
-    bool full_{};             // the last attempt found no room for a byte
-    std::size_t whole_at_{};  // of the last attempt that was put on
+    bool full_{};                    // the last attempt found no room for a byte
+    std::size_t whole_at_{};         // of the last attempt that was put on
     std::deque<std::string> borne_;  // requests of which an attempt has ended here, the newest last
     std::shared_ptr<net::Stream> stream_;
     std::shared_ptr<net::WriteQueue> write_queue_;  // once connected
@@ -360,9 +369,14 @@
 
 // ---------------------------------------------------------------- the connections to one invoker
 
-ConnectionPool::ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, const ResponseOptions& sight, net::Address address, gateway::ConnectionCounts& counts,
-             ConnectionBudget& budget)
-    : gateway::ConnectionPool(loop), config_(rules), options_(sight), address_(std::move(address)), counts_(counts), budget_(budget) {}
+ConnectionPool::ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, const ResponseOptions& sight,
+                               net::Address address, gateway::ConnectionCounts& counts, ConnectionBudget& budget)
+    : gateway::ConnectionPool(loop),
+      config_(rules),
+      options_(sight),
+      address_(std::move(address)),
+      counts_(counts),
+      budget_(budget) {}
 
 ConnectionPool::~ConnectionPool() {
     budget_.remove(*this);
@@ -399,10 +413,12 @@
         }
         ++takers;
         if (call.has_priority()) {
-            if (!best || (connection->load() > 0 && (best->load() == 0 || connection->heard() < best->heard()))) best = connection;
+            if (!best || (connection->load() > 0 && (best->load() == 0 || connection->heard() < best->heard())))
+                best = connection;
             continue;
         }
-        if (connection->load() >= config_.max_attempts_per_connection || connection->bears(call.request->name)) continue;
+        if (connection->load() >= config_.max_attempts_per_connection || connection->bears(call.request->name))
+            continue;
         if (may_run_once(call) && connection->has_borne(call.request->name)) {
             borne = connection;
             continue;
@@ -448,7 +464,8 @@
 }
 
 Progress ConnectionPool::remove(UpstreamCall& call, StopCause cause) {
-    if (const auto connection = std::static_pointer_cast<InvokerConnection>(connection_of(call))) return connection->take_off(call, cause);
+    if (const auto connection = std::static_pointer_cast<InvokerConnection>(connection_of(call)))
+        return connection->take_off(call, cause);
     std::erase(queue_, call.shared_from_this());
     return Progress::not_written;
 }
--- a/src/invoker_protocol/connection_pool.hpp
+++ b/src/invoker_protocol/connection_pool.hpp
@@ -57,7 +57,8 @@
 
 class ConnectionPool : public gateway::ConnectionPool {
 public:
-    ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, const ResponseOptions& sight, net::Address address, gateway::ConnectionCounts& counts, ConnectionBudget& budget);
+    ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, const ResponseOptions& sight, net::Address address,
+                   gateway::ConnectionCounts& counts, ConnectionBudget& budget);
     ~ConnectionPool() override;
 
     void cancel_unsent() override;
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,5 @@
-// Structured logs: one JSON object a line, written by spdlog's own thread through a bounded queue. ConnectionPool of one
-// kind come at a bounded rate, so that a storm can't drown the disk; what was left out is told with the next.
+// Structured logs: one JSON object a line, written by spdlog's own thread through a bounded queue. ConnectionPool of
+// one kind come at a bounded rate, so that a storm can't drown the disk; what was left out is told with the next.
 #pragma once
 
 #include <boost/json.hpp>
--- a/src/metrics/gateway_metrics.cpp
+++ b/src/metrics/gateway_metrics.cpp
@@ -49,16 +49,30 @@
 }  // namespace
 
 GatewayMetrics::GatewayMetrics(MetricsConfig rules, const std::string& controller)
-    : config_(rules), tenants_(rules.max_tenants, rules.max_tenants * 10), functions_(rules.max_functions, rules.max_functions * 10) {
+    : config_(rules),
+      tenants_(rules.max_tenants, rules.max_tenants * 10),
+      functions_(rules.max_functions, rules.max_functions * 10) {
     const prometheus::Labels own = {{"controller", controller}};
     const auto counter = [&](const char* name, const char* help) {
-        return &prometheus::BuildCounter().Name(std::string("plumkeel_") + name).Help(help).Labels(own).Register(registry_);
+        return &prometheus::BuildCounter()
+                    .Name(std::string("plumkeel_") + name)
+                    .Help(help)
+                    .Labels(own)
+                    .Register(registry_);
     };
     const auto histograms = [&](const char* name, const char* help) {
-        return &prometheus::BuildHistogram().Name(std::string("plumkeel_") + name).Help(help).Labels(own).Register(registry_);
+        return &prometheus::BuildHistogram()
+                    .Name(std::string("plumkeel_") + name)
+                    .Help(help)
+                    .Labels(own)
+                    .Register(registry_);
     };
     const auto gauge = [&](const char* name, const char* help) {
-        return &prometheus::BuildGauge().Name(std::string("plumkeel_") + name).Help(help).Labels(own).Register(registry_);
+        return &prometheus::BuildGauge()
+                    .Name(std::string("plumkeel_") + name)
+                    .Help(help)
+                    .Labels(own)
+                    .Register(registry_);
     };
     requests_ = counter("jobs_total", "Jobs ended, by what came of them");
     function_requests_ = counter("function_jobs_total", "Jobs ended, by function");
@@ -75,8 +89,10 @@
     rounds_ = &counter("looks_total", "Looks at all levels: it stands still while the controller does")->Add({});
     health_checks_ = &counter("probes_total", "Probes sent")->Add({});
     preloads_ = &counter("orders_total", "Orders to load or unload sent")->Add({});
-    warm_mispredictions_ = &counter("beliefs_wrong_total", "Hops to a copy taken to stand that had to be loaded")->Add({});
-    loads_unfinished_ = &counter("loads_unfinished_total", "Hops that were to load their function and were not honoured")->Add({});
+    warm_mispredictions_ =
+        &counter("beliefs_wrong_total", "Hops to a copy taken to stand that had to be loaded")->Add({});
+    loads_unfinished_ =
+        &counter("loads_unfinished_total", "Hops that were to load their function and were not honoured")->Add({});
     recorder_dropped_ = &counter("trace_records_dropped_total", "Trace records that the recorder dropped")->Add({});
     log_lost_ = &counter("log_lines_lost_total", "Log lines not written")->Add({});
     unreachable_ = &counter("lines_unreachable_total", "Connections to invokers that did not come about")->Add({});
@@ -86,18 +102,25 @@
     for (const char* standing : {"trusted", "suspect", "aside", "easing", "not_ready", "cold"})
         gauges_[standing] = &invokers_->Add({{"standing", standing}});
     const std::pair<const char*, const char*> levels[] = {
-        {"open_jobs", "Jobs not answered yet"}, {"parked_jobs", "Jobs parked"}, {"door_held_bytes", "Bodies held"},
-        {"door_connections", "Clients' connections"}, {"functions", "Functions known"}, {"lines_open", "Connections to invokers"},
+        {"open_jobs", "Jobs not answered yet"},
+        {"parked_jobs", "Jobs parked"},
+        {"door_held_bytes", "Bodies held"},
+        {"door_connections", "Clients' connections"},
+        {"functions", "Functions known"},
+        {"lines_open", "Connections to invokers"},
         {"hops_at_doubted", "Hops out at invokers doubted or set aside"},
         {"oldest_drain_seconds", "For how long an invoker that takes no more has had hops out"},
-        {"pace_median", "Slowness learned of invokers, 1 as their kind: the median"}, {"pace_worst", "And the slowest"},
-        {"list_age_seconds", "Since the list was told"}, {"loop_lag_seconds", "By how much the last look came late"}};
+        {"pace_median", "Slowness learned of invokers, 1 as their kind: the median"},
+        {"pace_worst", "And the slowest"},
+        {"list_age_seconds", "Since the list was told"},
+        {"loop_lag_seconds", "By how much the last look came late"}};
     for (const auto& [name, help] : levels) gauges_[name] = &gauge(name, help)->Add({});
     for (std::size_t i = 0; i < by_ending_.size(); ++i) by_ending_[i] = &attempts_->Add({{"ending", endings[i]}});
     for (std::size_t i = 0; i < by_note_.size(); ++i) by_note_[i] = &loads_->Add({{"copy", notes[i]}});
 }
 
-prometheus::Counter& GatewayMetrics::requests_counter(std::string_view request_class, std::string_view tenant, std::size_t outcome) {
+prometheus::Counter& GatewayMetrics::requests_counter(std::string_view request_class, std::string_view tenant,
+                                                      std::size_t outcome) {
     auto at = by_tenant_.find(tenant);
     if (at == by_tenant_.end()) at = by_tenant_.emplace(std::string(tenant), Tenants{}).first;
     auto& uses = at->second.by_use_case;
@@ -106,16 +129,19 @@
         // All outcomes at once, from 0: of a counter that begins with its first event, that event is in no rate.
         use = uses.emplace(std::string(request_class), std::array<Counter*, 5>{}).first;
         for (std::size_t i = 0; i < std::size(outcomes); ++i)
-            use->second[i] = &requests_->Add({{"outcome", outcomes[i]}, {"use_case", std::string(request_class)}, {"tenant", std::string(tenant)}});
+            use->second[i] = &requests_->Add(
+                {{"outcome", outcomes[i]}, {"use_case", std::string(request_class)}, {"tenant", std::string(tenant)}});
     }
     return *use->second[outcome];
 }
 
-prometheus::Histogram& GatewayMetrics::histogram(prometheus::Family<Histogram>& family, std::map<std::string, Histogram*, std::less<>>& known,
-                                         std::string_view request_class) {
+prometheus::Histogram& GatewayMetrics::histogram(prometheus::Family<Histogram>& family,
+                                                 std::map<std::string, Histogram*, std::less<>>& known,
+                                                 std::string_view request_class) {
     const auto it = known.find(request_class);
     if (it != known.end()) return *it->second;
-    Histogram& made = family.Add({{"use_case", std::string(request_class)}}, &family == attempt_count_ ? counts : spans);
+    Histogram& made =
+        family.Add({{"use_case", std::string(request_class)}}, &family == attempt_count_ ? counts : spans);
     known.emplace(std::string(request_class), &made);
     return made;
 }
@@ -126,11 +152,14 @@
     const std::string_view function = functions_.add(end.function) ? end.function : HeavyHitters::others;
     auto it = by_function_.find(function);
     if (it == by_function_.end())
-        it = by_function_.emplace(std::string(function), &function_requests_->Add({{"function", std::string(function)}})).first;
+        it =
+            by_function_.emplace(std::string(function), &function_requests_->Add({{"function", std::string(function)}}))
+                .first;
     it->second->Increment();
     histogram(*waiting_, waited_by_, end.request_class).Observe(seconds(end.waited));
     histogram(*attempt_count_, hops_by_, end.request_class).Observe(static_cast<double>(end.attempts));
-    if (end.state == RequestState::succeeded) histogram(*duration_, took_by_, end.request_class).Observe(seconds(end.duration));
+    if (end.state == RequestState::succeeded)
+        histogram(*duration_, took_by_, end.request_class).Observe(seconds(end.duration));
     if (end.state != RequestState::rejected && end.state != RequestState::failed) return;
     const std::string reason = reason_of(end.reason);
     Counter*& counter = by_reason_[reason];
@@ -151,12 +180,24 @@
 }
 
 void GatewayMetrics::set_levels(const Levels& l) {
-    const std::pair<const char*, double> now[] = {
-        {"open_jobs", l.open_requests}, {"parked_jobs", l.parked}, {"door_held_bytes", l.reserved_bytes}, {"door_connections", l.connections},
-        {"functions", l.functions}, {"lines_open", l.connections_open}, {"hops_at_doubted", l.in_flight_at_unhealthy},
-        {"oldest_drain_seconds", l.longest_drain_s}, {"pace_median", l.slowdown_median}, {"pace_worst", l.slowdown_worst},
-        {"list_age_seconds", l.list_age_s}, {"loop_lag_seconds", l.lag_s}, {"trusted", l.healthy}, {"suspect", l.suspect},
-        {"aside", l.ejected}, {"easing", l.recovering}, {"not_ready", l.not_ready}, {"cold", l.slow_start}};
+    const std::pair<const char*, double> now[] = {{"open_jobs", l.open_requests},
+                                                  {"parked_jobs", l.parked},
+                                                  {"door_held_bytes", l.reserved_bytes},
+                                                  {"door_connections", l.connections},
+                                                  {"functions", l.functions},
+                                                  {"lines_open", l.connections_open},
+                                                  {"hops_at_doubted", l.in_flight_at_unhealthy},
+                                                  {"oldest_drain_seconds", l.longest_drain_s},
+                                                  {"pace_median", l.slowdown_median},
+                                                  {"pace_worst", l.slowdown_worst},
+                                                  {"list_age_seconds", l.list_age_s},
+                                                  {"loop_lag_seconds", l.lag_s},
+                                                  {"trusted", l.healthy},
+                                                  {"suspect", l.suspect},
+                                                  {"aside", l.ejected},
+                                                  {"easing", l.recovering},
+                                                  {"not_ready", l.not_ready},
+                                                  {"cold", l.slow_start}};
     for (const auto& [name, value] : now) gauges_.at(name)->Set(value);
     rounds_->Increment();
     const auto up_to = [](Counter& counter, double value) {
--- a/src/metrics/gateway_metrics.hpp
+++ b/src/metrics/gateway_metrics.hpp
@@ -13,9 +13,9 @@
 #include <memory>
 #include <string>
 
-#include "scheduler/types.hpp"
 #include "metrics/heavy_hitters.hpp"
 #include "metrics/metrics_config.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel::metrics {
 
@@ -39,13 +39,13 @@
 struct Levels {
     double open_requests{}, parked{}, reserved_bytes{}, connections{}, functions{}, connections_open{};
     double healthy{}, suspect{}, ejected{}, recovering{}, not_ready{}, slow_start{};
-    double in_flight_at_unhealthy{};     // hops out at invokers that are doubted or set aside
-    double longest_drain_s{};     // since when an invoker that takes no more has had hops out
+    double in_flight_at_unhealthy{};             // hops out at invokers that are doubted or set aside
+    double longest_drain_s{};                    // since when an invoker that takes no more has had hops out
     double slowdown_median{}, slowdown_worst{};  // slowness learned of invokers, 1 as their kind
     double list_age_s{}, lag_s{};
     double recorder_dropped{}, log_dropped{};
-    double unreachable{};  // connections to invokers that did not come about
-    std::map<std::string, double> refused;  // at the door, by objection
+    double unreachable{};                             // connections to invokers that did not come about
+    std::map<std::string, double> refused;            // at the door, by objection
     std::map<std::string, double> invariants_broken;  // by invariant; all of them, also those that hold
 };
 
@@ -83,10 +83,12 @@
     const MetricsConfig config_;
     prometheus::Registry registry_;
     HeavyHitters tenants_, functions_;
-    prometheus::Family<Counter>*requests_{}, *function_requests_{}, *rejections_{}, *attempts_{}, *loads_{}, *refused_{}, *invariants_broken_{};
+    prometheus::Family<Counter>*requests_{}, *function_requests_{}, *rejections_{}, *attempts_{}, *loads_{},
+        *refused_{}, *invariants_broken_{};
     prometheus::Family<Histogram>*duration_{}, *waiting_{}, *attempt_count_{};
     prometheus::Family<Gauge>* invokers_{};
-    Counter *received_{}, *client_retries_{}, *rounds_{}, *health_checks_{}, *preloads_{}, *warm_mispredictions_{}, *loads_unfinished_{}, *recorder_dropped_{}, *log_lost_{}, *unreachable_{};
+    Counter *received_{}, *client_retries_{}, *rounds_{}, *health_checks_{}, *preloads_{}, *warm_mispredictions_{},
+        *loads_unfinished_{}, *recorder_dropped_{}, *log_lost_{}, *unreachable_{};
     Histogram *attempt_duration_{}, *load_duration_{};
     std::map<std::string, Gauge*> gauges_;
     std::map<std::string, Tenants, std::less<>> by_tenant_;
--- a/src/metrics/metrics_config.hpp
+++ b/src/metrics/metrics_config.hpp
@@ -7,7 +7,7 @@
 namespace plumkeel::metrics {
 
 struct MetricsConfig {
-    std::size_t max_tenants = 20, max_functions = 50;            // told by themselves; the others count as "(others)"
+    std::size_t max_tenants = 20, max_functions = 50;              // told by themselves; the others count as "(others)"
     std::chrono::microseconds interval = std::chrono::seconds(1);  // between two looks at all levels
 };
 
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -5,12 +5,12 @@
 // memory. A Stream or Listener may be destroyed only once no coroutine waits on it: hold it by shared_ptr.
 #pragma once
 
+#include <algorithm>
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/error.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <algorithm>
 #include <chrono>
 #include <cstdint>
 #include <functional>
@@ -41,7 +41,8 @@
 struct TransferResult {
     Error error;
     std::size_t bytes{};
-    Time lag{};  // of a read: how far this thread was behind when the bytes could be read, and what was lost until they were
+    Time lag{};  // of a read: how far this thread was behind when the bytes could be read, and what was lost until they
+                 // were
 };
 
 // One connection, both ways. At most one read and one wait for room at a time.
@@ -103,8 +104,8 @@
     TimerKey call_at(Time when, std::function<void()> what);
     void cancel(TimerKey& ticket);
     Task<> sleep(Time span);
-    // How long something due has been waiting to run: for so long, or longer, this thread has done nothing else, and what
-    // comes in now may have come as early.
+    // How long something due has been waiting to run: for so long, or longer, this thread has done nothing else, and
+    // what comes in now may have come as early.
     Time lag() const { return timers_.empty() ? Time{} : std::max(Time{}, now() - timers_.begin()->first.first); }
     // So late that this thread stood still, or was kept busy: more than timers and turns are late by themselves.
     static constexpr Time stall_threshold = std::chrono::milliseconds(30);
--- a/src/net/simulated_event_loop.cpp
+++ b/src/net/simulated_event_loop.cpp
@@ -68,9 +68,7 @@
         co_return closed_ ? Error(asio::error::operation_aborted) : Error();
     }
 
-    bool peer_closed() override {
-        return closed_ || in_->broken || (in_->pieces.empty() && in_->ends <= loop_.now());
-    }
+    bool peer_closed() override { return closed_ || in_->broken || (in_->pieces.empty() && in_->ends <= loop_.now()); }
 
     bool has_unread() override {
         return !closed_ && ((!in_->pieces.empty() && in_->pieces.front().at <= loop_.now()) || peer_closed());
--- a/src/net/socket_event_loop.cpp
+++ b/src/net/socket_event_loop.cpp
@@ -1,21 +1,22 @@
 #include "net/socket_event_loop.hpp"
 
+#include <netinet/tcp.h>
+#include <poll.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/post.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
+#include <boost/asio/post.hpp>
 #include <boost/asio/read_until.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/use_awaitable.hpp>
+#include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
 #include <sstream>
-#include <csignal>
-#include <netinet/tcp.h>
-#include <poll.h>
-#include <sys/socket.h>
-#include <unistd.h>
 
 namespace plumkeel::net {
 namespace {
@@ -35,7 +36,8 @@
 // (accept(2), "Error handling").
 bool of_new_connection(const Error& error) {
     if (error.category() != asio::error::get_system_category()) return false;
-    for (const int each : {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT})
+    for (const int each : {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP,
+                           ENETUNREACH, ETIMEDOUT})
         if (error.value() == each) return true;
     return false;
 }
@@ -62,7 +64,8 @@
         std::optional<Time> readable_since;
         for (;;) {
             // Also where data is there already, this wait ends.
-            if (const auto [error] = co_await socket_.async_wait(tcp::socket::wait_read, told); error) co_return TransferResult{error, 0, {}};
+            if (const auto [error] = co_await socket_.async_wait(tcp::socket::wait_read, told); error)
+                co_return TransferResult{error, 0, {}};
             if (!readable_since) readable_since = loop_.now() - loop_.lag();
             TransferResult moved;
             do moved.bytes = socket_.read_some(asio::mutable_buffers_1(into), moved.error);
@@ -83,7 +86,8 @@
         do moved.bytes = socket_.write_some(from, moved.error);
         while (moved.error == asio::error::interrupted);
         short_ = short_of_memory(moved.error);
-        if (short_ || moved.error == asio::error::would_block || moved.error == asio::error::try_again) moved.error = {};
+        if (short_ || moved.error == asio::error::would_block || moved.error == asio::error::try_again)
+            moved.error = {};
         return moved;
     }
 
@@ -322,8 +326,7 @@
         const std::string pid = process.path().filename();
         if (pid.find_first_not_of("0123456789") != std::string::npos) continue;
         std::error_code error;
-        for (fs::directory_iterator it(process.path() / "fd", error), end; !error && it != end;
-             it.increment(error)) {
+        for (fs::directory_iterator it(process.path() / "fd", error), end; !error && it != end; it.increment(error)) {
             if (fs::read_symlink(it->path(), error) != inode) {
                 error.clear();
                 continue;
--- a/src/net/usage.cpp
+++ b/src/net/usage.cpp
@@ -14,7 +14,8 @@
     std::ifstream("/proc/self/statm") >> pages >> pages;
     out.resident_kb = pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)) / 1024;
     std::error_code error;
-    for (std::filesystem::directory_iterator it("/proc/self/fd", error), end; !error && it != end; it.increment(error)) ++out.descriptors;
+    for (std::filesystem::directory_iterator it("/proc/self/fd", error), end; !error && it != end; it.increment(error))
+        ++out.descriptors;
     rusage used{};
     ::getrusage(RUSAGE_SELF, &used);
     const auto of = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
--- a/src/net/write_queue.cpp
+++ b/src/net/write_queue.cpp
@@ -11,7 +11,8 @@
     if (error_) return;
     std::size_t of_body = 0;
     if (queue_.empty() && !pumping_) {  // nearly always all of it fits at once
-        const std::array<asio::const_buffer, 2> whole{asio::buffer(head), body ? asio::buffer(*body) : asio::const_buffer()};
+        const std::array<asio::const_buffer, 2> whole{asio::buffer(head),
+                                                      body ? asio::buffer(*body) : asio::const_buffer()};
         const TransferResult moved = stream_->write_now(whole);
         if (moved.error) {
             error_ = moved.error;
@@ -40,7 +41,8 @@
 bool WriteQueue::send_if_room(std::string head, Chunk body, std::string tail) {
     if (error_) return true;
     if (!queue_.empty() || pumping_) return false;
-    const std::array<asio::const_buffer, 3> whole{asio::buffer(head), body ? asio::buffer(*body) : asio::const_buffer(), asio::buffer(tail)};
+    const std::array<asio::const_buffer, 3> whole{asio::buffer(head), body ? asio::buffer(*body) : asio::const_buffer(),
+                                                  asio::buffer(tail)};
     const TransferResult moved = stream_->write_now(whole);
     if (moved.error) {
         error_ = moved.error;
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 using namespace std::chrono_literals;
-using platform_settings::SettingsError;
 using platform_settings::json;
 using platform_settings::need;
 using platform_settings::part;
+using platform_settings::SettingsError;
 
 std::uint64_t seed_of(const json& config) {
     const auto it = config.find("seed");
@@ -22,14 +22,16 @@
     std::uint64_t seed = 0;
     const std::string text = it->is_string() ? it->get<std::string>() : "";
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-    if (text.empty() || error != std::errc{} || end != text.data() + text.size()) throw SettingsError("field 'seed' is no hexadecimal number");
+    if (text.empty() || error != std::errc{} || end != text.data() + text.size())
+        throw SettingsError("field 'seed' is no hexadecimal number");
     return seed;
 }
 
 net::Address address_of(const json& config, const char* key) {
     const auto text = need<std::string>(config, key);
     const auto address = net::Address::parse(text);
-    if (!address) throw SettingsError(std::string("field '") + key + "': '" + text + "' is no address such as 10.0.0.4:7001");
+    if (!address)
+        throw SettingsError(std::string("field '") + key + "': '" + text + "' is no address such as 10.0.0.4:7001");
     return *address;
 }
 
@@ -40,13 +42,15 @@
     if (descriptors < 64) throw SettingsError("field 'sockets' is under 64: no room for clients and invokers");
     config.admission.max_connections = descriptors / 2;
     config.pool.max_total_connections = descriptors - config.admission.max_connections - own;
-    config.pool.max_connections = std::clamp<std::size_t>(config.pool.max_total_connections / std::max<std::size_t>(1, invokers + invokers / 2), 1, 8);
+    config.pool.max_connections = std::clamp<std::size_t>(
+        config.pool.max_total_connections / std::max<std::size_t>(1, invokers + invokers / 2), 1, 8);
 }
 
 // What the process holds beside bodies is 14 to 19 MB resident by its own state lines.
 void share_memory(std::size_t memory_mb, GatewayConfig& config) {
     const std::size_t bytes = memory_mb * 1024 * 1024;
-    if (memory_mb < 24) throw SettingsError("field 'memory_mb' is under 24: the program alone takes more than half of it");
+    if (memory_mb < 24)
+        throw SettingsError("field 'memory_mb' is under 24: the program alone takes more than half of it");
     config.admission.max_memory_bytes = bytes / 6;
     config.log.queue_size = 256;
 }
@@ -66,9 +70,11 @@
     out.initial_events = discovery::parse_initial_events(known);
     for (const discovery::WatchEvent& event : out.initial_events)
         for (const gateway::Endpoint& entry : event.endpoints)
-            if (!net::Address::parse(entry.address)) throw SettingsError("field 'endpoint' of 'known': '" + entry.address + "' is no address");
+            if (!net::Address::parse(entry.address))
+                throw SettingsError("field 'endpoint' of 'known': '" + entry.address + "' is no address");
     out.last_known_event = platform_settings::get<std::uint64_t>(known, "rev");
-    if (!out.initial_events.empty()) out.last_known_event = std::max(out.last_known_event, out.initial_events.back().number);
+    if (!out.initial_events.empty())
+        out.last_known_event = std::max(out.last_known_event, out.initial_events.back().number);
 
     if (!platform_settings::has(root, "settings")) throw SettingsError("field 'settings' is missing");
     const platform_settings::PlatformSettings told = platform_settings::read(part(root, "settings"));
@@ -96,7 +102,7 @@
     config.admission.max_body_bytes = 16 * 1024;
     config.admission.max_remaining = told.max_wait;
     config.admission.head_timeout = 1500ms;  // bad clients are owed a word or a close within 3 s
-    config.admission.idle_timeout = 6s;         // clients close theirs after 4
+    config.admission.idle_timeout = 6s;      // clients close theirs after 4
     config.admission.unread_timeout = 2s;
     config.metrics.enabled = false;
     std::size_t invokers = 0;
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -5,10 +5,10 @@
 #include <cstdint>
 #include <string>
 
-#include "discovery/frame_decoder.hpp"
 #include "config/gateway_config.hpp"
-#include "net/event_loop.hpp"
+#include "discovery/frame_decoder.hpp"
 #include "invoker_protocol/connection_pool.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::platform {
 
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -11,18 +11,23 @@
 constexpr Time look_every = 250ms;
 constexpr int looks_a_line = 12;
 
-PlatformServer::PlatformServer(net::EventLoop& loop, const PlatformConfig& config, Log& log, trace::RecordCallback recorded)
+PlatformServer::PlatformServer(net::EventLoop& loop, const PlatformConfig& config, Log& log,
+                               trace::RecordCallback recorded)
     : loop_(loop),
       log_(log),
       config_(config),
       budget_(loop),
-      gateway_(loop, config.gateway, log, config.seed,
-               [this](const net::Address& address, gateway::ConnectionCounts& counts) {
-                   return std::make_unique<invoker_protocol::ConnectionPool>(loop_, gateway_.config().pool, config_.response_options, address, counts, budget_);
-               },
-               std::move(recorded)),
+      gateway_(
+          loop, config.gateway, log, config.seed,
+          [this](const net::Address& address, gateway::ConnectionCounts& counts) {
+              return std::make_unique<invoker_protocol::ConnectionPool>(
+                  loop_, gateway_.config().pool, config_.response_options, address, counts, budget_);
+          },
+          std::move(recorded)),
       server_(gateway_),
-      watcher_(loop, log, config.labels, config.discovery, config.last_known_event, [this](const discovery::WatchEvent& event) { on_event(event); }, config.seed) {
+      watcher_(
+          loop, log, config.labels, config.discovery, config.last_known_event,
+          [this](const discovery::WatchEvent& event) { on_event(event); }, config.seed) {
     gateway_.set_list_age_source([this] { return watcher_.confirmed_at(); });
     gateway_.on_malformed_response([this](const std::string& address, const char* why, std::size_t out) {
         log_.write(Log::Level::info, "line_spoilt", {{"invoker", address}, {"why", why}, {"out", out}});
@@ -37,10 +42,15 @@
     if (error) return error;
     const GatewayConfig& config = config_.gateway;
     log_.write(Log::Level::info, "serving",
-              {{"name", config.name}, {"listen", config.listen}, {"controllers", config.capabilities.controller_count},
-               {"descriptors", config_.descriptors}, {"client_connections", config.admission.max_connections},
-               {"lines", config.pool.max_total_connections}, {"lines_an_invoker", config.pool.max_connections},
-               {"memory_mb", config_.memory_mb}, {"body_bytes", config.admission.max_memory_bytes}});
+               {{"name", config.name},
+                {"listen", config.listen},
+                {"controllers", config.capabilities.controller_count},
+                {"descriptors", config_.descriptors},
+                {"client_connections", config.admission.max_connections},
+                {"lines", config.pool.max_total_connections},
+                {"lines_an_invoker", config.pool.max_connections},
+                {"memory_mb", config_.memory_mb},
+                {"body_bytes", config.admission.max_memory_bytes}});
     status_due_at_ = loop_.now() + look_every;
     loop_.call_at(status_due_at_, [this] { log_status(); });
     return {};
@@ -48,7 +58,10 @@
 
 void PlatformServer::on_event(const discovery::WatchEvent& event) {
     log_.write(Log::Level::info, "list_changed",
-              {{"event", event.number}, {"whole", event.is_complete}, {"entries", event.endpoints.size()}, {"gone", event.removed.size()}});
+               {{"event", event.number},
+                {"whole", event.is_complete},
+                {"entries", event.endpoints.size()},
+                {"gone", event.removed.size()}});
     if (!event.endpoints.empty() || event.is_complete) gateway_.update_endpoints(event.endpoints, event.is_complete);
     if (!event.removed.empty()) gateway_.remove_endpoints(event.removed);
 }
--- a/src/platform_settings/settings.hpp
+++ b/src/platform_settings/settings.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "scheduler/types.hpp"
 #include "platform_settings/fields.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel::platform_settings {
 
--- a/src/remote_write/durable_queue.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -70,7 +70,8 @@
         check(mdb_env_create(&env), "the spool");
         mdb_env_set_maxdbs(env, 2);
         // Twice what may wait, and room for pages that a write keeps until it is done.
-        check(mdb_env_set_mapsize(env, std::max<std::size_t>(most_bytes * 2, 8 * 1024 * 1024) / 4096 * 4096), "the spool's size");
+        check(mdb_env_set_mapsize(env, std::max<std::size_t>(most_bytes * 2, 8 * 1024 * 1024) / 4096 * 4096),
+              "the spool's size");
         // Places need no sync of their own: one that is lost with the machine means samples sent again. What append()
         // takes is synced there.
         if (const int rc = mdb_env_open(env, folder.c_str(), MDB_NOSYNC, 0640)) {
@@ -155,7 +156,8 @@
     }
 };
 
-DurableQueue::DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers) : config_(std::move(rules)), store_(std::make_unique<Store>(config_)) {
+DurableQueue::DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers)
+    : config_(std::move(rules)), store_(std::make_unique<Store>(config_)) {
     Store::Txn txn(store_->env, 0);
     store_->open_tables(txn, MDB_CREATE);
     MDB_cursor* cursor{};
@@ -201,7 +203,8 @@
     }
     mdb_cursor_close(cursor);
     if (wrong_parts)
-        throw QueueError(config_.folder + ": holds samples in " + std::to_string(wrong_parts) + " parts: send them with that number, or take another folder");
+        throw QueueError(config_.folder + ": holds samples in " + std::to_string(wrong_parts) +
+                         " parts: send them with that number, or take another folder");
     store_->put_figure(txn, "parts", static_cast<std::uint64_t>(config_.shards));
     for (const std::string& each : strangers) {
         MDB_val k = value_of(each);
@@ -231,8 +234,8 @@
 }
 
 // After a sync that failed the kernel may count pages as clean that never reached the disk, and LMDB itself refuses all
-// work after a failed write of its meta page. So it is opened anew, brought in line with what is known here, and written
-// whole into a new file.
+// work after a failed write of its meta page. So it is opened anew, brought in line with what is known here, and
+// written whole into a new file.
 void DurableQueue::repair() {
     store_->open_again();
     {
@@ -254,7 +257,8 @@
         store_->put_figure(txn, "newest", static_cast<std::uint64_t>(newest_ms_));
         store_->put_figure(txn, "dropped", dropped_);
         for (const auto& [name, all] : positions_)
-            for (std::size_t part = 0; part < all.size(); ++part) store_->put_place(txn, name, static_cast<int>(part), all[part]);
+            for (std::size_t part = 0; part < all.size(); ++part)
+                store_->put_place(txn, name, static_cast<int>(part), all[part]);
         txn.commit();
     }
     store_->write_anew();
@@ -268,7 +272,8 @@
     for (std::size_t part = 0; part < parts.size(); ++part) {
         if (parts[part].samples == 0) continue;
         std::string packed(ZSTD_compressBound(parts[part].bytes.size()), '\0');
-        packed.resize(ZSTD_compress(packed.data(), packed.size(), parts[part].bytes.data(), parts[part].bytes.size(), 1));
+        packed.resize(
+            ZSTD_compress(packed.data(), packed.size(), parts[part].bytes.data(), parts[part].bytes.size(), 1));
         std::string value;
         put_number(value, static_cast<std::uint64_t>(at_ms));
         put_number(value, parts[part].samples);
--- a/src/remote_write/durable_queue.hpp
+++ b/src/remote_write/durable_queue.hpp
@@ -16,7 +16,7 @@
 
 struct QueueConfig {
     std::string folder;
-    std::size_t max_bytes = 256 * 1024 * 1024;                  // of waiting samples, packed; then the oldest are dropped
+    std::size_t max_bytes = 256 * 1024 * 1024;  // of waiting samples, packed; then the oldest are dropped
     std::chrono::milliseconds max_age = std::chrono::hours(6);  // and those older than this
     int shards = 4;
 };
@@ -33,9 +33,9 @@
     ~DurableQueue();
     DurableQueue(const DurableQueue&) = delete;
 
-    // One scrape; on disk when it returns. Throws SpoolFault where the disk does not take it: nothing of it is kept. After
-    // that the next call that writes, or the end, first writes all that is kept anew, into a new file; only if the process
-    // is killed before may the next run find the scrape all the same.
+    // One scrape; on disk when it returns. Throws SpoolFault where the disk does not take it: nothing of it is kept.
+    // After that the next call that writes, or the end, first writes all that is kept anew, into a new file; only if
+    // the process is killed before may the next run find the scrape all the same.
     void append(std::int64_t at_ms, const std::vector<Shard>& parts);
 
     struct Batch {
--- a/src/remote_write/exporter.cpp
+++ b/src/remote_write/exporter.cpp
@@ -45,7 +45,8 @@
         add_own(samples);
         const std::int64_t at = clock.ms(loop.wall_clock(), loop.now());
         append(at, scraper.encode(samples, at));
-        const double inflow = static_cast<double>(samples.size()) / std::chrono::duration<double>(rules.interval).count();
+        const double inflow =
+            static_cast<double>(samples.size()) / std::chrono::duration<double>(rules.interval).count();
         tell(inflow);
     }
 
@@ -91,7 +92,8 @@
 
     // Until all is taken or the time for it is over.
     void watch_out(Time until) {
-        const bool waits = std::any_of(senders.begin(), senders.end(), [&](const auto& s) { return spool.waiting(s->name()) > 0; });
+        const bool waits =
+            std::any_of(senders.begin(), senders.end(), [&](const auto& s) { return spool.waiting(s->name()) > 0; });
         if (!waits || loop.now() >= until) return loop.stop();
         loop.call_at(loop.now() + std::chrono::milliseconds(20), [this, until] { watch_out(until); });
     }
@@ -105,7 +107,8 @@
     bool ending{}, broken{};
     net::SocketEventLoop loop;
     SampleClock clock;
-    std::vector<std::unique_ptr<Sender>> senders;  // their coroutines, which end with the world, touch them no more then
+    std::vector<std::unique_ptr<Sender>>
+        senders;  // their coroutines, which end with the world, touch them no more then
 };
 
 Exporter::Exporter(ExporterConfig rules, Collect collect, Sender::Notice notice)
--- a/src/remote_write/exporter.hpp
+++ b/src/remote_write/exporter.hpp
@@ -11,9 +11,10 @@
 namespace plumkeel::remote_write {
 
 struct ExporterConfig {
-    QueueConfig queue;  // without a folder nothing is shipped
+    QueueConfig queue;                        // without a folder nothing is shipped
     Time interval = std::chrono::seconds(5);  // between two scrapes
-    Time shutdown_timeout = std::chrono::seconds(2);  // at the end, for what still waits; the rest goes at the next start
+    Time shutdown_timeout =
+        std::chrono::seconds(2);  // at the end, for what still waits; the rest goes at the next start
     std::vector<ReceiverConfig> receivers;
     std::string controller;  // a label of what the ship tells of itself
 };
--- a/src/remote_write/send_controller.cpp
+++ b/src/remote_write/send_controller.cpp
@@ -44,7 +44,9 @@
         failures_ = 0;
         backoff_ = {};
         batch_ = std::min(static_cast<double>(rules_.max_batch), batch_ * 2);
-        concurrency_ = took > rules_.slow_response ? std::max(1.0, concurrency_ / 2) : std::min<double>(rules_.max_concurrency, concurrency_ + 1 / concurrency_);
+        concurrency_ = took > rules_.slow_response
+                           ? std::max(1.0, concurrency_ / 2)
+                           : std::min<double>(rules_.max_concurrency, concurrency_ + 1 / concurrency_);
         return;
     }
     // Answers to what was sent before the trouble was known make it no greater.
@@ -55,7 +57,8 @@
     tokens_ = std::min(tokens_, batch_);
     backoff_ = backoff_ == Time{} ? rules_.initial_backoff : std::min(rules_.max_backoff, backoff_ * 2);
     const Time jittered = span_of(in_seconds(backoff_) * (0.5 + random_.next()));
-    not_before_ = std::max(not_before_, now + std::max(jittered, std::min(retry_after.value_or(Time{}), rules_.max_backoff * 10)));
+    not_before_ = std::max(not_before_,
+                           now + std::max(jittered, std::min(retry_after.value_or(Time{}), rules_.max_backoff * 10)));
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/send_controller.hpp
+++ b/src/remote_write/send_controller.hpp
@@ -21,15 +21,15 @@
     std::size_t max_batch = 2000, min_batch = 200;  // a batch
     Time initial_backoff = std::chrono::milliseconds(200), max_backoff = std::chrono::seconds(30);
     Time slow_response = std::chrono::seconds(2);  // an answer that takes longer halves the lanes
-    double catch_up_ratio = 4;                  // times what comes in, while there is a backlog
-    double min_rate = 500;              // samples a second that are always allowed
+    double catch_up_ratio = 4;                     // times what comes in, while there is a backlog
+    double min_rate = 500;                         // samples a second that are always allowed
 };
 
 enum class SendResult {
     accepted,
     retryable,  // 5xx or 429: it may take the same batch another time
-    rejected,  // another 4xx: this batch will never be taken
-    unknown,   // no answer: whether it took the batch is not known
+    rejected,   // another 4xx: this batch will never be taken
+    unknown,    // no answer: whether it took the batch is not known
 };
 
 class SendController {
@@ -38,7 +38,7 @@
 
     struct Permit {
         std::size_t samples{};  // 0: not now
-        Time retry_at{};           // then ask at this moment, or when an answer comes if it is Time::max()
+        Time retry_at{};        // then ask at this moment, or when an answer comes if it is Time::max()
     };
     // May a lane that is idle send now? `inflow` is in samples a second.
     Permit request(Time now, double inflow);
--- a/src/remote_write/sender.cpp
+++ b/src/remote_write/sender.cpp
@@ -9,7 +9,8 @@
 
 namespace plumkeel::remote_write {
 
-Sender::Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed, Notice notice)
+Sender::Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed,
+               Notice notice)
     : loop_(loop),
       config_(std::move(rules)),
       queue_(spool),
@@ -107,7 +108,8 @@
     if (!config_.bearer.empty()) head.add("Authorization", "Bearer " + config_.bearer);
     std::string text = head.done();
     net::Address to = *net::Address::parse(config_.address);
-    auto exchanged = co_await http::exchange(loop_, std::move(to), std::move(text), std::move(body), config_.timeout, 64 * 1024);
+    auto exchanged =
+        co_await http::exchange(loop_, std::move(to), std::move(text), std::move(body), config_.timeout, 64 * 1024);
     if (exchanged.error) {
         log_result(SendResult::unknown, exchanged.error.message());
         co_return SendResult::unknown;
@@ -115,9 +117,9 @@
     const unsigned status = exchanged.answer.result_int();
     if (const auto seconds = http::number<std::uint32_t>(http::field(exchanged.answer, "Retry-After")))
         retry_after = std::chrono::seconds(*seconds);
-    const SendResult heard = status / 100 == 2                     ? SendResult::accepted
-                        : status / 100 == 5 || status == 429 ? SendResult::retryable
-                                                              : SendResult::rejected;
+    const SendResult heard = status / 100 == 2                    ? SendResult::accepted
+                             : status / 100 == 5 || status == 429 ? SendResult::retryable
+                                                                  : SendResult::rejected;
     log_result(heard, fmt::format("{} {}", status, exchanged.answer.body().substr(0, 200)));
     co_return heard;
 }
@@ -127,7 +129,8 @@
     const std::string trouble = heard == SendResult::accepted ? "" : what;
     if (trouble == last_failure_) return;
     last_failure_ = trouble;
-    static constexpr const char* kinds[] = {"receiver_takes", "receiver_in_trouble", "receiver_turns_down", "receiver_silent"};
+    static constexpr const char* kinds[] = {"receiver_takes", "receiver_in_trouble", "receiver_turns_down",
+                                            "receiver_silent"};
     notice_(kinds[static_cast<int>(heard)], config_.name + (what.empty() ? "" : ": " + what));
 }
 
--- a/src/remote_write/sender.hpp
+++ b/src/remote_write/sender.hpp
@@ -7,21 +7,22 @@
 #include <string>
 
 #include "net/event_loop.hpp"
-#include "remote_write/send_controller.hpp"
 #include "remote_write/durable_queue.hpp"
+#include "remote_write/send_controller.hpp"
 
 namespace plumkeel::remote_write {
 
 struct ReceiverConfig {
-    std::string name;                     // under which its place is kept
+    std::string name;  // under which its place is kept
     std::string address, path = "/api/v1/write";
-    std::string bearer;                   // sent as its token; empty: none
+    std::string bearer;                       // sent as its token; empty: none
     Time timeout = std::chrono::seconds(10);  // for a whole answer
     SendControlConfig send_control;
 };
 
 struct SenderCounters {
-    std::uint64_t accepted{}, rejected{}, resent{};  // samples; again: sent once more, since it was not taken or not known
+    std::uint64_t accepted{}, rejected{},
+        resent{};  // samples; again: sent once more, since it was not taken or not known
     std::uint64_t batches{}, failures{};
     std::uint64_t wire_bytes{};  // bodies sent, packed
 };
@@ -30,7 +31,8 @@
 public:
     // `notice` is told in words what a person should know, once for each turn of events.
     using Notice = std::function<void(const std::string& kind, const std::string& what)>;
-    Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed, Notice notice);
+    Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed,
+           Notice notice);
 
     void start();
     // Samples were appended; `inflow` is what comes in a second.
--- a/src/remote_write/series.cpp
+++ b/src/remote_write/series.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::uint64_t stale_bits = 0x7ff0000000000002;  // as published
 
-Labels labels_of(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels, const char* more = nullptr,
-                 const std::string& value = "") {
+Labels labels_of(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels,
+                 const char* more = nullptr, const std::string& value = "") {
     Labels out = {{"__name__", name}};
     for (const auto& each : labels)
         if (!each.value.empty()) out.emplace_back(each.name, each.value);  // an empty label is none
@@ -34,20 +34,27 @@
     std::vector<Sample> out;
     for (const auto& family : families)
         for (const auto& metric : family.metric) {
-            if (family.type == prometheus::MetricType::Counter) out.push_back({labels_of(family.name, metric.label), metric.counter.value});
-            if (family.type == prometheus::MetricType::Gauge) out.push_back({labels_of(family.name, metric.label), metric.gauge.value});
+            if (family.type == prometheus::MetricType::Counter)
+                out.push_back({labels_of(family.name, metric.label), metric.counter.value});
+            if (family.type == prometheus::MetricType::Gauge)
+                out.push_back({labels_of(family.name, metric.label), metric.gauge.value});
             if (family.type != prometheus::MetricType::Histogram) continue;
             for (const auto& bucket : metric.histogram.bucket)
                 out.push_back({labels_of(family.name + "_bucket", metric.label, "le", bound_of(bucket.upper_bound)),
                                static_cast<double>(bucket.cumulative_count)});
             out.push_back({labels_of(family.name + "_sum", metric.label), metric.histogram.sample_sum});
-            out.push_back({labels_of(family.name + "_count", metric.label), static_cast<double>(metric.histogram.sample_count)});
+            out.push_back(
+                {labels_of(family.name + "_count", metric.label), static_cast<double>(metric.histogram.sample_count)});
         }
     return out;
 }
 
-double stale_marker() { return std::bit_cast<double>(stale_bits); }
-bool is_stale_marker(double value) { return std::bit_cast<std::uint64_t>(value) == stale_bits; }
+double stale_marker() {
+    return std::bit_cast<double>(stale_bits);
+}
+bool is_stale_marker(double value) {
+    return std::bit_cast<std::uint64_t>(value) == stale_bits;
+}
 
 std::int64_t SampleClock::ms(Time wall, Time now) {
     constexpr Time far = std::chrono::seconds(5);
@@ -89,7 +96,8 @@
                 label->set_value(value);
                 key += name + '\xff' + value + '\xff';
             }
-            Known fresh{series.SerializeAsString(), XXH3_64bits(key.data(), key.size()) % static_cast<std::size_t>(shards_), 0};
+            Known fresh{series.SerializeAsString(),
+                        XXH3_64bits(key.data(), key.size()) % static_cast<std::size_t>(shards_), 0};
             it = known_.emplace(each.labels, std::move(fresh)).first;
         }
         if (it->second.seen == scrapes_) continue;  // told twice in one scrape: only the first can be sent
--- a/src/remote_write/series.hpp
+++ b/src/remote_write/series.hpp
@@ -33,7 +33,8 @@
 public:
     // Nor behind `last_ms`, told in an earlier run.
     SampleClock(Time wall, Time now, std::int64_t last_ms = 0)
-        : anchor_(std::max(wall, std::chrono::duration_cast<Time>(std::chrono::milliseconds(last_ms))) - now), last_(last_ms) {}
+        : anchor_(std::max(wall, std::chrono::duration_cast<Time>(std::chrono::milliseconds(last_ms))) - now),
+          last_(last_ms) {}
     std::int64_t ms(Time wall, Time now);
 
 private:
--- a/src/scheduler/cached_function_table.hpp
+++ b/src/scheduler/cached_function_table.hpp
@@ -15,9 +15,9 @@
 struct CachedFunction {
     Invoker* invoker{};
     std::chrono::microseconds expires_at{};  // it lapses then
-    int in_flight{};                          // own attempts of the function there
-    int copies{};                       // thought to stand there
-    int peak_in_flight{};                         // most own attempts there at once, lately
+    int in_flight{};                         // own attempts of the function there
+    int copies{};                            // thought to stand there
+    int peak_in_flight{};                    // most own attempts there at once, lately
     std::chrono::microseconds peak_at{};
 };
 
--- a/src/scheduler/fleet_table.cpp
+++ b/src/scheduler/fleet_table.cpp
@@ -77,7 +77,8 @@
 }
 
 Invoker* FleetTable::oldest_slow_start(Moment since_at_most) const {
-    return slow_start_.empty() || slow_start_.begin()->first.first > since_at_most ? nullptr : slow_start_.begin()->second;
+    return slow_start_.empty() || slow_start_.begin()->first.first > since_at_most ? nullptr
+                                                                                   : slow_start_.begin()->second;
 }
 
 void FleetTable::set_delisted(Invoker& invoker, bool left) {
--- a/src/scheduler/fleet_table.hpp
+++ b/src/scheduler/fleet_table.hpp
@@ -16,9 +16,9 @@
 // What one invoker adds to the totals of the fleet.
 struct FleetContribution {
     bool ready{};            // listed, and takes new attempts
-    bool healthy{};             // ready, and nothing speaks against it
+    bool healthy{};          // ready, and nothing speaks against it
     bool warm{};             // ready, trusted, and not in a cold start
-    bool needs_sweep{};          // the sweep has to look at it
+    bool needs_sweep{};      // the sweep has to look at it
     std::size_t attempts{};  // own ones out there, where it is ready
     std::int64_t
         micro_capacity{};  // its units in millionths, where it is ready: sums of integers do not depend on their order
@@ -81,7 +81,9 @@
 private:
     using Number = std::uint64_t;
     static FleetTableEntry& entry_of(Invoker& invoker);
-    std::pair<Moment, Number> recent_key(const FleetTableEntry& place) const { return {-place.last_used_at, place.number}; }
+    std::pair<Moment, Number> recent_key(const FleetTableEntry& place) const {
+        return {-place.last_used_at, place.number};
+    }
     void add_to_totals(const FleetContribution& share, std::int64_t sign);
 
     std::vector<Invoker*> all_;
--- a/src/scheduler/function_table.hpp
+++ b/src/scheduler/function_table.hpp
@@ -57,7 +57,7 @@
         std::map<Number, Function*> members_;
     };
     Set with_parked;  // their clock for parked requests runs
-    Set loading;  // their one load is out
+    Set loading;      // their one load is out
     Set replicated;   // with beliefs of several invokers
 
 private:
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -86,7 +86,8 @@
 }
 
 bool never_ran(AttemptOutcome e) {
-    return e == AttemptOutcome::rejected || e == AttemptOutcome::unreachable || e == AttemptOutcome::never_sent || e == AttemptOutcome::load_failed;
+    return e == AttemptOutcome::rejected || e == AttemptOutcome::unreachable || e == AttemptOutcome::never_sent ||
+           e == AttemptOutcome::load_failed;
 }
 
 }  // namespace
@@ -106,7 +107,8 @@
 // ended without an answer and it may go on.
 void Scheduler::place(Request& request) {
     Function& function = *request.function;
-    if (static_cast<int>(request.attempts.size()) >= may_.max_attempts) return give_up(request, DecisionReason::attempts_exhausted);
+    if (static_cast<int>(request.attempts.size()) >= may_.max_attempts)
+        return give_up(request, DecisionReason::attempts_exhausted);
     expect_load(function);
     const double left = in_seconds(request.target_at - now_);
     Choice best = choose(request);
@@ -124,10 +126,13 @@
     const double part = hasty ? shed_wait_hasty : request.over_quota ? shed_wait_over_share : shed_wait;
     const double patience = part * in_seconds(request.target_at - request.received_at);
     if (best.wait > patience && best.finish > shed_finish * left && may_bounce(request)) {
-        if (!hasty && request.state == RequestState::received && parked_ < park_limit) return park(request, DecisionReason::overloaded);
+        if (!hasty && request.state == RequestState::received && parked_ < park_limit)
+            return park(request, DecisionReason::overloaded);
         const double ready = load_time(function) - in_seconds(now_ - function.load_started_at);
-        if (function.loading_on && ready + function.run_time_s > left) return give_up(request, DecisionReason::overloaded);
-        if (!function.loading_on && (!best.calm || function.recent_arrivals < favourite)) return give_up(request, DecisionReason::overloaded);
+        if (function.loading_on && ready + function.run_time_s > left)
+            return give_up(request, DecisionReason::overloaded);
+        if (!function.loading_on && (!best.calm || function.recent_arrivals < favourite))
+            return give_up(request, DecisionReason::overloaded);
         if (!function.loading_on) best = Choice{best.calm}, why = DecisionReason::new_replica;
     }
 
@@ -135,7 +140,8 @@
     // it. Where a copy's lanes are all taken, more jobs there would only start more copies: they wait for a
     // lane.
     const bool wait = best.full || (function.loading_on && (!best.warm || best.finish > left));
-    if (wait && parked_ < park_limit) return park(request, best.full ? DecisionReason::concurrency_limit : DecisionReason::load_in_progress);
+    if (wait && parked_ < park_limit)
+        return park(request, best.full ? DecisionReason::concurrency_limit : DecisionReason::load_in_progress);
 
     if (!best.warm && may_.preload && !function.loading_on && may_order()) {
         set_loading(function, best.invoker);
@@ -150,7 +156,8 @@
 // Holds the job at the controller. All parked jobs of a function share the clock that the first one started.
 void Scheduler::park(Request& request, DecisionReason why) {
     Function& function = *request.function;
-    if (parked_ >= park_limit && request.state != RequestState::parked) return give_up(request, DecisionReason::parking_full);
+    if (parked_ >= park_limit && request.state != RequestState::parked)
+        return give_up(request, DecisionReason::parking_full);
     turn(request, RequestState::parked, why);
     if (!function.parking_active) {
         set_ticking(function, true);
@@ -264,7 +271,8 @@
                 ++parked_;
             }
             // Parked for as long as a run still fits before its expiry.
-            set_due(request.timer, request.deadline - 2 * may_.clock_resolution - span_of(function.run_time_s * 0.7), {&request, nullptr});
+            set_due(request.timer, request.deadline - 2 * may_.clock_resolution - span_of(function.run_time_s * 0.7),
+                    {&request, nullptr});
             break;
         case RequestState::in_flight:
             set_due(request.timer, request.deadline - 2 * may_.clock_resolution, {&request, nullptr});
@@ -290,7 +298,9 @@
 
 // Rule 2, and the hop limit: may the job be sent (again) to this invoker?
 bool Scheduler::may_hop(const Request& request, const Invoker& invoker) const {
-    if (request.is_completed() || static_cast<int>(request.attempts.size()) >= may_.max_attempts || now_ >= request.deadline) return false;
+    if (request.is_completed() || static_cast<int>(request.attempts.size()) >= may_.max_attempts ||
+        now_ >= request.deadline)
+        return false;
     for (const Attempt& attempt : request.attempts) {
         if (!attempt.in_flight && never_ran(*attempt.outcome)) continue;
         if (attempt.in_flight && !may_.hedging) return false;
@@ -310,7 +320,8 @@
     if (use.idempotency == Idempotency::idempotent) return true;
     for (const Attempt& attempt : request.attempts) {
         if (!attempt.in_flight && never_ran(*attempt.outcome)) continue;
-        if (use.idempotency == Idempotency::at_most_once || use.deduplication_scope != DeduplicationScope::global) return false;
+        if (use.idempotency == Idempotency::at_most_once || use.deduplication_scope != DeduplicationScope::global)
+            return false;
         if (now_ + 2 * may_.clock_resolution >= attempt.sent_at + use.deduplication_window) return false;
     }
     return true;
@@ -329,12 +340,14 @@
         end_cold(invoker);
         return true;
     }
-    while (!invoker.slow_start_attempts.empty() && invoker.slow_start_attempts.front() + rules_.slow_start_window < now_)
+    while (!invoker.slow_start_attempts.empty() &&
+           invoker.slow_start_attempts.front() + rules_.slow_start_window < now_)
         invoker.slow_start_attempts.pop_front();
-    const double risen = in_seconds(std::max(Time{}, age - rules_.slow_start_window)) / in_seconds(rules_.slow_start_duration);
+    const double risen =
+        in_seconds(std::max(Time{}, age - rules_.slow_start_window)) / in_seconds(rules_.slow_start_duration);
     const double share = std::min(1.0, rules_.slow_start_initial_share + (1 - rules_.slow_start_initial_share) * risen);
-    const double budget =
-        cold_margin * rules_.slow_start_rate_multiple * share * rate_ * invoker.capacity * in_seconds(rules_.slow_start_window);
+    const double budget = cold_margin * rules_.slow_start_rate_multiple * share * rate_ * invoker.capacity *
+                          in_seconds(rules_.slow_start_window);
     return static_cast<double>(invoker.slow_start_attempts.size()) + 1 <= budget + invoker.slow_start_jitter;
 }
 
@@ -364,7 +377,8 @@
     if (rules_.load_budget_window > Time{}) {
         while (!orders_.empty() && orders_.front() + rules_.load_budget_window < now_) orders_.pop_front();
         while (!taken_.empty() && taken_.front() + rules_.load_budget_window <= now_) taken_.pop_front();
-        const double limit = rules_.load_budget_base + rules_.load_budget_per_request * static_cast<double>(taken_.size());
+        const double limit =
+            rules_.load_budget_base + rules_.load_budget_per_request * static_cast<double>(taken_.size());
         if (static_cast<double>(orders_.size()) + 1 > limit) return false;
         orders_.push_back(now_);
     }
@@ -444,7 +458,8 @@
     if (invoker.error_rate > most_faulty) return ExclusionReason::unhealthy;
     if (invoker.health == HealthState::healthy) return ExclusionReason::none;
     if (invoker.health != HealthState::recovering) return ExclusionReason::unhealthy;
-    return static_cast<int>(invoker.in_flight.size()) < invoker.recovery_limit ? ExclusionReason::none : ExclusionReason::recovery_limit;
+    return static_cast<int>(invoker.in_flight.size()) < invoker.recovery_limit ? ExclusionReason::none
+                                                                               : ExclusionReason::recovery_limit;
 }
 
 void Scheduler::tell_weighed(const Choice& choice, ExclusionReason bar) {
@@ -526,16 +541,18 @@
 
 // Whether some invoker that could be sent something has just had no room.
 bool Scheduler::room_is_short() {
-    return std::any_of(no_room_.begin(), no_room_.end(),
-                       [&](Invoker* it) { return it->full_until > now_ && it->is_listed && bar_of(*it) == ExclusionReason::none; });
+    return std::any_of(no_room_.begin(), no_room_.end(), [&](Invoker* it) {
+        return it->full_until > now_ && it->is_listed && bar_of(*it) == ExclusionReason::none;
+    });
 }
 
 // Seconds until this invoker would answer a job of the function that is sent now.
 double Scheduler::estimate(const Function& function, const Invoker& invoker, const CachedFunction* cached,
-                            Choice& choice) const {
+                           Choice& choice) const {
     double press = std::max(pace_of(invoker), press_of(invoker) * (crowd_at(invoker) + 1));
     if (invoker.slow_start_since) {
-        const double risen = std::min(1.0, in_seconds(now_ - *invoker.slow_start_since) / in_seconds(rules_.slow_start_duration));
+        const double risen =
+            std::min(1.0, in_seconds(now_ - *invoker.slow_start_since) / in_seconds(rules_.slow_start_duration));
         press /= std::sqrt(rules_.slow_start_initial_share + (1 - rules_.slow_start_initial_share) * risen);
     }
     const double run = function.run_time_s * press;
@@ -594,13 +611,15 @@
     if (!request.is_client_retry) probes_left_ = std::min(probes_left_ + probes_a_job_, probes_saved * probes_a_job_);
     level_ = level_ * std::exp(-in_seconds(now - seen_) / level_span_) + 1;
     seen_ = now;
-    function.recent_arrivals = function.recent_arrivals * std::exp(-in_seconds(now - function.last_arrival) / level_span_) + 1;
+    function.recent_arrivals =
+        function.recent_arrivals * std::exp(-in_seconds(now - function.last_arrival) / level_span_) + 1;
     function.last_arrival = now;
     if (rules_.load_budget_window > Time{}) taken_.push_back(now);
     if (request.tenant && request.tenant->quota_per_s > 0) {
         Tenant& tenant = *request.tenant;
         if (tenant.recent_arrivals == 0) shares_ += tenant.quota_per_s;  // met for the first time
-        tenant.recent_arrivals = tenant.recent_arrivals * std::exp(-in_seconds(now - tenant.last_arrival) / level_span_) + 1;
+        tenant.recent_arrivals =
+            tenant.recent_arrivals * std::exp(-in_seconds(now - tenant.last_arrival) / level_span_) + 1;
         tenant.last_arrival = now;
         // Over its share of all jobs as well as by their number: a controller that sees several times the
         // mean of the traffic would take every tenant to be over its share.
@@ -615,11 +634,13 @@
 Actions Scheduler::response_started(Time now, Attempt& attempt) {
     enter(now);
     Request& request = *attempt.request;
-    if (!request.is_completed() && request.state != RequestState::streaming) turn(request, RequestState::streaming, DecisionReason::response_begun);
+    if (!request.is_completed() && request.state != RequestState::streaming)
+        turn(request, RequestState::streaming, DecisionReason::response_begun);
     return done();
 }
 
-Actions Scheduler::attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests, const LoadReport& report) {
+Actions Scheduler::attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note,
+                                 int concurrent_requests, const LoadReport& report) {
     enter(now);
     Request& request = *attempt.request;
     Function& function = *request.function;
@@ -661,7 +682,8 @@
             if (attempt.expected_warm && in_seconds(now - attempt.sent_at) > function.run_time_s * ratio_at(attempt))
                 learn_ratio(attempt, in_seconds(now - attempt.sent_at));
             // A load that has begun goes on without the job that wanted it.
-            if (attempt.starts_load && invoker.health == HealthState::healthy && in_seconds(now - attempt.sent_at) > load_time(function))
+            if (attempt.starts_load && invoker.health == HealthState::healthy &&
+                in_seconds(now - attempt.sent_at) > load_time(function))
                 set_until(function, believe(function, invoker), now + may_.keep_alive / 2);
             break;
         case AttemptOutcome::never_sent:
@@ -669,7 +691,8 @@
     }
 
     if (!request.is_completed()) {
-        const bool others = std::any_of(request.attempts.begin(), request.attempts.end(), [](const Attempt& h) { return h.in_flight; });
+        const bool others =
+            std::any_of(request.attempts.begin(), request.attempts.end(), [](const Attempt& h) { return h.in_flight; });
         if (ending == AttemptOutcome::succeeded)
             turn(request, RequestState::succeeded, DecisionReason::response_received);
         else if (request.state == RequestState::streaming)
@@ -679,7 +702,7 @@
         else if (now + 2 * may_.clock_resolution >= request.deadline)
             give_up(request, DecisionReason::deadline_exceeded);
         else if (never_ran(ending))
-            park(request, DecisionReason::attempt_never_ran);   // step 1: it never ran, so it waits for the next resend
+            park(request, DecisionReason::attempt_never_ran);  // step 1: it never ran, so it waits for the next resend
         else if (may_hop(request, invoker))  // where no invoker may take it again, this one may not either
             place(request);                  // it may have run, and may run again
         else
@@ -745,10 +768,11 @@
 
     CachedFunction& cached = believe(function, invoker);
     set_until(function, cached, now_ + may_.keep_alive);
-    if (attempt.expected_warm && attempt.own_concurrent == 0) pushed_out_ += 0.02 * ((note == LoadEvent::started_load ? 1 : 0) - pushed_out_);
+    if (attempt.expected_warm && attempt.own_concurrent == 0)
+        pushed_out_ += 0.02 * ((note == LoadEvent::started_load ? 1 : 0) - pushed_out_);
     if (note == LoadEvent::started_load && attempt.expected_warm) ++cached.copies;
-    if (note != LoadEvent::started_load && concurrent_requests + 1 > cached.copies * std::max(1, function.concurrency) &&
-        took < 0.5 * load_time(function))
+    if (note != LoadEvent::started_load &&
+        concurrent_requests + 1 > cached.copies * std::max(1, function.concurrency) && took < 0.5 * load_time(function))
         ++cached.copies;  // others' jobs brought it
 
     if (attempt.sent_at < back_at_) return;
@@ -786,8 +810,10 @@
     auto nudge = [off](double& figure, double by, double least, double most) {
         figure = std::clamp(figure * (1 + by * off), least, most);
     };
-    const double by = std::max(kind_gain, 1.0 / (few_arrivals + (few ? ++kind.slowdown_samples : ++kind.contention_samples)));
-    if (attempt.outcome == AttemptOutcome::succeeded) nudge(few ? kind.slowdown_factor : kind.contention_factor, by, few ? 0.3 : 0.002, few ? 5.0 : 2.0);
+    const double by =
+        std::max(kind_gain, 1.0 / (few_arrivals + (few ? ++kind.slowdown_samples : ++kind.contention_samples)));
+    if (attempt.outcome == AttemptOutcome::succeeded)
+        nudge(few ? kind.slowdown_factor : kind.contention_factor, by, few ? 0.3 : 0.002, few ? 5.0 : 2.0);
     nudge(few ? invoker.slowdown_factor : invoker.contention_factor, few ? 0.03 : 0.05, 0.2, 5.0);
 }
 
@@ -842,8 +868,8 @@
 void Scheduler::make_room() {
     for (std::size_t i = 0; functions_.size() >= most_functions && i < most_spared; ++i) {
         Function& oldest = *functions_.eviction_candidate(most_called_once);
-        const bool out =
-            std::any_of(oldest.cached_copies.begin(), oldest.cached_copies.end(), [](const CachedFunction& b) { return b.in_flight > 0; });
+        const bool out = std::any_of(oldest.cached_copies.begin(), oldest.cached_copies.end(),
+                                     [](const CachedFunction& b) { return b.in_flight > 0; });
         if (out || oldest.open_requests > 0 || oldest.loading_on)
             functions_.touch(oldest);
         else
@@ -877,7 +903,8 @@
     fleet_.set_delisted(invoker, false);
     // One seen to have started again later than the list says stays as cold as it was seen to be.
     const bool young = invoker.started_at && now_ - *invoker.started_at < rules_.slow_start_duration;
-    if (young && (!invoker.slow_start_since || *invoker.slow_start_since < *invoker.started_at)) begin_cold(invoker, *invoker.started_at);
+    if (young && (!invoker.slow_start_since || *invoker.slow_start_since < *invoker.started_at))
+        begin_cold(invoker, *invoker.started_at);
     if (invoker.slow_start_since) fleet_.set_slow_start(invoker, *invoker.slow_start_since);
     recount(invoker);
 }
@@ -1085,7 +1112,8 @@
         return lapsed;
     });
     functions_.replicated.set(function, function.cached_copies.size() > 1);
-    if (function.open_requests == 0 && function.cached_copies.empty() && !function.loading_on && now_ - function.last_arrival > forget_function)
+    if (function.open_requests == 0 && function.cached_copies.empty() && !function.loading_on &&
+        now_ - function.last_arrival > forget_function)
         return drop(function);
     Time next = std::max(function.last_arrival + forget_function, now_ + Time(1));
     for (const CachedFunction& cached : function.cached_copies)
@@ -1151,7 +1179,8 @@
         if (now >= function.parking_since + park_budget) {
             set_ticking(function, false);
             drop_due(function.timer);
-            for (Request* request : std::vector<Request*>(function.parked)) give_up(*request, DecisionReason::parking_budget_exceeded);  // step 4
+            for (Request* request : std::vector<Request*>(function.parked))
+                give_up(*request, DecisionReason::parking_budget_exceeded);  // step 4
             continue;
         }
         function.backoff = span_of(in_seconds(function.backoff) * delay_growth);
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -12,9 +12,9 @@
 struct DecisionWork {
     std::uint64_t placements{};
     std::uint64_t examined{};  // asked whether they may be sent anything
-    std::uint64_t scored{};  // of these, how soon they would answer
-    std::uint64_t hashed{};   // ranked for a function
-    std::uint64_t swept{};    // looked at by periodic work or because of a list
+    std::uint64_t scored{};    // of these, how soon they would answer
+    std::uint64_t hashed{};    // ranked for a function
+    std::uint64_t swept{};     // looked at by periodic work or because of a list
 };
 
 class Scheduler {
@@ -29,7 +29,8 @@
 
     Actions submit(Time now, Request& request);
     Actions response_started(Time now, Attempt& attempt);
-    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests, const LoadReport& report);
+    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests,
+                          const LoadReport& report);
     Actions client_disconnected(Time now, Request& request);
     // Invokers whose facts changed; with `complete`, all others are gone.
     Actions endpoints_changed(Time now, const std::vector<Invoker*>& changed, bool complete);
@@ -92,7 +93,8 @@
     void tell_weighed(const Choice& choice, ExclusionReason bar);
     bool room_is_short();
     bool erred_there(const Request& request, const Invoker& invoker) const;
-    double estimate(const Function& function, const Invoker& invoker, const CachedFunction* cached, Choice& choice) const;
+    double estimate(const Function& function, const Invoker& invoker, const CachedFunction* cached,
+                    Choice& choice) const;
 
     bool may_hop(const Request& request, const Invoker& invoker) const;
     bool may_bounce(const Request& request) const;
@@ -146,7 +148,9 @@
     CachedFunction& believe(Function& function, Invoker& invoker);
     double load_time(const Function& function) const;
     double pace_of(const Invoker& invoker) const { return invoker.type->slowdown_factor * invoker.slowdown_factor; }
-    double press_of(const Invoker& invoker) const { return invoker.type->contention_factor * invoker.contention_factor; }
+    double press_of(const Invoker& invoker) const {
+        return invoker.type->contention_factor * invoker.contention_factor;
+    }
     double others_a_job() const;
     double crowd_at(const Invoker& invoker) const;
     double chance();
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -19,7 +19,7 @@
 
 namespace plumkeel {
 
-using Time = std::chrono::microseconds;         // a span, or a moment as the span since the instance's start
+using Time = std::chrono::microseconds;           // a span, or a moment as the span since the instance's start
 using TimerKey = std::pair<Time, std::uint64_t>;  // a place in the controller's ordered list of due times
 
 struct Function;
@@ -37,8 +37,8 @@
 };
 
 struct Tenant {
-    double quota_per_s{};  // jobs a second, over all controllers; 0: none stated
-    double recent_arrivals{};        // the module's fading count of arrivals
+    double quota_per_s{};      // jobs a second, over all controllers; 0: none stated
+    double recent_arrivals{};  // the module's fading count of arrivals
     Time last_arrival{};
 };
 
@@ -99,9 +99,9 @@
     bool in_flight{};
     bool starts_load{};  // this hop is its function's one load
     bool expected_warm{};
-    bool observed_warm{};  // by an answer from there, not by what other controllers are taken to do
-    int own_concurrent{};      // own jobs of the function there when it left
-    double estimated_load{};    // jobs thought to be there when it left
+    bool observed_warm{};     // by an answer from there, not by what other controllers are taken to do
+    int own_concurrent{};     // own jobs of the function there when it left
+    double estimated_load{};  // jobs thought to be there when it left
     std::optional<AttemptOutcome> outcome;
 };
 
@@ -110,13 +110,13 @@
 // Why a job was turned to its state.
 enum class DecisionReason {
     none,
-    best_invoker,  // of those weighed
-    new_replica,     // all are crowded: a copy is brought to a calm invoker
+    best_invoker,          // of those weighed
+    new_replica,           // all are crowded: a copy is brought to a calm invoker
     invoker_unresponsive,  // its invoker does not answer: it goes on to another
     no_eligible_invoker,   // no invoker may be sent it now
-    overloaded,       // it would be late only behind others' jobs
+    overloaded,            // it would be late only behind others' jobs
     load_in_progress,      // its function's one load is not over
-    concurrency_limit,   // all lanes of the copies that stand
+    concurrency_limit,     // all lanes of the copies that stand
     preload_sent,
     load_budget_exhausted,
     attempt_never_ran,  // its hop came back without having run: the next resend
@@ -174,9 +174,9 @@
     Time backoff{}, retry_at{};
     TimerKey timer{};
     Time last_arrival{};
-    double recent_arrivals{};               // a fading count of arrivals
+    double recent_arrivals{};     // a fading count of arrivals
     PlacementIndex::Homes homes;  // the first invokers, as the controllers rank them for this function
-    int open_requests{};                   // unclosed
+    int open_requests{};          // unclosed
     FunctionTableEntry table_entry;
 };
 
@@ -203,7 +203,7 @@
     std::optional<Time> slow_start_since, announced_start;
     std::deque<Time> slow_start_attempts;
     double slow_start_jitter{};  // from 0 to 1, at each start: this controller's luck with a part of a hop
-    bool is_down{};         // it was seen to be gone: its next answer comes from a new start
+    bool is_down{};              // it was seen to be gone: its next answer comes from a new start
     HealthState health{};
     int consecutive_timeouts{}, consecutive_resets{}, consecutive_successes{}, recovery_limit{};
     double error_rate{};  // fading part of its answers that were errors for jobs which others then honoured
@@ -214,11 +214,11 @@
     std::optional<double> reported_load;
     double baseline_load{};  // others' jobs there, over its last reports
     Time reported_at{};
-    int own_in_flight_at_report{};                          // own hops out when the report was measured
+    int own_in_flight_at_report{};                    // own hops out when the report was measured
     std::deque<std::pair<Time, int>> recent_changes;  // lately sent and ended
-    int recent_change_sum{};                            // the sum of these
+    int recent_change_sum{};                          // the sum of these
     Time backoff_until{}, full_until{};
-    std::vector<Function*> functions;                     // functions with a belief of it
+    std::vector<Function*> functions;                         // functions with a belief of it
     std::uint64_t listed_in{}, scored_in{}, referenced_in{};  // the last list, choice and sweep in which it came up
     FleetTableEntry table_entry;
 };
@@ -230,7 +230,16 @@
 };
 
 // What kept an invoker from being weighed for a job.
-enum class ExclusionReason { none, not_ready, slow_start_budget, unhealthy, recovery_limit, not_retryable, recently_rejected, no_capacity };
+enum class ExclusionReason {
+    none,
+    not_ready,
+    slow_start_budget,
+    unhealthy,
+    recovery_limit,
+    not_retryable,
+    recently_rejected,
+    no_capacity
+};
 
 struct Candidate {
     Invoker* invoker{};
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -17,12 +17,12 @@
 namespace {
 
 using namespace plumkeel;
-using platform_settings::SettingsError;
 using platform_settings::from_ms;
 using platform_settings::get;
 using platform_settings::has;
 using platform_settings::json;
 using platform_settings::need;
+using platform_settings::SettingsError;
 using platform_settings::span;
 
 double to_ms(Time t) {
@@ -59,7 +59,8 @@
 class Instance {
 public:
     Instance(std::string who, Time clock, const json& hello) : who_(std::move(who)), start_(clock) {
-        const platform_settings::PlatformSettings told = platform_settings::read(platform_settings::part(hello, "setup"));
+        const platform_settings::PlatformSettings told =
+            platform_settings::read(platform_settings::part(hello, "setup"));
         use_cases_ = told.request_classes;
         tenants_ = told.tenants;
         fields_ = told.report_fields;
@@ -81,8 +82,8 @@
             const auto remark = get<std::int64_t>(e, "remark");
             const int concurrent_requests = says_company_ ? static_cast<int>(remark / 8) : 0;
             const AttemptOutcome ending = ending_of(need<std::string>(e, "state_code"));
-            carry_out(scheduler_->attempt_ended(now, attempt, ending, note_of(remark), concurrent_requests, report(e)), now,
-                      actions);
+            carry_out(scheduler_->attempt_ended(now, attempt, ending, note_of(remark), concurrent_requests, report(e)),
+                      now, actions);
             drop_if_closed(need<std::uint64_t>(e, "txn"));
         } else if (kind == "HANGUP") {
             const auto it = jobs_.find(need<std::uint64_t>(e, "txn"));
@@ -105,8 +106,8 @@
             const auto it = functions_.find(need<std::string>(e, "function"));
             if (!invoker || it == functions_.end()) return;
             const AttemptOutcome ending = ending_of(need<std::string>(e, "state_code"));
-            carry_out(scheduler_->preload_ended(now, *it->second, *invoker, ending, get<int>(e, "count")),
-                      now, actions);
+            carry_out(scheduler_->preload_ended(now, *it->second, *invoker, ending, get<int>(e, "count")), now,
+                      actions);
         }
     }
 
@@ -114,8 +115,7 @@
     static std::uint64_t seed_of(const json& hello) {
         const auto it = hello.find("init_seed");
         if (it == hello.end() || !it->is_number()) return 0;
-        return it->is_number_integer() ? it->get<std::uint64_t>()
-                                       : static_cast<std::uint64_t>(it->get<double>());
+        return it->is_number_integer() ? it->get<std::uint64_t>() : static_cast<std::uint64_t>(it->get<double>());
     }
 
     void take(const json& e, Time now, json& actions) {
@@ -277,8 +277,7 @@
         }
         const json* bank = nullptr;
         if (kind == "DIRECTORY_UPDATE")
-            if (const auto found = banks_.find(get<int>(e, "bank")); found != banks_.end())
-                bank = &found->second;
+            if (const auto found = banks_.find(get<int>(e, "bank")); found != banks_.end()) bank = &found->second;
         it->second->event(kind, e, clock, bank, actions);
     }
 
--- a/src/simulator_adapter/traced.hpp
+++ b/src/simulator_adapter/traced.hpp
@@ -8,8 +8,8 @@
 #include <memory>
 #include <string>
 
-#include "trace/recording_scheduler.hpp"
 #include "trace/file.hpp"
+#include "trace/recording_scheduler.hpp"
 
 namespace plumkeel {
 
@@ -42,7 +42,8 @@
     for (char& c : plain)
         if (c == '/') c = '-';
     for (int n = 0; name.empty() || std::filesystem::exists(name); ++n)
-        name = std::string(folder) + "/" + plain + "-" + std::to_string(clock.count() / 1000) + "-" + std::to_string(n) + ".trace";
+        name = std::string(folder) + "/" + plain + "-" + std::to_string(clock.count() / 1000) + "-" +
+               std::to_string(n) + ".trace";
     auto file = std::make_shared<File>(name, clock);
     return std::make_unique<Hosted>(std::move(start), std::move(uses), std::move(users),
                                     [file](const trace::Record& record) { file->writer.add(record); });
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -36,7 +36,7 @@
 }
 
 FileSource::FileSource(std::string name) : name_(std::move(name)), file_(::open(name_.c_str(), O_RDONLY | O_CLOEXEC)) {
-    struct stat facts{};
+    struct stat facts {};
     if (file_ < 0 || ::fstat(file_, &facts) != 0) complain(name_);
     size_ = static_cast<std::uint64_t>(facts.st_size);
 }
--- a/src/trace/format.cpp
+++ b/src/trace/format.cpp
@@ -119,7 +119,10 @@
 Writer::~Writer() = default;
 
 Writer::Writer(Sink& sink, Time begun, std::size_t block_bytes, int level)
-    : sink_(sink), block_bytes_(std::min(block_bytes, max_block_bytes / 2)), level_(level), press_(std::make_unique<Press>()) {
+    : sink_(sink),
+      block_bytes_(std::min(block_bytes, max_block_bytes / 2)),
+      level_(level),
+      press_(std::make_unique<Press>()) {
     if (!press_->work) throw std::bad_alloc();
     std::string head(file_mark);
     put(head, version);
@@ -163,10 +166,15 @@
 
 void Writer::put_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const BlockLocation& place) {
     if (const std::size_t room = ZSTD_compressBound(raw.size()); packed_.size() < room) packed_.resize(room);
-    const std::size_t n = ZSTD_compressCCtx(press_->work, packed_.data(), packed_.size(), raw.data(), raw.size(), level_);
+    const std::size_t n =
+        ZSTD_compressCCtx(press_->work, packed_.data(), packed_.size(), raw.data(), raw.size(), level_);
     if (ZSTD_isError(n)) throw TraceError(std::string("a block can't be packed: ") + ZSTD_getErrorName(n));
     const std::string_view packed(packed_.data(), n);
-    BlockHead head{kind, flags, static_cast<std::uint32_t>(raw.size()), static_cast<std::uint32_t>(packed.size()), place,
+    BlockHead head{kind,
+                   flags,
+                   static_cast<std::uint32_t>(raw.size()),
+                   static_cast<std::uint32_t>(packed.size()),
+                   place,
                    XXH3_64bits(packed.data(), packed.size())};
     const std::string text = text_of(head);
     if (kind == Kind::records) {
@@ -219,12 +227,13 @@
     const auto theirs = get<std::uint32_t>(head, 8);
     if (theirs > version)
         throw TraceError("the trace is of version " + std::to_string(theirs) + ", this reader knows up to " +
-                    std::to_string(version));
+                         std::to_string(version));
     if (get<std::uint64_t>(head, 32) != XXH3_64bits(head.data(), 32)) throw TraceError("the trace's head is damaged");
     if (const auto needed = get<std::uint64_t>(head, 16) & ~known_features)
         throw TraceError("the trace needs features that this reader lacks: " + std::to_string(needed));
     begun_ = Time(get<std::int64_t>(head, 24));
-    if (begun_.count() > max_duration || begun_.count() < -max_duration) throw TraceError("the trace's head is damaged");
+    if (begun_.count() > max_duration || begun_.count() < -max_duration)
+        throw TraceError("the trace's head is damaged");
     finished_ = read_index();
     if (!finished_) scan();
 }
@@ -267,7 +276,8 @@
             if (head->kind == Kind::records)
                 places_.push_back(head->place);
             else if (!(head->flags & Flag::optional))
-                throw TraceError("the trace holds a part of kind " + std::to_string(head->kind) + " that this reader must know");
+                throw TraceError("the trace holds a part of kind " + std::to_string(head->kind) +
+                                 " that this reader must know");
             at += head->place.bytes;
             continue;
         }
@@ -330,7 +340,8 @@
 }
 
 void Reader::walk(Time from, const std::function<bool(const Record&)>& each) {
-    const auto begin = std::partition_point(places_.begin(), places_.end(), [&](const BlockLocation& p) { return p.last < from; });
+    const auto begin =
+        std::partition_point(places_.begin(), places_.end(), [&](const BlockLocation& p) { return p.last < from; });
     std::vector<Record> block;
     for (auto it = begin; it != places_.end(); ++it) {
         if (!unpack(*it, block)) continue;
--- a/src/trace/format.hpp
+++ b/src/trace/format.hpp
@@ -18,11 +18,11 @@
 
 constexpr std::uint32_t version = 1;
 constexpr std::int64_t max_duration = std::int64_t{1} << 55;  // microseconds, 1,100 years: sums of times can't overflow
-constexpr std::size_t max_block_bytes = 16 * 1024 * 1024;  // unpacked; what claims more is damage
+constexpr std::size_t max_block_bytes = 16 * 1024 * 1024;     // unpacked; what claims more is damage
 
 struct Record {
-    Time at{};            // since the trace's start; never goes back within a file
-    std::uint8_t type{};  // what it tells; see docs/trace-format.md
+    Time at{};                // since the trace's start; never goes back within a file
+    std::uint8_t type{};      // what it tells; see docs/trace-format.md
     std::uint64_t request{};  // 0: concerns no one job
     std::string body;
 
@@ -57,7 +57,7 @@
     std::uint32_t bytes{}, records{};  // on disk, with its head
     Time first{}, last{};
     std::uint64_t min_request{}, max_request{};  // both 0: it tells of no job
-    bool names{};                           // holds records of names
+    bool names{};                                // holds records of names
 };
 
 class Writer {
@@ -89,7 +89,7 @@
 };
 
 struct Damage {
-    std::uint64_t offset{}, bytes{};  // what could not be read
+    std::uint64_t offset{}, bytes{};    // what could not be read
     std::optional<Time> after, before;  // the records around it, where there are any
     std::string what;
 };
--- a/src/trace/names.cpp
+++ b/src/trace/names.cpp
@@ -53,18 +53,29 @@
 
 }  // namespace
 
-std::string_view name_of(RequestState state) { return pick(states, state); }
-std::string_view name_of(AttemptOutcome ending) { return pick(endings, ending); }
-std::string_view name_of(LoadEvent note) { return pick(notes, note); }
-std::string_view describe(DecisionReason why) { return pick(whys, why); }
-std::string_view describe(ExclusionReason bar) { return pick(bars, bar); }
+std::string_view name_of(RequestState state) {
+    return pick(states, state);
+}
+std::string_view name_of(AttemptOutcome ending) {
+    return pick(endings, ending);
+}
+std::string_view name_of(LoadEvent note) {
+    return pick(notes, note);
+}
+std::string_view describe(DecisionReason why) {
+    return pick(whys, why);
+}
+std::string_view describe(ExclusionReason bar) {
+    return pick(bars, bar);
+}
 
 std::optional<RequestState> parse_outcome(std::string_view word) {
     std::string plain(word);
     for (char& c : plain)
         if (c == '-') c = ' ';
     for (std::size_t i = 0; i < std::size(states); ++i)
-        if (states[i] == plain && static_cast<RequestState>(i) >= RequestState::succeeded) return static_cast<RequestState>(i);
+        if (states[i] == plain && static_cast<RequestState>(i) >= RequestState::succeeded)
+            return static_cast<RequestState>(i);
     return {};
 }
 
--- a/src/trace/names.hpp
+++ b/src/trace/names.hpp
@@ -11,7 +11,7 @@
 std::string_view name_of(RequestState state);
 std::string_view name_of(AttemptOutcome ending);
 std::string_view name_of(LoadEvent note);
-std::string_view describe(DecisionReason why);  // a clause: "because ..."
+std::string_view describe(DecisionReason why);   // a clause: "because ..."
 std::string_view describe(ExclusionReason bar);  // a clause: "passed over: ..."
 
 // An outcome by its word, spaces or hyphens alike.
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -109,7 +109,9 @@
         const Time at = batch.entries.front().at;
         Batch first;
         first.add({at, RecordType::gap, 0, pack(std::exchange(dropped_here_, {}))});
-        std::exchange(names_, {}).walk([&](const Record& record) { first.add({at, record.type, record.request, record.body}); });
+        std::exchange(names_, {}).walk([&](const Record& record) {
+            first.add({at, record.type, record.request, record.body});
+        });
         hand_over(std::move(first));
     }
     hand_over(std::move(batch));
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -21,10 +21,10 @@
     std::size_t block_bytes = 256 * 1024;
     std::size_t max_file_bytes = 256 * 1024 * 1024;  // then a new file is begun,
     Time max_file_age{};                             // and after so long; 0: by its size only
-    std::size_t max_files = 16;                 // the oldest beyond these are removed,
-    Time max_age{};                             // and what ended so long ago; 0: never for its age
-    double sample_ratio = 1;                           // the part of the jobs that is kept, beside all that ended badly
-    bool record_candidates = false;                        // with the invokers weighed for each job
+    std::size_t max_files = 16;                      // the oldest beyond these are removed,
+    Time max_age{};                                  // and what ended so long ago; 0: never for its age
+    double sample_ratio = 1;                         // the part of the jobs that is kept, beside all that ended badly
+    bool record_candidates = false;                  // with the invokers weighed for each job
 };
 
 class Recorder {
--- a/src/trace/recording_scheduler.cpp
+++ b/src/trace/recording_scheduler.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+
 #include "trace/names.hpp"
 
 namespace plumkeel::trace {
@@ -19,10 +20,13 @@
     out.to_probe.clear();
     out.to_preload.clear();
     out.released_functions.clear();
-    for (const Attempt* attempt : r.to_cancel) out.to_cancel.push_back({attempt->request->id, static_cast<std::uint64_t>(attempt->number)});
-    for (const Request* request : r.completed) out.completed.push_back({request->id, request->state, request->retry_after});
+    for (const Attempt* attempt : r.to_cancel)
+        out.to_cancel.push_back({attempt->request->id, static_cast<std::uint64_t>(attempt->number)});
+    for (const Request* request : r.completed)
+        out.completed.push_back({request->id, request->state, request->retry_after});
     for (const Attempt* attempt : r.to_send)
-        out.to_send.push_back({attempt->request->id, static_cast<std::uint64_t>(attempt->number), invoker(*attempt->invoker), attempt->timeout});
+        out.to_send.push_back({attempt->request->id, static_cast<std::uint64_t>(attempt->number),
+                               invoker(*attempt->invoker), attempt->timeout});
     for (const Invoker* each : r.to_probe) out.to_probe.push_back(invoker(*each));
     for (const PreloadCommand& order : r.to_preload)
         out.to_preload.push_back({function(*order.function), invoker(*order.invoker), order.copies});
@@ -42,15 +46,18 @@
     out.retry_after = t.to == RequestState::rejected ? t.request->retry_after : Time{};
     out.sent.reset();
     out.candidates.clear();
-    if (t.attempt) out.sent = {static_cast<std::uint64_t>(t.attempt->number), invoker(*t.attempt->invoker), t.attempt->starts_load, t.attempt->expected_warm};
+    if (t.attempt)
+        out.sent = {static_cast<std::uint64_t>(t.attempt->number), invoker(*t.attempt->invoker), t.attempt->starts_load,
+                    t.attempt->expected_warm};
     for (const Candidate& each : t.candidates)
-        out.candidates.push_back({invoker(*each.invoker), span_of(each.finish_s), span_of(each.contention_s), each.warm, each.exclusion});
+        out.candidates.push_back(
+            {invoker(*each.invoker), span_of(each.finish_s), span_of(each.contention_s), each.warm, each.exclusion});
 }
 
 }  // namespace
 
-RecordingScheduler::RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes, std::vector<const Tenant*> tenants, RecordCallback recorded,
-                 bool reasons)
+RecordingScheduler::RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes,
+                                       std::vector<const Tenant*> tenants, RecordCallback recorded, bool reasons)
     : scheduler_(start.seed, start.rules, start.capabilities), recorded_(std::move(recorded)) {
     for (const RequestClass* each : request_classes) use_cases_.emplace(each, use_cases_.size());
     for (const Tenant* each : tenants) tenants_.emplace(each, tenants_.size());
@@ -107,9 +114,11 @@
 Actions RecordingScheduler::submit(Time now, Request& request) {
     if (recorded_) {
         const Function& function = *request.function;
-        record(now, RecordType::submit, request.id,
-               RequestSubmitted{use_cases_.at(request.request_class), request.tenant ? 1 + tenants_.at(request.tenant) : 0, number_of(function, now),
-                     function.concurrency, function.declared_load_time, request.remaining, request.is_client_retry});
+        record(
+            now, RecordType::submit, request.id,
+            RequestSubmitted{use_cases_.at(request.request_class), request.tenant ? 1 + tenants_.at(request.tenant) : 0,
+                             number_of(function, now), function.concurrency, function.declared_load_time,
+                             request.remaining, request.is_client_retry});
     }
     const std::uint64_t id = request.id;
     return tell(now, id, scheduler_.submit(now, request));
@@ -117,14 +126,17 @@
 
 Actions RecordingScheduler::response_started(Time now, Attempt& attempt) {
     const std::uint64_t id = attempt.request->id;
-    if (recorded_) record(now, RecordType::response_started, id, ResponseStarted{static_cast<std::uint64_t>(attempt.number)});
+    if (recorded_)
+        record(now, RecordType::response_started, id, ResponseStarted{static_cast<std::uint64_t>(attempt.number)});
     return tell(now, id, scheduler_.response_started(now, attempt));
 }
 
-Actions RecordingScheduler::attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests, const LoadReport& report) {
+Actions RecordingScheduler::attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note,
+                                          int concurrent_requests, const LoadReport& report) {
     const std::uint64_t id = attempt.request->id;
     if (recorded_)
-        record(now, RecordType::attempt_ended, id, AttemptEnded{static_cast<std::uint64_t>(attempt.number), ending, note, concurrent_requests, report});
+        record(now, RecordType::attempt_ended, id,
+               AttemptEnded{static_cast<std::uint64_t>(attempt.number), ending, note, concurrent_requests, report});
     return tell(now, id, scheduler_.attempt_ended(now, attempt, ending, note, concurrent_requests, report));
 }
 
@@ -138,7 +150,8 @@
     EndpointsChanged list{complete, 0, {}};
     for (const Invoker* each : told)
         list.changed.push_back({number_of(*each, now), each->ready, each->capacity, each->zone,
-                                kinds_.try_emplace(each->type, kinds_.size()).first->second, each->cell, each->started_at});
+                                kinds_.try_emplace(each->type, kinds_.size()).first->second, each->cell,
+                                each->started_at});
     record(now, RecordType::endpoints_changed, 0, list);
 }
 
@@ -147,7 +160,8 @@
     return tell(now, 0, scheduler_.endpoints_changed(now, changed, complete));
 }
 
-Actions RecordingScheduler::endpoints_removed(Time now, const std::vector<Invoker*>& gone, const std::function<std::vector<Invoker*>()>& still_listed) {
+Actions RecordingScheduler::endpoints_removed(Time now, const std::vector<Invoker*>& gone,
+                                              const std::function<std::vector<Invoker*>()>& still_listed) {
     if (recorded_) record_list(now, still_listed(), true);
     return tell(now, 0, scheduler_.endpoints_removed(now, gone));
 }
@@ -158,11 +172,13 @@
 }
 
 Actions RecordingScheduler::health_check_ended(Time now, Invoker& invoker, bool came, const LoadReport& report) {
-    if (recorded_) record(now, RecordType::health_check_ended, 0, HealthCheckEnded{number_of(invoker, now), came, report});
+    if (recorded_)
+        record(now, RecordType::health_check_ended, 0, HealthCheckEnded{number_of(invoker, now), came, report});
     return tell(now, 0, scheduler_.health_check_ended(now, invoker, came, report));
 }
 
-Actions RecordingScheduler::preload_ended(Time now, Function& function, Invoker& invoker, AttemptOutcome ending, int copies) {
+Actions RecordingScheduler::preload_ended(Time now, Function& function, Invoker& invoker, AttemptOutcome ending,
+                                          int copies) {
     if (recorded_) {
         const PreloadEnded told{number_of(function, now), number_of(invoker, now), ending, copies};
         record(now, RecordType::preload_ended, 0, told);
@@ -197,7 +213,8 @@
 
     Invoker* invoker(std::uint64_t number) {
         const auto it = invokers.find(number);
-        if (it == invokers.end() || !it->second->type) throw TraceError("a record names an invoker that was never listed");
+        if (it == invokers.end() || !it->second->type)
+            throw TraceError("a record names an invoker that was never listed");
         return it->second.get();
     }
     Function* function(std::uint64_t number) {
@@ -309,7 +326,8 @@
             const auto told = unpack<AttemptEnded>(record.body);
             Attempt* one = attempt(record.request, told.attempt);
             if (!one) return {};
-            return controller->attempt_ended(at, *one, told.outcome, told.load_event, told.concurrent_requests, told.report);
+            return controller->attempt_ended(at, *one, told.outcome, told.load_event, told.concurrent_requests,
+                                             told.report);
         }
         case RecordType::client_disconnected: {
             const auto request = requests.find(record.request);
@@ -361,7 +379,8 @@
     };
     for (const auto& each : answer.to_send) {
         const auto there = invokers.find(each.invoker);
-        note(each.request, "to " + (there == invokers.end() ? "#" + std::to_string(each.invoker) : there->second->name));
+        note(each.request,
+             "to " + (there == invokers.end() ? "#" + std::to_string(each.invoker) : there->second->name));
     }
     for (const auto& each : answer.completed) note(each.request, std::string(name_of(each.state)));
 }
@@ -371,16 +390,20 @@
     if (record.type == RecordType::resumed) {
         if (const auto told = unpack<Resumed>(record.body); !told.part.empty())
             throw TraceError("the trace is " + told.part + ": it can't be decided again");
-        if (!s.controller) throw TraceError("the trace begins in mid-flight, without its first file: it can't be decided again");
+        if (!s.controller)
+            throw TraceError("the trace begins in mid-flight, without its first file: it can't be decided again");
         return;
     }
-    if (record.type == RecordType::sampled_request) throw TraceError("the trace holds a sample of the jobs: it can't be decided again");
-    if (record.type == RecordType::gap) throw TraceError("the recorder dropped records here: it can be decided again up to there");
+    if (record.type == RecordType::sampled_request)
+        throw TraceError("the trace holds a sample of the jobs: it can't be decided again");
+    if (record.type == RecordType::gap)
+        throw TraceError("the recorder dropped records here: it can be decided again up to there");
     if (record.type == RecordType::settings) {
         if (!s.controller) s.begin(record);
         return;  // a further file tells them again
     }
-    if (!s.controller) throw TraceError("the trace begins in mid-flight, without the settings: it can't be decided again");
+    if (!s.controller)
+        throw TraceError("the trace begins in mid-flight, without the settings: it can't be decided again");
     if (s.learn_name(record)) return;
     if (record.type != RecordType::actions) {
         s.call = record;
@@ -408,7 +431,8 @@
     s.note_ways(then, &std::pair<std::string, std::string>::first);
     s.note_ways(now, &std::pair<std::string, std::string>::second);
     if (s.found.first) return;
-    s.found.first = Difference{s.found.calls, s.call, describe(then), s.now ? describe(now) : "nothing: the call no longer fits"};
+    s.found.first =
+        Difference{s.found.calls, s.call, describe(then), s.now ? describe(now) : "nothing: the call no longer fits"};
 }
 
 Comparison Replayer::compare() {
@@ -425,12 +449,16 @@
 std::string describe(const ActionsRecord& answer) {
     std::string out;
     auto add = [&](std::string words) { out += (out.empty() ? "" : "; ") + std::move(words); };
-    for (const auto& each : answer.to_cancel) add(fmt::format("calls hop {} of job {} off", each.attempt, each.request));
+    for (const auto& each : answer.to_cancel)
+        add(fmt::format("calls hop {} of job {} off", each.attempt, each.request));
     for (const auto& each : answer.completed)
         add(fmt::format("job {} is {}{}", each.request, name_of(each.state),
-                        each.retry_after > Time{} ? fmt::format(", to come back after {} ms", each.retry_after.count() / 1000) : ""));
+                        each.retry_after > Time{}
+                            ? fmt::format(", to come back after {} ms", each.retry_after.count() / 1000)
+                            : ""));
     for (const auto& each : answer.to_send)
-        add(fmt::format("hop {} of job {} goes to invoker #{} for {} ms", each.attempt, each.request, each.invoker, each.timeout.count() / 1000));
+        add(fmt::format("hop {} of job {} goes to invoker #{} for {} ms", each.attempt, each.request, each.invoker,
+                        each.timeout.count() / 1000));
     for (const std::uint64_t each : answer.to_probe) add(fmt::format("probes invoker #{}", each));
     for (const auto& each : answer.to_preload)
         add(fmt::format("orders {} copies of function #{} at invoker #{}", each.copies, each.function, each.invoker));
--- a/src/trace/recording_scheduler.hpp
+++ b/src/trace/recording_scheduler.hpp
@@ -19,16 +19,18 @@
 public:
     // Use cases and tenants by their objects, numbered as in `start`. `reasons`: with the invokers weighed for each
     // job, else with the reason in a word.
-    RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes, std::vector<const Tenant*> tenants, RecordCallback recorded,
-            bool reasons = false);
+    RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes,
+                       std::vector<const Tenant*> tenants, RecordCallback recorded, bool reasons = false);
 
     Actions submit(Time now, Request& request);
     Actions response_started(Time now, Attempt& attempt);
-    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests, const LoadReport& report);
+    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests,
+                          const LoadReport& report);
     Actions client_disconnected(Time now, Request& request);
     Actions endpoints_changed(Time now, const std::vector<Invoker*>& changed, bool complete);
     // Recorded as the whole list without them, which means the same.
-    Actions endpoints_removed(Time now, const std::vector<Invoker*>& gone, const std::function<std::vector<Invoker*>()>& still_listed);
+    Actions endpoints_removed(Time now, const std::vector<Invoker*>& gone,
+                              const std::function<std::vector<Invoker*>()>& still_listed);
     Actions endpoint_stream_lost(Time now);
     Actions health_check_ended(Time now, Invoker& invoker, bool came, const LoadReport& report);
     Actions preload_ended(Time now, Function& function, Invoker& invoker, AttemptOutcome ending, int copies);
@@ -59,9 +61,9 @@
 };
 
 struct Difference {
-    std::uint64_t call{};  // its number in the trace
-    Record record;           // the call
-    std::string recorded, replayed; // the answers, in words
+    std::uint64_t call{};            // its number in the trace
+    Record record;                   // the call
+    std::string recorded, replayed;  // the answers, in words
 };
 
 struct Comparison {
--- a/src/trace/records.cpp
+++ b/src/trace/records.cpp
@@ -113,7 +113,8 @@
     void operator()(Time& v) {
         std::int64_t n = v.count();
         (*this)(n);
-        if (!Io::writes && (n > max_duration || n < -max_duration)) throw TraceError("a time of a record is out of all bounds");
+        if (!Io::writes && (n > max_duration || n < -max_duration))
+            throw TraceError("a time of a record is out of all bounds");
         v = Time(n);
     }
     void operator()(std::string& v) {
@@ -123,7 +124,7 @@
             v = io.text();
     }
     template <class T>
-        requires std::is_enum_v<T>
+    requires std::is_enum_v<T>
     void operator()(T& v) {
         auto n = static_cast<std::uint64_t>(v);
         (*this)(n);
@@ -152,10 +153,7 @@
         (*this)(v.second);
     }
     template <class T>
-        requires(std::is_class_v<T>)
-    void operator()(T& v) {
-        body(*this, v);
-    }
+    requires(std::is_class_v<T>) void operator()(T& v) { body(*this, v); }
     template <class... T>
     void all(T&... values) {
         ((*this)(values), ...);
@@ -176,13 +174,14 @@
 }
 template <class Io>
 void body(Io& io, SafetyRules& it) {
-    io.all(it.slow_start_duration, it.slow_start_initial_share, it.slow_start_rate_multiple, it.slow_start_window, it.load_budget_window, it.load_budget_base, it.load_budget_per_request);
+    io.all(it.slow_start_duration, it.slow_start_initial_share, it.slow_start_rate_multiple, it.slow_start_window,
+           it.load_budget_window, it.load_budget_base, it.load_budget_per_request);
 }
 template <class Io>
 void body(Io& io, Capabilities& it) {
     io.all(it.cancellation, it.health_checks, it.hedging, it.retry_after, it.preload, it.subscribes_endpoints,
-           it.on_demand_loading, it.stable_capacity, it.max_attempts, it.controller_count, it.max_retry_after, it.keep_alive,
-           it.clock_resolution, it.memory_price);
+           it.on_demand_loading, it.stable_capacity, it.max_attempts, it.controller_count, it.max_retry_after,
+           it.keep_alive, it.clock_resolution, it.memory_price);
 }
 template <class Io>
 void body(Io& io, Start& it) {
@@ -223,7 +222,8 @@
 }
 template <class Io>
 void body(Io& io, RequestSubmitted& it) {
-    io.all(it.request_class, it.tenant, it.function, it.concurrency, it.declared_load_time, it.remaining, it.is_client_retry);
+    io.all(it.request_class, it.tenant, it.function, it.concurrency, it.declared_load_time, it.remaining,
+           it.is_client_retry);
 }
 template <class Io>
 void body(Io& io, ResponseStarted& it) {
@@ -267,7 +267,8 @@
 }
 template <class Io>
 void body(Io& io, ActionsRecord& it) {
-    io.all(it.to_cancel, it.completed, it.to_send, it.to_probe, it.to_preload, it.released_functions, it.subscribe_endpoints, it.next_wake);
+    io.all(it.to_cancel, it.completed, it.to_send, it.to_probe, it.to_preload, it.released_functions,
+           it.subscribe_endpoints, it.next_wake);
 }
 template <class Io>
 void body(Io& io, TransitionRecord::Sent& it) {
@@ -310,8 +311,8 @@
     return told;
 }
 
-#define PLUMKEEL_RECORD_TYPE(T)                  \
-    template std::string pack<T>(const T&); \
+#define PLUMKEEL_RECORD_TYPE(T)                         \
+    template std::string pack<T>(const T&);             \
     template void pack_into<T>(std::string&, const T&); \
     template T unpack<T>(std::string_view);
 PLUMKEEL_RECORD_TYPE(Start)
--- a/src/trace/records.hpp
+++ b/src/trace/records.hpp
@@ -27,8 +27,8 @@
     health_check_ended,
     preload_ended,
     wake,
-    actions = 30,  // the Results of the call before it
-    transition = 31,    // a job's change of state in the call before it, and why
+    actions = 30,     // the Results of the call before it
+    transition = 31,  // a job's change of state in the call before it, and why
 };
 
 // What the controller was given at its start, in the order in which the records number them.
--- a/src/trace/sampler.cpp
+++ b/src/trace/sampler.cpp
@@ -44,7 +44,8 @@
             const auto told = unpack<RequestSubmitted>(record.body);
             request.late = record.at + told.remaining;
             if (told.request_class < start_.request_classes.size())
-                request.late = std::min(request.late, record.at + start_.request_classes[told.request_class].second.latency_target);
+                request.late = std::min(request.late,
+                                        record.at + start_.request_classes[told.request_class].second.latency_target);
             break;
         }
         case RecordType::attempt_ended:
--- a/src/trace_analysis/chart.cpp
+++ b/src/trace_analysis/chart.cpp
@@ -16,10 +16,25 @@
 struct Rgb {
     int r, g, b;
 };
-constexpr std::array<Rgb, 19> colours = {{{255, 255, 255}, {30, 30, 30}, {150, 150, 150}, {120, 180, 120}, {225, 190, 70},
-                                          {110, 150, 210}, {190, 50, 50}, {160, 160, 160}, {215, 215, 215},
-                                          {31, 119, 180}, {255, 127, 14}, {44, 160, 44}, {214, 39, 40}, {148, 103, 189},
-                                          {140, 86, 75}, {227, 119, 194}, {90, 90, 90}, {188, 189, 34}, {23, 190, 207}}};
+constexpr std::array<Rgb, 19> colours = {{{255, 255, 255},
+                                          {30, 30, 30},
+                                          {150, 150, 150},
+                                          {120, 180, 120},
+                                          {225, 190, 70},
+                                          {110, 150, 210},
+                                          {190, 50, 50},
+                                          {160, 160, 160},
+                                          {215, 215, 215},
+                                          {31, 119, 180},
+                                          {255, 127, 14},
+                                          {44, 160, 44},
+                                          {214, 39, 40},
+                                          {148, 103, 189},
+                                          {140, 86, 75},
+                                          {227, 119, 194},
+                                          {90, 90, 90},
+                                          {188, 189, 34},
+                                          {23, 190, 207}}};
 
 struct Column {  // some seconds together
     Outcomes ended;
@@ -104,14 +119,16 @@
 
     void outcomes(const std::string& title) {
         double most = 0;
-        for (const Column& c : columns_) most = std::max(most, static_cast<double>(c.ended.total()) / static_cast<double>(step_));
+        for (const Column& c : columns_)
+            most = std::max(most, static_cast<double>(c.ended.total()) / static_cast<double>(step_));
         panel(0.69, 0.95, most, "jobs ended a second", false);
         plmtex("t", 1.5, 0.5, 0.5, plain(title).c_str());
         for (std::size_t i = 0; i < columns_.size(); ++i) {
             const Outcomes& o = columns_[i].ended;
             double y = 0;
-            const std::pair<std::uint64_t, int> parts[] = {{o.succeeded, honoured}, {o.late, late}, {o.rejected, bounced},
-                                                           {o.failed, written_off}, {o.cancelled, abandoned}, {o.unfinished, unfinished}};
+            const std::pair<std::uint64_t, int> parts[] = {{o.succeeded, honoured},  {o.late, late},
+                                                           {o.rejected, bounced},    {o.failed, written_off},
+                                                           {o.cancelled, abandoned}, {o.unfinished, unfinished}};
             for (const auto& [n, colour] : parts) {
                 const double up = y + static_cast<double>(n) / static_cast<double>(step_);
                 if (n) box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), y, up, colour);
@@ -129,14 +146,16 @@
         panel(0.49, 0.66, most, "jobs parked", false);
         for (std::size_t i = 0; i < columns_.size(); ++i)
             if (columns_[i].parked)
-                box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), 0, static_cast<double>(columns_[i].parked), bounced);
+                box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), 0,
+                    static_cast<double>(columns_[i].parked), bounced);
         marks(most);
     }
 
     void invokers() {
         std::vector<std::pair<std::uint64_t, std::string>> by_hops;
         for (const auto& [name, attempts] : summary_.invokers()) by_hops.emplace_back(attempts.sent, name);
-        std::stable_sort(by_hops.begin(), by_hops.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
+        std::stable_sort(by_hops.begin(), by_hops.end(),
+                         [](const auto& a, const auto& b) { return a.first > b.first; });
         if (by_hops.size() > most_invokers) by_hops.resize(most_invokers);
         double most = 0;
         for (const Column& c : columns_)
@@ -152,13 +171,16 @@
             for (std::size_t i = 0; i < columns_.size(); ++i) {
                 const auto it = columns_[i].attempts.find(name);
                 x.push_back((static_cast<double>(i) + 0.5) * static_cast<double>(step_));
-                y.push_back(it == columns_[i].attempts.end() ? 0 : static_cast<double>(it->second) / static_cast<double>(step_));
+                y.push_back(it == columns_[i].attempts.end()
+                                ? 0
+                                : static_cast<double>(it->second) / static_cast<double>(step_));
             }
             plcol0(colour++);
             plline(static_cast<PLINT>(x.size()), x.data(), y.data());
         }
         plwidth(1);
-        for (std::size_t i = 0; i < by_hops.size(); ++i) key(0.45, static_cast<int>(i), first_invoker + static_cast<int>(i), by_hops[i].second);
+        for (std::size_t i = 0; i < by_hops.size(); ++i)
+            key(0.45, static_cast<int>(i), first_invoker + static_cast<int>(i), by_hops[i].second);
     }
 
     void told_marks() {
@@ -167,10 +189,12 @@
         plcol0(ink);
         const auto& all = summary_.annotations();
         for (std::size_t i = 0; i < std::min(all.size(), most_told); ++i) {
-            const std::string words = fmt::format("{:.2f} s  {}", static_cast<double>(all[i].at.count()) / 1e6, all[i].what);
+            const std::string words =
+                fmt::format("{:.2f} s  {}", static_cast<double>(all[i].at.count()) / 1e6, all[i].what);
             plptex(i % 2 ? 0.52 : 0.04, 0.92 - 0.11 * static_cast<double>(i / 2), 1, 0, 0, plain(words).c_str());
         }
-        if (all.size() > most_told) plptex(0.04, 0.03, 1, 0, 0, fmt::format("and {} further marks", all.size() - most_told).c_str());
+        if (all.size() > most_told)
+            plptex(0.04, 0.03, 1, 0, 0, fmt::format("and {} further marks", all.size() - most_told).c_str());
     }
 
     const Summary& summary_;
--- a/src/trace_analysis/endpoint_diff.cpp
+++ b/src/trace_analysis/endpoint_diff.cpp
@@ -2,7 +2,8 @@
 
 namespace plumkeel::trace_analysis {
 
-std::vector<EndpointDiff::EndpointChange> EndpointDiff::feed(const trace::EndpointsChanged& told, const NameTable& names) {
+std::vector<EndpointDiff::EndpointChange> EndpointDiff::feed(const trace::EndpointsChanged& told,
+                                                             const NameTable& names) {
     std::vector<EndpointChange> news;
     std::map<std::string, trace::EndpointRecord> now;
     for (const trace::EndpointRecord& entry : told.changed) now[names.invoker(entry.invoker)] = entry;
--- a/src/trace_analysis/merged_stream.cpp
+++ b/src/trace_analysis/merged_stream.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <map>
 
-#include "trace_analysis/endpoint_diff.hpp"
 #include "trace/file.hpp"
+#include "trace_analysis/endpoint_diff.hpp"
 
 namespace plumkeel::trace_analysis {
 namespace {
@@ -55,7 +55,8 @@
         std::stable_sort(chapters->files_.begin(), chapters->files_.end(),
                          [](const auto& a, const auto& b) { return a.resumed.before < b.resumed.before; });
         // A controller that was started again is another one, with numbers of its own.
-        if (const int life = ++lives[chapters->start_.name]; life > 1) chapters->start_.name += "#" + std::to_string(life);
+        if (const int life = ++lives[chapters->start_.name]; life > 1)
+            chapters->start_.name += "#" + std::to_string(life);
         out.push_back(std::move(chapters));
     }
     return out;
@@ -70,13 +71,16 @@
     if (!from) return;
     for (const File& file : files_)
         file.reader->names([&](const Record& record) {
-            if (record.type != trace::gap && record.type != trace::function_released) prelude_.push_back({*from, record.type, 0, record.body});
+            if (record.type != trace::gap && record.type != trace::function_released)
+                prelude_.push_back({*from, record.type, 0, record.body});
             return true;
         });
     for (; file_ < files_.size(); ++file_) {
         const auto& places = files_[file_].reader->places();
         place_ = static_cast<std::size_t>(
-            std::partition_point(places.begin(), places.end(), [&](const trace::BlockLocation& p) { return p.last < *from; }) - places.begin());
+            std::partition_point(places.begin(), places.end(),
+                                 [&](const trace::BlockLocation& p) { return p.last < *from; }) -
+            places.begin());
         if (place_ < places.size()) break;
     }
     if (file_ == files_.size()) return;
@@ -210,12 +214,15 @@
         for (Strand& strand : strands_) {
             const trace::Start& start = strand.part.start();
             if (&strand == &strands_.front()) all = start;
-            for (const auto& [name, use] : start.request_classes) strand.request_classes.push_back(number_of(all.request_classes, name, use));
-            for (const auto& [name, share] : start.tenants) strand.tenants.push_back(number_of(all.tenants, name, share));
+            for (const auto& [name, use] : start.request_classes)
+                strand.request_classes.push_back(number_of(all.request_classes, name, use));
+            for (const auto& [name, share] : start.tenants)
+                strand.tenants.push_back(number_of(all.tenants, name, share));
             who.controllers.push_back(strand.part.controller());
         }
         all.name = "merged";
-        told_.push_back({Time{}, trace::resumed, 0, trace::pack(trace::Resumed{0, 0, "merged of several controllers"})});
+        told_.push_back(
+            {Time{}, trace::resumed, 0, trace::pack(trace::Resumed{0, 0, "merged of several controllers"})});
         told_.push_back({Time{}, trace::settings, 0, trace::pack(all)});
         told_.push_back({Time{}, trace::merged, 0, trace::pack(who)});
     }
@@ -288,8 +295,10 @@
             }
             case trace::submit: {
                 auto told = trace::unpack<trace::RequestSubmitted>(old);
-                if (told.request_class < strand.request_classes.size()) told.request_class = strand.request_classes[told.request_class];
-                if (told.tenant && told.tenant <= strand.tenants.size()) told.tenant = 1 + strand.tenants[told.tenant - 1];
+                if (told.request_class < strand.request_classes.size())
+                    told.request_class = strand.request_classes[told.request_class];
+                if (told.tenant && told.tenant <= strand.tenants.size())
+                    told.tenant = 1 + strand.tenants[told.tenant - 1];
                 told.function = functions_.number(strand.names.function(told.function), at);
                 return trace::pack(told);
             }
@@ -333,7 +342,8 @@
 
 }  // namespace
 
-std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets, std::optional<Time> from) {
+std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets,
+                                           std::optional<Time> from) {
     if (parts.empty()) throw TraceError("no trace is given");
     return std::make_unique<Braid>(std::move(parts), offsets, from);
 }
@@ -355,7 +365,8 @@
             const auto told = trace::unpack<trace::TransitionRecord>(record.body);
             if (told.sent) {
                 auto& there = attempts[record.request];
-                there.resize(std::max<std::size_t>(there.size(), std::min<std::uint64_t>(told.sent->attempt, 1000) + 1));
+                there.resize(
+                    std::max<std::size_t>(there.size(), std::min<std::uint64_t>(told.sent->attempt, 1000) + 1));
                 there[std::min<std::uint64_t>(told.sent->attempt, 1000)] = names.invoker(told.sent->invoker);
             } else if (told.to >= RequestState::succeeded) {
                 attempts.erase(record.request);
@@ -367,7 +378,8 @@
             if (it == attempts.end() || told.attempt >= it->second.size()) return;
             const std::string& who = it->second[told.attempt];
             const auto last = cut.find(who);
-            if (told.outcome == AttemptOutcome::connection_lost && (last == cut.end() || record.at - last->second > one_death))
+            if (told.outcome == AttemptOutcome::connection_lost &&
+                (last == cut.end() || record.at - last->second > one_death))
                 out["cut " + who].push_back(part.begun() + record.at);
             cut[who] = record.at;
         } else if (record.type == trace::endpoints_changed) {
--- a/src/trace_analysis/merged_stream.hpp
+++ b/src/trace_analysis/merged_stream.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "trace_analysis/name_table.hpp"
 #include "trace/format.hpp"
+#include "trace_analysis/name_table.hpp"
 
 namespace plumkeel::trace_analysis {
 
@@ -16,7 +16,7 @@
 public:
     virtual ~RecordStream() = default;
     virtual std::optional<Record> next() = 0;
-    virtual Time begun() const = 0;  // of its records' times, since the Unix epoch
+    virtual Time begun() const = 0;        // of its records' times, since the Unix epoch
     virtual double part_read() const = 0;  // from 0 to 1
 };
 
@@ -72,12 +72,12 @@
 // like moments in the order of the controllers. Their numbers of jobs, functions, invokers and so on are made
 // one; what serves only deciding again is left out.
 std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets,
-                               std::optional<Time> from = {});
+                                           std::optional<Time> from = {});
 
 struct ClockOffset {
-    Time offset{};      // to add to this controller's clock to have the first one's
+    Time offset{};       // to add to this controller's clock to have the first one's
     std::size_t from{};  // how many happenings that both saw tell it; 0: none, and the offset is 0
-    Time spread{};      // half of those differ by no more than this from it
+    Time spread{};       // half of those differ by no more than this from it
 };
 
 // From what several controllers saw: hops cut off by the same death of an invoker, and changes of the list.
--- a/src/trace_analysis/name_table.cpp
+++ b/src/trace_analysis/name_table.cpp
@@ -39,7 +39,8 @@
 }
 
 std::string NameTable::request_class(std::uint64_t number) const {
-    return number < start_.request_classes.size() ? start_.request_classes[number].first : "use case #" + std::to_string(number);
+    return number < start_.request_classes.size() ? start_.request_classes[number].first
+                                                  : "use case #" + std::to_string(number);
 }
 
 std::string NameTable::tenant(std::uint64_t number) const {
@@ -47,8 +48,12 @@
     return number <= start_.tenants.size() ? start_.tenants[number - 1].first : "tenant #" + std::to_string(number);
 }
 
-std::string NameTable::function(std::uint64_t number) const { return find(functions_, number, "function"); }
-std::string NameTable::invoker(std::uint64_t number) const { return find(invokers_, number, "invoker"); }
+std::string NameTable::function(std::uint64_t number) const {
+    return find(functions_, number, "function");
+}
+std::string NameTable::invoker(std::uint64_t number) const {
+    return find(invokers_, number, "invoker");
+}
 
 std::string NameTable::request(std::uint64_t number) const {
     if (merged_.empty()) return std::to_string(number);
@@ -56,7 +61,8 @@
 }
 
 Time NameTable::latency_target(std::uint64_t request_class) const {
-    return request_class < start_.request_classes.size() ? start_.request_classes[request_class].second.latency_target : Time{};
+    return request_class < start_.request_classes.size() ? start_.request_classes[request_class].second.latency_target
+                                                         : Time{};
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/name_table.hpp
+++ b/src/trace_analysis/name_table.hpp
@@ -25,7 +25,7 @@
     std::string tenant(std::uint64_t number) const;  // as trace::Taken has it; "" for none
     std::string function(std::uint64_t number) const;
     std::string invoker(std::uint64_t number) const;
-    std::string request(std::uint64_t number) const;  // "12", or "12@controller" in a merged trace
+    std::string request(std::uint64_t number) const;         // "12", or "12@controller" in a merged trace
     Time latency_target(std::uint64_t request_class) const;  // 0 where it is not known
 
 private:
--- a/src/trace_analysis/pseudonymizer.cpp
+++ b/src/trace_analysis/pseudonymizer.cpp
@@ -16,8 +16,8 @@
     const std::string text = fmt::format("{}:{}", role, name);
     unsigned char sum[EVP_MAX_MD_SIZE];
     unsigned int length = 0;
-    if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()), reinterpret_cast<const unsigned char*>(text.data()),
-              text.size(), sum, &length))
+    if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
+              reinterpret_cast<const unsigned char*>(text.data()), text.size(), sum, &length))
         throw trace::TraceError("the names can't be hashed");
     std::string out(role);
     out += '-';
--- a/src/trace_analysis/request_history.cpp
+++ b/src/trace_analysis/request_history.cpp
@@ -65,7 +65,8 @@
         }
         case trace::attempt_ended: {
             const auto told = trace::unpack<trace::AttemptEnded>(record.body);
-            const auto attempt = std::find_if(history.attempts.begin(), history.attempts.end(), [&](const AttemptHistory& h) { return h.number == told.attempt; });
+            const auto attempt = std::find_if(history.attempts.begin(), history.attempts.end(),
+                                              [&](const AttemptHistory& h) { return h.number == told.attempt; });
             if (attempt != history.attempts.end() && !attempt->ended_at) {
                 attempt->ended_at = record.at;
                 attempt->outcome = told.outcome;
@@ -92,7 +93,8 @@
     RequestHistory& history = it.history;
     if (turn.transition.sent) {
         const auto& sent = *turn.transition.sent;
-        history.attempts.push_back({sent.attempt, names_.invoker(sent.invoker), record.at, {}, {}, {}, sent.starts_load, sent.warm});
+        history.attempts.push_back(
+            {sent.attempt, names_.invoker(sent.invoker), record.at, {}, {}, {}, sent.starts_load, sent.warm});
         ++it.out;
     }
     if (turn.transition.to >= RequestState::succeeded && !history.outcome) {
@@ -119,7 +121,8 @@
     if (!request_class.empty() && history.request_class != request_class) return false;
     if (!tenant.empty() && history.tenant != tenant) return false;
     if (!function.empty() && history.function != function) return false;
-    if (!invoker.empty() && std::none_of(history.attempts.begin(), history.attempts.end(), [&](const AttemptHistory& h) { return h.invoker == invoker; }))
+    if (!invoker.empty() && std::none_of(history.attempts.begin(), history.attempts.end(),
+                                         [&](const AttemptHistory& h) { return h.invoker == invoker; }))
         return false;
     if (outcome.empty()) return true;
     std::string wanted = outcome;
@@ -130,7 +133,8 @@
 void HistoryFilter::check() const {
     if (outcome.empty() || outcome == "badly" || outcome == "late" || outcome == "unfinished") return;
     if (!trace::parse_outcome(outcome))
-        throw trace::TraceError("outcome '" + outcome + "': none of honoured, late, bounced, written-off, abandoned, unfinished, badly");
+        throw trace::TraceError("outcome '" + outcome +
+                                "': none of honoured, late, bounced, written-off, abandoned, unfinished, badly");
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/request_history.hpp
+++ b/src/trace_analysis/request_history.hpp
@@ -42,7 +42,7 @@
     bool is_late() const { return latency_target > Time{} && ended_at - received_at > latency_target; }
     bool ended_badly() const { return outcome != RequestState::succeeded || is_late(); }
     Time duration() const { return ended_at - received_at; }
-    Time parked_time() const;  // for how long, in all
+    Time parked_time() const;          // for how long, in all
     std::string outcome_name() const;  // "honoured", "late" and so on; "unfinished" where the trace ends before it
 };
 
@@ -81,7 +81,7 @@
 
 // Which jobs are meant; what is not set does not matter.
 struct HistoryFilter {
-    std::optional<Time> from, to;  // taken at or after, and before
+    std::optional<Time> from, to;                          // taken at or after, and before
     std::string request_class, tenant, function, invoker;  // invoker: any of its hops went there
     std::string outcome;  // as outcome_word(), or "badly" for all but those honoured in time
 
--- a/src/trace_analysis/summary.cpp
+++ b/src/trace_analysis/summary.cpp
@@ -98,7 +98,8 @@
     unfinished += others.unfinished;
 }
 
-Summary::Summary(std::size_t most_rows, std::size_t most_seconds) : most_rows_(most_rows), most_seconds_(most_seconds) {}
+Summary::Summary(std::size_t most_rows, std::size_t most_seconds)
+    : most_rows_(most_rows), most_seconds_(most_seconds) {}
 
 template <class Row>
 Row& Summary::row(std::map<std::string, Row>& table, const std::string& name) {
@@ -161,9 +162,12 @@
     const auto told = trace::unpack<trace::EndpointsChanged>(record.body);
     EndpointDiff& listing = listings_[told.controller];
     const bool began = listing.begun();
-    static constexpr const char* words[] = {" is listed", " is ready", " drains", " has started again", " is gone from the list"};
-    for (const EndpointDiff::EndpointChange& each : listing.feed(told, names)) annotate(record.at, each.who + words[static_cast<int>(each.change)]);
-    if (!began && listing.begun() && record.at > std::chrono::seconds(1) && told.controller < names.controllers().size())
+    static constexpr const char* words[] = {" is listed", " is ready", " drains", " has started again",
+                                            " is gone from the list"};
+    for (const EndpointDiff::EndpointChange& each : listing.feed(told, names))
+        annotate(record.at, each.who + words[static_cast<int>(each.change)]);
+    if (!began && listing.begun() && record.at > std::chrono::seconds(1) &&
+        told.controller < names.controllers().size())
         annotate(record.at, "controller " + names.controllers()[told.controller] + " begins");
 }
 
@@ -173,7 +177,8 @@
         now += parked_change_[i];
         seconds_[i].parked = static_cast<std::uint64_t>(std::max<std::int64_t>(0, now));
     }
-    std::stable_sort(annotations_.begin(), annotations_.end(), [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
+    std::stable_sort(annotations_.begin(), annotations_.end(),
+                     [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
 }
 
 std::optional<Summary::Worst> Summary::worst(std::size_t length_s) const {
@@ -181,7 +186,8 @@
     for (std::size_t from = 0; from < seconds_.size(); ++from) {
         Outcomes sum;
         for (std::size_t i = from; i < std::min(seconds_.size(), from + length_s); ++i) sum.add(seconds_[i].ended);
-        if (sum.ended_badly() > (found ? found->ended.ended_badly() : 0)) found = Worst{std::chrono::seconds(from), sum};
+        if (sum.ended_badly() > (found ? found->ended.ended_badly() : 0))
+            found = Worst{std::chrono::seconds(from), sum};
     }
     return found;
 }
--- a/src/trace_analysis/summary.hpp
+++ b/src/trace_analysis/summary.hpp
@@ -45,7 +45,8 @@
 };
 
 struct AttemptStats {
-    std::uint64_t sent{}, succeeded{}, rejected{}, connection_lost{}, unreachable{}, timed_out{}, cancelled{}, other{}, in_flight{};
+    std::uint64_t sent{}, succeeded{}, rejected{}, connection_lost{}, unreachable{}, timed_out{}, cancelled{}, other{},
+        in_flight{};
     std::uint64_t loads{};
     LatencyHistogram duration;  // of those honoured
 
@@ -53,8 +54,8 @@
 };
 
 struct SecondStats {
-    Outcomes ended;  // jobs that ended in it
-    std::uint64_t received{}, parked{};  // parked: at its end
+    Outcomes ended;                                 // jobs that ended in it
+    std::uint64_t received{}, parked{};             // parked: at its end
     std::map<std::string, std::uint64_t> attempts;  // sent in it, by invoker
 };
 
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -77,7 +77,8 @@
         else if (path[1] == "status")
             say_plain(200, "application/json", boost::json::serialize(server_.status()) + "\n");
         else
-            say_plain(gateway_.admission().closing() ? 503 : 200, "text/plain", gateway_.admission().closing() ? "closing\n" : "ok\n");
+            say_plain(gateway_.admission().closing() ? 503 : 200, "text/plain",
+                      gateway_.admission().closing() ? "closing\n" : "ok\n");
         co_return !leaving_;
     }
     IncomingRequest wanted;
@@ -86,7 +87,8 @@
     else
         wanted.function = path[2];
     if (objection == RejectionReason::none) objection = understand(parser, wanted);
-    if (objection == RejectionReason::none) objection = gateway_.admission().admit_body(parser.content_length().value_or(0));
+    if (objection == RejectionReason::none)
+        objection = gateway_.admission().admit_body(parser.content_length().value_or(0));
     MemoryReservation held(gateway_.admission());
     if (objection == RejectionReason::none) objection = co_await read_body(parser, nobody, held);
     if (nobody || leaving_) co_return false;
@@ -122,7 +124,8 @@
             if (error == bh::error::header_limit) co_return RejectionReason::head_too_big;
             co_return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
         }
-        if (!std::exchange(begun, true) && !parser.is_header_done()) bound(rules.head_timeout, RejectionReason::head_too_slow);
+        if (!std::exchange(begun, true) && !parser.is_header_done())
+            bound(rules.head_timeout, RejectionReason::head_too_slow);
     }
     unbound();
     co_return RejectionReason::none;
@@ -168,10 +171,13 @@
     wanted.request_class = &use->second;
     wanted.tenant = own.tenant;
     wanted.idempotency_key = own.mark;
-    if (use->second.idempotency == Idempotency::deduplicated && wanted.idempotency_key.empty()) return RejectionReason::idempotency_key_missing;
-    if (wanted.idempotency_key.size() > admission.limits().max_name_bytes || wanted.tenant.size() > admission.limits().max_name_bytes)
+    if (use->second.idempotency == Idempotency::deduplicated && wanted.idempotency_key.empty())
+        return RejectionReason::idempotency_key_missing;
+    if (wanted.idempotency_key.size() > admission.limits().max_name_bytes ||
+        wanted.tenant.size() > admission.limits().max_name_bytes)
         return RejectionReason::bad_field;
-    if (const auto off = admission.parse_remaining(own.time_left, wanted.remaining); off != RejectionReason::none) return off;
+    if (const auto off = admission.parse_remaining(own.time_left, wanted.remaining); off != RejectionReason::none)
+        return off;
     bool good = true;
     auto figure = [&](std::string_view digits, int most) -> std::optional<int> {
         if (digits.empty()) return {};
@@ -181,7 +187,8 @@
     };
     if (const auto lanes = figure(own.lanes, 100'000)) wanted.concurrency = std::max(1, *lanes);
     wanted.memory = figure(own.memory, 100'000'000);
-    if (const auto told = figure(own.load_time, 3'600'000)) wanted.declared_load_time = std::chrono::milliseconds(*told);
+    if (const auto told = figure(own.load_time, 3'600'000))
+        wanted.declared_load_time = std::chrono::milliseconds(*told);
     good = good && (own.again.empty() || own.again == "0" || own.again == "1");
     wanted.is_client_retry = own.again == "1";
     return good ? RejectionReason::none : RejectionReason::bad_field;
@@ -201,7 +208,8 @@
     co_return !leaving_;
 }
 
-void Connection::send_response(const ActiveRequest& request, unsigned status, std::string_view passed, std::string body) {
+void Connection::send_response(const ActiveRequest& request, unsigned status, std::string_view passed,
+                               std::string body) {
     say(status, request, passed, std::move(body));
 }
 
@@ -211,7 +219,8 @@
 
 void Connection::say(unsigned status, const ActiveRequest& request, std::string_view passed, std::string body) {
     http::HeadWriter head(http::status_line(status));
-    head.add(field::outcome, protocol::outcome_word(request.state)).add(field::controller, gateway_.incarnation())
+    head.add(field::outcome, protocol::outcome_word(request.state))
+        .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
     head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size()));
     if (request.state == RequestState::rejected && request.retry_after > Time{}) {
@@ -233,7 +242,8 @@
 
 void Connection::begin_stream(const ActiveRequest& request, unsigned status, std::string_view passed) {
     http::HeadWriter head(http::status_line(status));
-    head.add(field::outcome, "honoured").add(field::controller, gateway_.incarnation())
+    head.add(field::outcome, "honoured")
+        .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
     head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).lines(passed);
     if (chunked_)
--- a/src/web/connection.hpp
+++ b/src/web/connection.hpp
@@ -8,8 +8,8 @@
 
 namespace plumkeel::web {
 
-using gateway::IncomingRequest;
 using gateway::ActiveRequest;
+using gateway::IncomingRequest;
 
 class Server;
 
@@ -18,7 +18,8 @@
     Connection(Server& service, std::uint64_t number, std::shared_ptr<net::Stream> stream);
     void start();
 
-    void send_response(const ActiveRequest& request, unsigned status, std::string_view passed, std::string body) override;
+    void send_response(const ActiveRequest& request, unsigned status, std::string_view passed,
+                       std::string body) override;
     void send_rejection(const ActiveRequest& request) override;
     void begin_stream(const ActiveRequest& request, unsigned status, std::string_view passed) override;
     void write_chunk(const ActiveRequest& request, std::string bytes) override;
--- a/src/web/connection_pool.cpp
+++ b/src/web/connection_pool.cpp
@@ -14,9 +14,9 @@
 using namespace std::chrono_literals;
 namespace bh = http::bh;
 namespace field = protocol::field;
-using delivery::StopCause;
 using delivery::outcome_of;
 using delivery::Progress;
+using delivery::StopCause;
 
 constexpr std::size_t light_connections = 2;  // past the cap, for probes and orders
 
@@ -168,10 +168,12 @@
     bool is_large(Parser& parser) const {
         if (!parser.is_header_done() || parser.is_done() || errand_->has_priority()) return false;
         const auto& message = parser.get();
-        if (protocol::ending_of(message.result_int(), http::field(message, protocol::field::never_ran)) != AttemptOutcome::succeeded)
+        if (protocol::ending_of(message.result_int(), http::field(message, protocol::field::never_ran)) !=
+            AttemptOutcome::succeeded)
             return false;
         const auto length = parser.content_length();
-        return message.body().size() > pool_.config_.max_buffered_response || (length && *length > pool_.config_.max_buffered_response);
+        return message.body().size() > pool_.config_.max_buffered_response ||
+               (length && *length > pool_.config_.max_buffered_response);
     }
 
     template <class Parser>
@@ -198,8 +200,13 @@
     net::LazyTimer idle_;  // how long it may lie unused
 };
 
-ConnectionPool::ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, net::Address address, gateway::ConnectionCounts& counts, std::string teller)
-    : gateway::ConnectionPool(loop), config_(rules), address_(std::move(address)), counts_(counts), controller_name_(std::move(teller)) {}
+ConnectionPool::ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, net::Address address,
+                               gateway::ConnectionCounts& counts, std::string teller)
+    : gateway::ConnectionPool(loop),
+      config_(rules),
+      address_(std::move(address)),
+      counts_(counts),
+      controller_name_(std::move(teller)) {}
 
 ConnectionPool::~ConnectionPool() = default;
 
@@ -214,7 +221,8 @@
 std::string ConnectionPool::head_of(UpstreamCall& call) const {
     switch (call.kind) {
         case UpstreamCall::Kind::health_check:
-            return fmt::format("GET /v1/load HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n\r\n", call.invoker, field::controller, controller_name_);
+            return fmt::format("GET /v1/load HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n\r\n", call.invoker, field::controller,
+                               controller_name_);
         case UpstreamCall::Kind::load_copies:
         case UpstreamCall::Kind::unload_copies: {
             const std::string copies = call.copies > 0 ? fmt::format("{}: {}\r\n", field::copies, call.copies) : "";
@@ -236,8 +244,9 @@
         tail.lines(request.forwarded_headers).add("Content-Length", static_cast<std::int64_t>(request.body->size()));
         request.encoded_suffix = tail.done().substr(2);
     }
-    return fmt::format("POST /v1/run/{} HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}: {}\r\n{}", http::encoded(request.function->name),
-                       call.invoker, field::attempt, call.attempt->number, field::limit, call.attempt->timeout / 1ms, request.encoded_suffix);
+    return fmt::format("POST /v1/run/{} HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}: {}\r\n{}",
+                       http::encoded(request.function->name), call.invoker, field::attempt, call.attempt->number,
+                       field::limit, call.attempt->timeout / 1ms, request.encoded_suffix);
 }
 
 // Puts the errand on an idle line or a new one; false where it has to wait for one.
@@ -315,7 +324,8 @@
 }
 
 std::size_t ConnectionPool::in_flight_count() const {
-    return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) { return connection->bears_hop(); }));
+    return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
+                                                  [](const auto& connection) { return connection->bears_hop(); }));
 }
 
 }  // namespace plumkeel::web
--- a/src/web/connection_pool.hpp
+++ b/src/web/connection_pool.hpp
@@ -13,15 +13,16 @@
 
 namespace plumkeel::web {
 
-using gateway::UpstreamCall;
 using gateway::CallResult;
+using gateway::UpstreamCall;
 
 class InvokerConnection;
 
 class ConnectionPool : public gateway::ConnectionPool {
 public:
     // `teller`: how the controller is named to invokers.
-    ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, net::Address address, gateway::ConnectionCounts& counts, std::string teller);
+    ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, net::Address address,
+                   gateway::ConnectionCounts& counts, std::string teller);
     ~ConnectionPool() override;
 
     void cancel_unsent() override;
--- a/src/web/protocol.hpp
+++ b/src/web/protocol.hpp
@@ -4,38 +4,43 @@
 
 #include <string_view>
 
-#include "scheduler/types.hpp"
 #include "http/http.hpp"
 #include "orca/orca.hpp"
+#include "scheduler/types.hpp"
 
 namespace plumkeel::protocol {
 
 namespace field {
 constexpr std::string_view request_class = "plumkeel-use-case", tenant = "plumkeel-tenant",
-                           time_left = "plumkeel-time-left", lanes = "plumkeel-lanes",
-                           memory = "plumkeel-memory", load_time = "plumkeel-load-time",
-                           mark = "plumkeel-mark", again = "plumkeel-again", outcome = "plumkeel-outcome",
-                           objection = "plumkeel-objection", request = "plumkeel-job", attempts = "plumkeel-hops",
-                           attempt = "plumkeel-hop", limit = "plumkeel-limit", controller = "plumkeel-controller",
-                           note = "plumkeel-note", concurrent_requests = "plumkeel-company",
-                           never_ran = "plumkeel-never-ran", copies = "plumkeel-copies",
-                           retry_after_ms = "plumkeel-retry-after-ms";
+                           time_left = "plumkeel-time-left", lanes = "plumkeel-lanes", memory = "plumkeel-memory",
+                           load_time = "plumkeel-load-time", mark = "plumkeel-mark", again = "plumkeel-again",
+                           outcome = "plumkeel-outcome", objection = "plumkeel-objection", request = "plumkeel-job",
+                           attempts = "plumkeel-hops", attempt = "plumkeel-hop", limit = "plumkeel-limit",
+                           controller = "plumkeel-controller", note = "plumkeel-note",
+                           concurrent_requests = "plumkeel-company", never_ran = "plumkeel-never-ran",
+                           copies = "plumkeel-copies", retry_after_ms = "plumkeel-retry-after-ms";
 }
 
 // Our own fields of a message, read in one walk over it. Views into the message.
 struct OwnFields {
     std::string_view request_class, tenant, time_left, lanes, memory, load_time, mark, again;  // of a client's job
-    std::string_view note, concurrent_requests, never_ran, copies, report;                            // of an invoker's answer
+    std::string_view note, concurrent_requests, never_ran, copies, report;                     // of an invoker's answer
 };
 
 inline std::string_view* own_slot(OwnFields& own, std::string_view name) {
     static constexpr std::pair<std::string_view, std::string_view OwnFields::*> slots[] = {
-        {field::request_class, &OwnFields::request_class},   {field::tenant, &OwnFields::tenant},
-        {field::time_left, &OwnFields::time_left}, {field::lanes, &OwnFields::lanes},
-        {field::memory, &OwnFields::memory},       {field::load_time, &OwnFields::load_time},
-        {field::mark, &OwnFields::mark},           {field::again, &OwnFields::again},
-        {field::note, &OwnFields::note},           {field::concurrent_requests, &OwnFields::concurrent_requests},
-        {field::never_ran, &OwnFields::never_ran}, {field::copies, &OwnFields::copies},
+        {field::request_class, &OwnFields::request_class},
+        {field::tenant, &OwnFields::tenant},
+        {field::time_left, &OwnFields::time_left},
+        {field::lanes, &OwnFields::lanes},
+        {field::memory, &OwnFields::memory},
+        {field::load_time, &OwnFields::load_time},
+        {field::mark, &OwnFields::mark},
+        {field::again, &OwnFields::again},
+        {field::note, &OwnFields::note},
+        {field::concurrent_requests, &OwnFields::concurrent_requests},
+        {field::never_ran, &OwnFields::never_ran},
+        {field::copies, &OwnFields::copies},
         {orca::header, &OwnFields::report}};
     for (const auto& [known, slot] : slots)
         if (known.size() == name.size() && http::same_word(known, name)) return &(own.*slot);
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -4,9 +4,9 @@
 #include <array>
 
 #include "http/http.hpp"
+#include "web/connection.hpp"
 #include "web/connection_pool.hpp"
 #include "web/protocol.hpp"
-#include "web/connection.hpp"
 
 namespace plumkeel::web {
 
@@ -18,13 +18,15 @@
 Server::Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, trace::RecordCallback recorded)
     : loop_(loop),
       log_(log),
-      gateway_(loop, std::move(config), log, seed,
-               [this](const net::Address& address, gateway::ConnectionCounts& counts) {
-                   return std::make_unique<ConnectionPool>(loop_, gateway_.config().pool, address, counts, gateway_.incarnation());
-               },
-               std::move(recorded)),
+      gateway_(
+          loop, std::move(config), log, seed,
+          [this](const net::Address& address, gateway::ConnectionCounts& counts) {
+              return std::make_unique<ConnectionPool>(loop_, gateway_.config().pool, address, counts,
+                                                      gateway_.incarnation());
+          },
+          std::move(recorded)),
       watcher_(loop, gateway_.config().endpoint_source, gateway_.incarnation(), log, seed,
-              [this](const auto& changed, bool complete) { gateway_.update_endpoints(changed, complete); }) {
+               [this](const auto& changed, bool complete) { gateway_.update_endpoints(changed, complete); }) {
     gateway_.set_list_age_source([this] { return watcher_.follower().confirmed_at(); });
 }
 
@@ -113,7 +115,8 @@
 
 void Server::check_drained() {
     if (!on_drained_ || !gateway_drained_) return;
-    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& each) { return each.second->busy(); })) return;
+    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& each) { return each.second->busy(); }))
+        return;
     const auto then = std::exchange(on_drained_, nullptr);
     loop_.call_at(loop_.now(), then);
 }
--- a/src/web/server.hpp
+++ b/src/web/server.hpp
@@ -14,7 +14,8 @@
 class Server {
 public:
     // `recorded` is told every call into the module and its answer, for traces.
-    Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, trace::RecordCallback recorded = {});
+    Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed,
+           trace::RecordCallback recorded = {});
     ~Server();
 
     // Takes jobs from now on; the error of the listen, if it did not come about.
--- a/tests/auditor_test.cpp
+++ b/tests/auditor_test.cpp
@@ -1,8 +1,8 @@
 // Doctored records: each kind of breach is named, and a clean day is not.
-#include <gtest/gtest.h>
-
 #include "emulator/auditor.hpp"
 
+#include <gtest/gtest.h>
+
 namespace plumkeel::emulator {
 namespace {
 
@@ -22,18 +22,34 @@
         lines.emplace_back(kind, name, json::parse(text).as_object());
     }
     void sent(int id, std::int64_t ms, const std::string& use, const std::string& origin) {
-        line("clients", "c", json::serialize(json::object{{"t", ms * 1000}, {"e", "sent"}, {"id", id}, {"origin", origin},
-             {"try", 0}, {"to", "A"}, {"use", use}, {"left_us", 4'000'000}, {"promised_us", 1'500'000}}));
+        line("clients", "c",
+             json::serialize(json::object{{"t", ms * 1000},
+                                          {"e", "sent"},
+                                          {"id", id},
+                                          {"origin", origin},
+                                          {"try", 0},
+                                          {"to", "A"},
+                                          {"use", use},
+                                          {"left_us", 4'000'000},
+                                          {"promised_us", 1'500'000}}));
     }
-    void answer(int id, std::int64_t ms, const std::string& outcome, const std::string& origin, const std::string& request,
-                int attempts) {
-        line("clients", "c", json::serialize(json::object{{"t", ms * 1000}, {"e", "answer"}, {"id", id}, {"origin", origin},
-             {"outcome", outcome}, {"controller", "k/1"}, {"job", request}, {"hops", std::to_string(attempts)}}));
+    void answer(int id, std::int64_t ms, const std::string& outcome, const std::string& origin,
+                const std::string& request, int attempts) {
+        line("clients", "c",
+             json::serialize(json::object{{"t", ms * 1000},
+                                          {"e", "answer"},
+                                          {"id", id},
+                                          {"origin", origin},
+                                          {"outcome", outcome},
+                                          {"controller", "k/1"},
+                                          {"job", request},
+                                          {"hops", std::to_string(attempts)}}));
     }
     void at(const std::string& invoker, std::int64_t ms, const std::string& event, const std::string& use,
             const std::string& origin, const std::string& request, int attempt, const std::string& word = "") {
-        json::object o{{"t", ms * 1000}, {"e", event}, {"controller", "k/1"}, {"job", request}, {"hop", std::to_string(attempt)},
-                       {"function", "f"}, {"use", use}, {"origin", origin}};
+        json::object o{
+            {"t", ms * 1000},  {"e", event}, {"controller", "k/1"}, {"job", request}, {"hop", std::to_string(attempt)},
+            {"function", "f"}, {"use", use}, {"origin", origin}};
         if (!word.empty()) o["word"] = word;
         line("invoker", invoker, json::serialize(o));
     }
@@ -220,15 +236,17 @@
 }
 
 TEST_F(Doctored, AColdInvokerPushedOver) {
-    line("invoker", "i1", R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
-                          R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
+    line("invoker", "i1",
+         R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
+         R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
     for (int i = 0; i < 20; ++i) honoured(i, 100 + i);
     names("no cold invoker pushed over", "of its budget");
 }
 
 TEST_F(Doctored, AnInvokerThatFell) {
-    line("invoker", "i1", R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
-                          R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
+    line("invoker", "i1",
+         R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
+         R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
     line("invoker", "i1", R"({"t":1000,"e":"fell"})");
     names("no cold invoker pushed over", "fell over");
 }
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -3,10 +3,10 @@
 #include <iostream>
 
 #include "discovery/frame_decoder.hpp"
-#include "random/pcg.hpp"
+#include "emulator/platform_bytes.hpp"
 #include "fastcgi/records.hpp"
 #include "invoker_protocol/codec.hpp"
-#include "emulator/platform_bytes.hpp"
+#include "random/pcg.hpp"
 
 using namespace plumkeel;
 
@@ -27,7 +27,9 @@
         text += fmt::format("whole {} {} {} {};", m.request_id, m.keep_connection, m.params.size(), m.body);
         open[m.request_id] = true;
     }
-    void on_request_error(std::uint16_t n, fastcgi::RequestError why, bool keep) override { text += fmt::format("wrong {} {} {};", n, static_cast<int>(why), keep); }
+    void on_request_error(std::uint16_t n, fastcgi::RequestError why, bool keep) override {
+        text += fmt::format("wrong {} {} {};", n, static_cast<int>(why), keep);
+    }
     void on_abort(std::uint16_t n) override {
         text += fmt::format("back {};", n);
         open.erase(n);
@@ -39,10 +41,12 @@
 
 std::string records() {
     using namespace bytes;
-    return message(1, job_fields(hex16(1), hex16(2)), "a body", 7, 5) + record(9, 0, params_of({{"FCGI_MPXS_CONNS", ""}})) +
-           record(99, 0, "odd") + message(2, job_fields(hex16(3), hex16(2)), std::string(300, 'x'), 65) + record(2, 1, "") +
-           record(1, 7, std::string_view("\0\3\1\0\0\0\0\0", 8)) + message(300, {{"LONG", std::string(200, 'v')}}, "", 50) +
-           message(2, {}, "twice") + record(1, 9, std::string_view("\0\1\0\0\0\0\0\0", 8)) + record(5, 9, "no params yet") +
+    return message(1, job_fields(hex16(1), hex16(2)), "a body", 7, 5) +
+           record(9, 0, params_of({{"FCGI_MPXS_CONNS", ""}})) + record(99, 0, "odd") +
+           message(2, job_fields(hex16(3), hex16(2)), std::string(300, 'x'), 65) + record(2, 1, "") +
+           record(1, 7, std::string_view("\0\3\1\0\0\0\0\0", 8)) +
+           message(300, {{"LONG", std::string(200, 'v')}}, "", 50) + message(2, {}, "twice") +
+           record(1, 9, std::string_view("\0\1\0\0\0\0\0\0", 8)) + record(5, 9, "no params yet") +
            record(1, 10, std::string_view("\0\1\0\0\0\0\0\0", 8)) + record(4, 10, std::string(9000, 'p'));
 }
 
@@ -66,14 +70,15 @@
     invoker_protocol::ResponseMessage answer;
     std::string text;
     for (std::string_view part : {a, b})
-        while (reader.next(part, answer)) text += fmt::format("{} {} {} {};", answer.id, answer.result, answer.fields, answer.body);
+        while (reader.next(part, answer))
+            text += fmt::format("{} {} {} {};", answer.id, answer.result, answer.fields, answer.body);
     return text + invoker_protocol::name_of(reader.error());
 }
 
 std::string frames() {
     using namespace bytes;
-    return frame(0, 0) + frame(1, 1, {{1, "10.0.0.1"}, {2, "10.0.0.2", 7001, 1}}) + frame(2, 2, {{3, "10.0.0.3", 7001, 2, 1700000000000}}) +
-           frame(2, 0);
+    return frame(0, 0) + frame(1, 1, {{1, "10.0.0.1"}, {2, "10.0.0.2", 7001, 1}}) +
+           frame(2, 2, {{3, "10.0.0.3", 7001, 2, 1700000000000}}) + frame(2, 0);
 }
 
 std::string feed_frames(std::string_view a, std::string_view b) {
@@ -83,7 +88,8 @@
     for (std::string_view part : {a, b})
         while (reader.next(part, event)) {
             text += fmt::format("{} {} {}", event.number, event.has_changes, event.is_complete);
-            for (const auto& each : event.endpoints) text += fmt::format(" {}@{} {} {}", each.name, each.address, each.ready, each.capacity);
+            for (const auto& each : event.endpoints)
+                text += fmt::format(" {}@{} {} {}", each.name, each.address, each.ready, each.capacity);
             for (const auto& each : event.removed) text += " -" + each;
             text += ';';
         }
@@ -95,7 +101,8 @@
     const std::string whole = feed(stream, "");
     check(whole.find(expected) != std::string::npos, whole.c_str());
     for (std::size_t at = 0; at <= stream.size(); ++at)
-        check(feed(std::string_view(stream).substr(0, at), std::string_view(stream).substr(at)) == whole, "a split changes what is read");
+        check(feed(std::string_view(stream).substr(0, at), std::string_view(stream).substr(at)) == whole,
+              "a split changes what is read");
 }
 
 template <class Feed>
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -1,5 +1,5 @@
-// Many controllers, each with its own module, on one fleet with one cold invoker: what they send it together in any span
-// of the settings stays within what it bears. Traffic is uneven and some controllers start anew in mid-span.
+// Many controllers, each with its own module, on one fleet with one cold invoker: what they send it together in any
+// span of the settings stays within what it bears. Traffic is uneven and some controllers start anew in mid-span.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -19,9 +19,9 @@
 
 struct Case {
     int controllers;
-    double use;        // of the warm fleet's capacity
-    double uneven;     // a tenth of the controllers see so many times the mean
-    bool restarts;     // half of the controllers start anew while the invoker is cold
+    double use;           // of the warm fleet's capacity
+    double uneven;        // a tenth of the controllers see so many times the mean
+    bool restarts;        // half of the controllers start anew while the invoker is cold
     std::size_t staying;  // of the warm invokers; the others drain as the cold one comes
     bool pause = false;   // all processes stand still until the cold one comes, and then hear all that they missed
 };
@@ -109,12 +109,14 @@
         it.next = results.next_wake;
         for (Attempt* attempt : results.to_send) {
             if (attempt->invoker == it.fleet.back().get()) out.push_back(now);
-            events.push({now + Time(static_cast<Time::rep>((0.5 + chance.next()) * run_s * 1e6)), ++order, -1, &it, attempt});
+            events.push(
+                {now + Time(static_cast<Time::rep>((0.5 + chance.next()) * run_s * 1e6)), ++order, -1, &it, attempt});
         }
         for (Attempt* attempt : results.to_cancel) events.push({now, ++order, -1, &it, attempt});
     };
     const auto start = [&](int i, Time now) {
-        auto it = std::make_unique<Process>(seed * 1000 + static_cast<std::uint64_t>(i) + static_cast<std::uint64_t>(now.count()), of.controllers);
+        auto it = std::make_unique<Process>(
+            seed * 1000 + static_cast<std::uint64_t>(i) + static_cast<std::uint64_t>(now.count()), of.controllers);
         carry_out(*it, it->controller.endpoints_changed(now, it->list(now >= cold_at, of.staying), true), now);
         if (all.size() <= static_cast<std::size_t>(i)) return all.push_back(std::move(it));
         gone.push_back(std::exchange(all[static_cast<std::size_t>(i)], std::move(it)));
@@ -134,7 +136,8 @@
         const bool read_first = of.pause && event == cold_at;
         if (!told && now >= cold_at && !read_first) {
             told = true;
-            for (const auto& it : all) carry_out(*it, it->controller.endpoints_changed(now, it->list(true, of.staying), true), now);
+            for (const auto& it : all)
+                carry_out(*it, it->controller.endpoints_changed(now, it->list(true, of.staying), true), now);
         }
         // Spread over four seconds of the ramp.
         while (of.restarts && started_anew < of.controllers / 2 &&
@@ -163,9 +166,12 @@
             request.function = function.get();
             request.remaining = 4s;
             carry_out(process, process.controller.submit(now, request), now);
-        } else if (it.attempt->in_flight && std::any_of(all.begin(), all.end(), [&](const auto& p) { return p.get() == it.of; })) {
-            const AttemptOutcome ending = it.attempt->request->is_completed() ? AttemptOutcome::cancelled : AttemptOutcome::succeeded;
-            carry_out(*it.of, it.of->controller.attempt_ended(now, *it.attempt, ending, LoadEvent::was_loaded, 0, {}), now);
+        } else if (it.attempt->in_flight &&
+                   std::any_of(all.begin(), all.end(), [&](const auto& p) { return p.get() == it.of; })) {
+            const AttemptOutcome ending =
+                it.attempt->request->is_completed() ? AttemptOutcome::cancelled : AttemptOutcome::succeeded;
+            carry_out(*it.of, it.of->controller.attempt_ended(now, *it.attempt, ending, LoadEvent::was_loaded, 0, {}),
+                      now);
         }
     }
     return out;
@@ -186,7 +192,8 @@
             while (at[first] + rules.slow_start_window < at[last]) ++first;
             // What it bears is least at the span's begin.
             const double age = seconds(at[first] - cold_at) / seconds(rules.slow_start_duration);
-            const double share = std::min(1.0, rules.slow_start_initial_share + (1 - rules.slow_start_initial_share) * age);
+            const double share =
+                std::min(1.0, rules.slow_start_initial_share + (1 - rules.slow_start_initial_share) * age);
             const double n = rules.slow_start_rate_multiple * share * units / run_s * seconds(rules.slow_start_window);
             const std::size_t got = last - first + 1;
             most = std::max(most, got);
@@ -194,17 +201,21 @@
         }
     }
     RecordProperty("nearest_percent", static_cast<int>(100 * nearest));
-    std::cout << "nearest " << 100 * nearest << "% of what it bears, at most " << most << " in a span, " << sent / static_cast<std::size_t>(plays)
-              << " a play" << std::endl;
+    std::cout << "nearest " << 100 * nearest << "% of what it bears, at most " << most << " in a span, "
+              << sent / static_cast<std::size_t>(plays) << " a play" << std::endl;
     EXPECT_GT(sent, static_cast<std::size_t>(5 * plays));  // it is used, or nothing was shown
     EXPECT_LE(nearest, 1.0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, ColdRampTest,
-                         testing::Values(Case{2, 0.6, 1, false, 6}, Case{30, 0.6, 1, false, 6}, Case{30, 0.6, 6, true, 6}, Case{30, 0.9, 6, true, 2},
+                         testing::Values(Case{2, 0.6, 1, false, 6}, Case{30, 0.6, 1, false, 6},
+                                         Case{30, 0.6, 6, true, 6}, Case{30, 0.9, 6, true, 2},
                                          Case{30, 0.9, 6, false, 0}, Case{300, 0.9, 6, true, 0},
                                          Case{30, 0.9, 1, false, 6, true}, Case{30, 0.9, 6, false, 0, true}),
-                         [](const auto& each) { return "Processes" + std::to_string(each.param.controllers) + "Case" + std::to_string(each.index); });
+                         [](const auto& each) {
+                             return "Processes" + std::to_string(each.param.controllers) + "Case" +
+                                    std::to_string(each.index);
+                         });
 
 }  // namespace
 }  // namespace plumkeel
--- a/tests/decision_bounds_test.cpp
+++ b/tests/decision_bounds_test.cpp
@@ -82,7 +82,8 @@
         for (Invoker* invoker : results.to_probe) carry_out(controller_.health_check_ended(now_, *invoker, true, {}));
         if (!answers_) return;
         for (Attempt* attempt : results.to_send)
-            carry_out(controller_.attempt_ended(now_, *attempt, AttemptOutcome::succeeded, LoadEvent::was_loaded, 0, {}));
+            carry_out(
+                controller_.attempt_ended(now_, *attempt, AttemptOutcome::succeeded, LoadEvent::was_loaded, 0, {}));
     }
 
     void wait(Time span) {
@@ -131,7 +132,8 @@
     answers_ = true;
     for (std::size_t i = 0; i < 2 * functions_at_most; ++i) take("once-" + std::to_string(i));
     EXPECT_EQ(forgotten_.count("held"), 0u);
-    carry_out(controller_.attempt_ended(now_, request.attempts.front(), AttemptOutcome::succeeded, LoadEvent::was_loaded, 0, {}));
+    carry_out(controller_.attempt_ended(now_, request.attempts.front(), AttemptOutcome::succeeded,
+                                        LoadEvent::was_loaded, 0, {}));
     EXPECT_EQ(request.state, RequestState::succeeded);
     for (std::size_t i = 0; i < 2 * functions_at_most; ++i) take("later-" + std::to_string(i));
     EXPECT_EQ(forgotten_.count("held"), 1u) << "and then it goes as any other";
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -9,8 +9,8 @@
 
 #include <thread>
 
-#include "web/server.hpp"
 #include "net/socket_event_loop.hpp"
+#include "web/server.hpp"
 
 namespace plumkeel {
 namespace {
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -13,7 +13,8 @@
 
 // Deadlines long enough that nothing ends by time; one invoker listed unless a test says otherwise.
 std::string patient() {
-    std::string text = replaced(plain_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
+    std::string text =
+        replaced(plain_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
     const auto second = text.find(R"(,
   {"uid":"s-00000002")");
     const auto end = text.find("]}}]}", second);
@@ -59,7 +60,8 @@
 // One stream a connection and eight connections: the ninth job waits for one. Its client leaves; then one is free.
 TEST_P(ClientLeavesTest, WhileItsJobWaitsForAConnection) {
     Peer& only = peer({Does::silent});
-    open_with(replaced(replaced(patient(), R"("sockets":256)", R"("sockets":64)"), R"("streams_per_conn":32)", R"("streams_per_conn":1)"));
+    open_with(replaced(replaced(patient(), R"("sockets":256)", R"("sockets":64)"), R"("streams_per_conn":32)",
+                       R"("streams_per_conn":1)"));
     for (std::uint64_t i = 1; i <= 8; ++i) client(10ms, {{0ms, job_text(1, i)}});
     leaver(20ms, 9, 10ms);
     client(25ms, {{0ms, job_text(1, 10)}});
@@ -101,8 +103,10 @@
     leaver(10ms, 1, 30ms);  // its first attempt was turned away after 20 ms
     client(10ms, {{0ms, job_text(1, 2)}});
     loop.run(5s);
-    EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }), 1);
-    EXPECT_GE(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(2); }), 2);
+    EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }),
+              1);
+    EXPECT_GE(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(2); }),
+              2);
 }
 
 TEST_P(ClientLeavesTest, WhileItsJobIsOut) {
@@ -194,12 +198,12 @@
     return {{Leaves::cancels, true}, {Leaves::closes, true}, {Leaves::cancels, false}, {Leaves::closes, false}};
 }
 std::string name_of(const testing::TestParamInfo<Leaving>& info) {
-    return std::string(info.param.how == Leaves::cancels ? "Cancels" : "Closes") + (info.param.may_cancel ? "" : "AndNothingMayBeStopped");
+    return std::string(info.param.how == Leaves::cancels ? "Cancels" : "Closes") +
+           (info.param.may_cancel ? "" : "AndNothingMayBeStopped");
 }
 INSTANTIATE_TEST_SUITE_P(All, ClientLeavesTest, testing::ValuesIn(leavings()), name_of);
 INSTANTIATE_TEST_SUITE_P(All, FullSocketTest, testing::ValuesIn(leavings()), name_of);
 
-
 // Refusals to one who reads none are not held without end: the connection goes long before its answers count as unread.
 TEST_F(PlatformTest, AClientThatReadsNoRefusalsIsNotHeldForMuch) {
     peer();
@@ -235,7 +239,9 @@
 std::string listed(int invokers, const std::string& sockets) {
     std::string text = replaced(patient(), R"("sockets":256)", R"("sockets":)" + sockets), more;
     for (int i = 2; i <= invokers; ++i)
-        more += fmt::format(R"(,{{"uid":"s-{:08x}","endpoint":"10.0.0.{}:7001","az":"a","model":"k","pod_group":0,"state":"up","capacity_hint":5,"boot_ms":0}})", i, i);
+        more += fmt::format(
+            R"(,{{"uid":"s-{:08x}","endpoint":"10.0.0.{}:7001","az":"a","model":"k","pod_group":0,"state":"up","capacity_hint":5,"boot_ms":0}})",
+            i, i);
     return text.insert(text.find("]}}]}"), more);
 }
 
@@ -282,7 +288,9 @@
     open(patient());
     loop.run(5ms);
     request(10ms, 1);
-    loop.call_at(10'300us, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });  // told at 10.4; sent at 10.3
+    loop.call_at(10'300us, [&] {
+        board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}}));
+    });  // told at 10.4; sent at 10.3
     loop.run(2s);
     EXPECT_TRUE(old.runs.empty());
     EXPECT_EQ(fresh.runs.size(), 1u);
@@ -356,8 +364,8 @@
     EXPECT_EQ(only.runs.size(), 2u);
 }
 
-// A record stops in its middle, and another request of its connection is open: that one is answered, then the connection
-// goes.
+// A record stops in its middle, and another request of its connection is open: that one is answered, then the
+// connection goes.
 TEST_F(EndingsTest, ARecordThatDoesNotComeWholeCostsNoOpenRequestItsAnswer) {
     Peer& only = peer();
     only.takes = 3s;
@@ -394,7 +402,8 @@
     auto board = std::make_unique<Noticeboard>(loop, "10.9.0.1");
     std::vector<std::unique_ptr<discovery::Watcher>> all;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-        all.push_back(std::make_unique<discovery::Watcher>(loop, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, seed));
+        all.push_back(std::make_unique<discovery::Watcher>(
+            loop, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, seed));
         all.back()->start();
     }
     loop.run(500ms);
@@ -420,7 +429,9 @@
     for (std::uint64_t i = 1; i <= 160; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
     Time ended{};
     loop.call_at(1s, [&] { host->shut_down([&] { ended = loop.now(); }); });
-    loop.call_at(1200ms, [&] { host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2")))); });
+    loop.call_at(1200ms, [&] {
+        host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2"))));
+    });
     loop.call_at(1300ms, [&] { host->shut_down([] { FAIL() << "ended twice"; }); });
     loop.run(10s);
     EXPECT_EQ(honoured(), 160u);
@@ -449,7 +460,8 @@
 TEST(ProcessEnds, WhatStandsInTheBacklogAndInSocketBuffersIsAnswered) {
     const std::string own = fmt::format("127.{}.{}.", 64 + (::getpid() >> 8) % 64, ::getpid() & 255);
     std::string text = patient();
-    for (const auto& [from, to] : std::map<std::string, std::string>{{"10.1.0.1", own + "1"}, {"10.9.0.1", own + "9"}, {"10.0.0.1", own + "11"}})
+    for (const auto& [from, to] :
+         std::map<std::string, std::string>{{"10.1.0.1", own + "1"}, {"10.9.0.1", own + "9"}, {"10.0.0.1", own + "11"}})
         text = replaced(text, from, to);
     PlatformConfig config = load_platform_config(file_of(text));
     config.gateway.log.file = "/dev/null";
@@ -472,7 +484,8 @@
     };
     const auto say = [&](std::size_t client, std::uint64_t id) {
         const std::string request = job_text(1, id, "work");
-        EXPECT_EQ(::send(clients[client], request.data(), request.size(), MSG_NOSIGNAL), static_cast<ssize_t>(request.size()));
+        EXPECT_EQ(::send(clients[client], request.data(), request.size(), MSG_NOSIGNAL),
+                  static_cast<ssize_t>(request.size()));
     };
     connect();
     say(0, 1);
@@ -497,7 +510,8 @@
     for (std::size_t i = 0; i < clients.size(); ++i) {
         std::string got;
         char room[4096];
-        for (ssize_t n; (n = ::recv(clients[i], room, sizeof room, 0)) > 0;) got.append(room, static_cast<std::size_t>(n));
+        for (ssize_t n; (n = ::recv(clients[i], room, sizeof room, 0)) > 0;)
+            got.append(room, static_cast<std::size_t>(n));
         const auto all = answers(got);
         ASSERT_TRUE(all && all->count(1)) << "client " << i << " got " << got.size() << " bytes";
         EXPECT_EQ(all->at(1).times, i == 0 ? 2 : 1);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -4,8 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "http/http.hpp"
-#include "web/server.hpp"
 #include "net/simulated_event_loop.hpp"
+#include "web/server.hpp"
 
 namespace plumkeel::gateway {
 namespace {
@@ -15,14 +15,25 @@
 
 // An invoker as a test scripts it: what it does with its nth hop.
 struct Peer {
-    enum class Does { answers, hangs, resets_unread, resets, half_head, half_body, turns_away, bare_503, large, large_cut };
+    enum class Does {
+        answers,
+        hangs,
+        resets_unread,
+        resets,
+        half_head,
+        half_body,
+        turns_away,
+        bare_503,
+        large,
+        large_cut
+    };
     net::SimulatedEventLoop& loop;
     std::string name;
     std::shared_ptr<net::Listener> listener;
     std::vector<Does> script;  // the last holds for all further hops
     Time takes = 10ms;
-    std::optional<Time> closes_after;  // an idle connection, after its answer
-    std::vector<std::string> attempts;     // "job/hop" as they came
+    std::optional<Time> closes_after;   // an idle connection, after its answer
+    std::vector<std::string> attempts;  // "job/hop" as they came
     std::vector<Time> came;
     int connections{}, gone{};
 
@@ -54,12 +65,14 @@
             }
             if (error) co_return;
             if (http::path_of(http::view(parser.get().target()))[1] == "load") {
-                put(stream, "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: 0\r\n\r\n");
+                put(stream,
+                    "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: "
+                    "0\r\n\r\n");
                 continue;
             }
             const Does does = script[std::min(attempts.size(), script.size() - 1)];
             attempts.push_back(std::string(http::field(parser.get(), "plumkeel-job")) + "/" +
-                           std::string(http::field(parser.get(), "plumkeel-hop")));
+                               std::string(http::field(parser.get(), "plumkeel-hop")));
             came.push_back(loop.now());
             if (does == Does::hangs) {
                 const net::Error end = co_await inbox.more();
@@ -67,7 +80,8 @@
                 co_return;
             }
             co_await loop.sleep(takes);
-            const std::string answer = "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nContent-Length: 4\r\n\r\nwell";
+            const std::string answer =
+                "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nContent-Length: 4\r\n\r\nwell";
             switch (does) {
                 case Does::answers:
                     put(stream, answer);
@@ -93,7 +107,8 @@
                     const std::size_t whole = 400'000;
                     const std::string head = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole);
                     const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
-                    write_queue->send(head, std::make_shared<const std::string>(std::string(does == Does::large ? whole : whole / 2, 'x')));
+                    write_queue->send(head, std::make_shared<const std::string>(
+                                                std::string(does == Does::large ? whole : whole / 2, 'x')));
                     co_await write_queue->wait_below(0);
                     if (does == Does::large_cut) {
                         co_await loop.sleep(1s);
@@ -167,7 +182,8 @@
         config.safety_rules.slow_start_rate_multiple = 2;
         config.safety_rules.slow_start_window = 2s;
         config.capabilities.cancellation = config.capabilities.health_checks = config.capabilities.hedging = true;
-        config.capabilities.retry_after = config.capabilities.on_demand_loading = config.capabilities.stable_capacity = true;
+        config.capabilities.retry_after = config.capabilities.on_demand_loading = config.capabilities.stable_capacity =
+            true;
         config.capabilities.max_attempts = 5;
         config.capabilities.controller_count = 1;
         config.capabilities.max_retry_after = 2s;
@@ -191,14 +207,16 @@
     }
     void open() {
         log = std::make_unique<Log>(loop, config.log);
-        gateway = std::make_unique<web::Server>(loop, config, *log, 7, [this](const trace::Record& r) { trace.push_back(r); });
+        gateway = std::make_unique<web::Server>(loop, config, *log, 7,
+                                                [this](const trace::Record& r) { trace.push_back(r); });
         ASSERT_FALSE(gateway->open());
     }
     static std::string request(const std::string& request_class, const std::string& more = "Connection: close\r\n",
-                           const std::string& body = "work", int left = 4000) {
-        return fmt::format("POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: {}\r\nplumkeel-time-left: {}\r\n"
-                           "plumkeel-mark: m\r\nContent-Length: {}\r\n{}\r\n{}",
-                           request_class, left, body.size(), more, body);
+                               const std::string& body = "work", int left = 4000) {
+        return fmt::format(
+            "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: {}\r\nplumkeel-time-left: {}\r\n"
+            "plumkeel-mark: m\r\nContent-Length: {}\r\n{}\r\n{}",
+            request_class, left, body.size(), more, body);
     }
     Client& client(Time when, std::string text, Time stays = 1min, bool reads = true) {
         return *clients.emplace_back(std::make_unique<Client>(loop, when, std::move(text), stays, reads));
@@ -461,7 +479,8 @@
         Odd{head(good + "Transfer-Encoding: chunked\r\n") + "zz\r\n", "malformed", 400},
         Odd{head(good + "X: " + std::string(4000, 'x') + "\r\n"), "head_too_big", 431},
         Odd{head(good + "Content-Length: 101\r\n"), "body_too_big", 413},
-        Odd{head(good + "Transfer-Encoding: chunked\r\n") + "200\r\n" + std::string(0x200, 'x') + "\r\n0\r\n\r\n", "body_too_big", 413},
+        Odd{head(good + "Transfer-Encoding: chunked\r\n") + "200\r\n" + std::string(0x200, 'x') + "\r\n0\r\n\r\n",
+            "body_too_big", 413},
         Odd{head(good, "GET /v1/jobs/f HTTP/1.1"), "no_such_path", 404},
         Odd{head(good, "POST /elsewhere HTTP/1.1"), "no_such_path", 404},
         Odd{head("plumkeel-use-case: q\r\nplumkeel-time-left: 1000\r\n"), "no_such_use_case", 400},
@@ -478,7 +497,8 @@
 TEST_F(GatewayTest, AChunkedBodyIsTakenWhole) {
     Peer& it = peer({Does::answers});
     open();
-    Client& one = client(10ms, head(good + "Connection: close\r\nTransfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    Client& one = client(
+        10ms, head(good + "Connection: close\r\nTransfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     loop.run(3s);
     EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 1) << one.got;
     EXPECT_EQ(it.attempts.size(), 1u);
@@ -535,8 +555,9 @@
         loop.spawn(run());
     }
     static std::string entry(const std::string& name, bool drains = false) {
-        return fmt::format(R"({{"Node":{{"Address":"{0}"}},"Service":{{"ID":"{0}","Port":1}},"Checks":[{{"Status":"{1}"}}]}})",
-                           name, drains ? "critical" : "passing");
+        return fmt::format(
+            R"({{"Node":{{"Address":"{0}"}},"Service":{{"ID":"{0}","Port":1}},"Checks":[{{"Status":"{1}"}}]}})", name,
+            drains ? "critical" : "passing");
     }
     void set(std::vector<std::string> entries) {
         body = "[";
@@ -558,7 +579,9 @@
             }
             const bool waits = parser.get().target().find(fmt::format("index={}&", index)) != std::string::npos;
             if (waits) co_await changed.wait();
-            Peer::put(accepted.stream, fmt::format("HTTP/1.1 200 OK\r\nX-Consul-Index: {}\r\nContent-Length: {}\r\n\r\n{}", index, body.size(), body));
+            Peer::put(accepted.stream,
+                      fmt::format("HTTP/1.1 200 OK\r\nX-Consul-Index: {}\r\nContent-Length: {}\r\n\r\n{}", index,
+                                  body.size(), body));
             accepted.stream->shutdown_send();
             co_await loop.sleep(1ms);
         }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -9,9 +9,9 @@
 
 #include "discovery/frame_decoder.hpp"
 #include "fastcgi/records.hpp"
+#include "invoker_protocol/codec.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "remote_write/sender.hpp"
-#include "invoker_protocol/codec.hpp"
 #include "tests/platform_world.hpp"
 #include "tests/toy_trace.hpp"
 #include "trace/file.hpp"
@@ -84,8 +84,8 @@
 }
 
 TEST(GoldenCodec, DiscoveryAsks) {
-    expect_golden("discovery_asks.txt",
-                  discovery::encode_subscription(0) + discovery::encode_subscription(1) + discovery::encode_subscription(0x0123456789abcdef));
+    expect_golden("discovery_asks.txt", discovery::encode_subscription(0) + discovery::encode_subscription(1) +
+                                            discovery::encode_subscription(0x0123456789abcdef));
 }
 
 TEST(GoldenCodec, RemoteWriteParts) {
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -57,8 +57,10 @@
     few.max_functions = 6;
     GatewayMetrics meters(few, "c");
     for (int i = 0; i < 20'000; ++i) {
-        const std::string tenant = "t" + std::to_string(i % 300), function = "f" + std::to_string(i / 40 + (i % 7 ? 0 : 1'000'000 + i));
-        meters.request_ended({"u", tenant, function, i % 9 ? RequestState::succeeded : RequestState::rejected, DecisionReason::overloaded, false, Time(1000), Time(10), 1});
+        const std::string tenant = "t" + std::to_string(i % 300),
+                          function = "f" + std::to_string(i / 40 + (i % 7 ? 0 : 1'000'000 + i));
+        meters.request_ended({"u", tenant, function, i % 9 ? RequestState::succeeded : RequestState::rejected,
+                              DecisionReason::overloaded, false, Time(1000), Time(10), 1});
         if (i % 100 == 0) meters.review();
     }
     EXPECT_LE(series(meters, "plumkeel_function_jobs_total"), 7u);
@@ -67,9 +69,12 @@
 
 TEST(Meters, ALateJobIsNotCountedAsHonoured) {
     GatewayMetrics meters({}, "c");
-    meters.request_ended({"u", "", "f", RequestState::succeeded, DecisionReason::response_received, true, Time(2'000'000), Time(0), 1});
+    meters.request_ended(
+        {"u", "", "f", RequestState::succeeded, DecisionReason::response_received, true, Time(2'000'000), Time(0), 1});
     const std::string page = meters.exposition();
-    EXPECT_NE(page.find("plumkeel_jobs_total{controller=\"c\",outcome=\"late\",tenant=\"\",use_case=\"u\"} 1"), std::string::npos) << page;
+    EXPECT_NE(page.find("plumkeel_jobs_total{controller=\"c\",outcome=\"late\",tenant=\"\",use_case=\"u\"} 1"),
+              std::string::npos)
+        << page;
     EXPECT_NE(page.find("outcome=\"honoured\",tenant=\"\",use_case=\"u\"} 0"), std::string::npos);
 }
 
