--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -4,8 +4,8 @@
 
 #include <fstream>
 
-#include "config/gateway_config.hpp"
 #include "admission/admission.hpp"
+#include "config/gateway_config.hpp"
 #include "consul/blocking_query.hpp"
 #include "gateway/delivery.hpp"
 #include "log/log.hpp"
@@ -41,7 +41,8 @@
 };
 
 TEST_F(FollowerTest, ReadsWhatTheEndpointTells) {
-    const auto step = hear(7, list({row("x", R"("units":"2.5","cell":"4","start":"1700000000000","zone":"b")"), row("y", "", "critical")}));
+    const auto step = hear(7, list({row("x", R"("units":"2.5","cell":"4","start":"1700000000000","zone":"b")"),
+                                    row("y", "", "critical")}));
     ASSERT_EQ(step.result, PollResult::updated);
     EXPECT_EQ(step.next.index, 7u);
     ASSERT_EQ(it.list().size(), 2u);
@@ -118,7 +119,8 @@
 }
 
 TEST_F(FollowerTest, OddEntriesAreLeftOutAndCounted) {
-    hear(1, list({row("x"), row("x"), R"({"Service":{"ID":"z"}})", "3", R"({"Service":{"ID":"q","Address":"h","Port":70000}})"}));
+    hear(1, list({row("x"), row("x"), R"({"Service":{"ID":"z"}})", "3",
+                  R"({"Service":{"ID":"q","Address":"h","Port":70000}})"}));
     EXPECT_EQ(it.list().size(), 1u);
     EXPECT_EQ(it.skipped(), 4u);
 }
@@ -204,11 +206,14 @@
         }
     }
     const std::string file = testing::TempDir() + "plumkeel_settings_" + std::to_string(::getpid()) + ".jsonnet";
-    const std::string base = "{ list: { consul: '127.0.0.1:8500' }, use_cases: { p: { promised: '1s', repeat: 'replayable' } } }";
+    const std::string base =
+        "{ list: { consul: '127.0.0.1:8500' }, use_cases: { p: { promised: '1s', repeat: 'replayable' } } }";
 };
 
 TEST_F(Settings, AreTemplates) {
-    const GatewayConfig config = read("local b = " + base + "; b { use_cases+: { q: self.p { promised: '%dms' % (3 * 50) } }, tenants: { t: { share_per_s: 4 } } }");
+    const GatewayConfig config =
+        read("local b = " + base +
+             "; b { use_cases+: { q: self.p { promised: '%dms' % (3 * 50) } }, tenants: { t: { share_per_s: 4 } } }");
     EXPECT_EQ(config.request_classes.at("q").latency_target, 150ms);
     EXPECT_EQ(config.tenants.at("t").quota_per_s, 4);
 }
@@ -260,10 +265,12 @@
     EXPECT_EQ(ending_of(503, ""), AttemptOutcome::failed);
     EXPECT_EQ(ending_of(503, "surely"), AttemptOutcome::failed);
     EXPECT_EQ(ending_of(200, ""), AttemptOutcome::succeeded);
-    for (const StopCause cause : {StopCause::connection_lost, StopCause::timed_out, StopCause::cancelled, StopCause::cancelled_unsent}) {
+    for (const StopCause cause :
+         {StopCause::connection_lost, StopCause::timed_out, StopCause::cancelled, StopCause::cancelled_unsent}) {
         EXPECT_EQ(outcome_of(Progress::not_written, cause), AttemptOutcome::never_sent);
         const AttemptOutcome some = outcome_of(Progress::may_have_run, cause);
-        EXPECT_TRUE(some == AttemptOutcome::connection_lost || some == AttemptOutcome::timed_out || some == AttemptOutcome::cancelled);
+        EXPECT_TRUE(some == AttemptOutcome::connection_lost || some == AttemptOutcome::timed_out ||
+                    some == AttemptOutcome::cancelled);
     }
     EXPECT_EQ(outcome_of(Progress::not_connected, StopCause::no_connection), AttemptOutcome::unreachable);
 }
--- a/tests/platform_signals_test.cpp
+++ b/tests/platform_signals_test.cpp
@@ -11,8 +11,8 @@
 #include <fstream>
 #include <thread>
 
-#include "platform/serve.hpp"
 #include "emulator/platform_bytes.hpp"
+#include "platform/serve.hpp"
 
 namespace plumkeel::platform {
 namespace {
@@ -84,12 +84,15 @@
 void write_config(const std::string& file, std::uint16_t port, std::uint16_t board, int invokers = 0) {
     std::string targets;
     for (int i = 1; i <= invokers; ++i)
-        targets += fmt::format(R"({}{{"uid":"s-{:08x}","endpoint":"127.0.0.1:9","state":"up","capacity_hint":5,"boot_ms":0}})", i > 1 ? "," : "", i);
+        targets +=
+            fmt::format(R"({}{{"uid":"s-{:08x}","endpoint":"127.0.0.1:9","state":"up","capacity_hint":5,"boot_ms":0}})",
+                        i > 1 ? "," : "", i);
     const std::string notices = invokers ? R"({"rev":6,"pool":{"rev":6,"all":true,"targets":[)" + targets + "]}}" : "";
-    std::ofstream(file) << R"({"name":"n1","listen":"127.0.0.1:)" << port << R"(","seed":"ab","board":"127.0.0.1:)" << board
-                        << R"(","limits":{"cores":1,"memory_mb":48,"sockets":256},"known":{"rev":6,"notices":[)" << notices << "]},"
-                        << R"("settings":{"classes":[{"name":"p","aim":800,"deadline":3000,"semantics":"retryable"}],"quantum":1,)"
-                        << R"("limits":{"send_cap":5},"fleet_size":1}})";
+    std::ofstream(file)
+        << R"({"name":"n1","listen":"127.0.0.1:)" << port << R"(","seed":"ab","board":"127.0.0.1:)" << board
+        << R"(","limits":{"cores":1,"memory_mb":48,"sockets":256},"known":{"rev":6,"notices":[)" << notices << "]},"
+        << R"("settings":{"classes":[{"name":"p","aim":800,"deadline":3000,"semantics":"retryable"}],"quantum":1,)"
+        << R"("limits":{"send_cap":5},"fleet_size":1}})";
 }
 
 pid_t start(const std::string& file, rlim_t descriptors = 0) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -11,7 +11,8 @@
     peer(), peer();
     open();
     std::string text;
-    for (int i = 1; i <= 32; ++i) text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
+    for (int i = 1; i <= 32; ++i)
+        text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
     Client& one = client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
     loop.run(5s);
     for (int i = 1; i <= 32; ++i) EXPECT_EQ(one.answer(i).body(), Peer::body_for(hex16(static_cast<std::uint64_t>(i))));
@@ -38,8 +39,9 @@
         }
 }
 INSTANTIATE_TEST_SUITE_P(All, SpoiltTest,
-                         testing::Values(Does::noise, Does::endless, Does::short_body, Does::long_body, Does::huge, Does::cuts, Does::resets,
-                                         Does::half, Does::twice, Does::ahead, Does::silent, Does::full, Does::errs));
+                         testing::Values(Does::noise, Does::endless, Does::short_body, Does::long_body, Does::huge,
+                                         Does::cuts, Does::resets, Does::half, Does::twice, Does::ahead, Does::silent,
+                                         Does::full, Does::errs));
 
 struct Bad {
     const char* name;
@@ -70,8 +72,10 @@
         {"a record that stops short", begin + std::string("\1\4\0\1\xff\xff\0\0only this", 17)},
         {"endless parameters", begin + record(4, 1, std::string(60'000, 'p'))},
         {"a large body", begin + good_params + record(5, 1, std::string(40'000, 'b')) + record(5, 1, "")},
-        {"a name longer than its record", begin + record(4, 1, std::string("\x7f\1ab", 4)) + record(4, 1, "") + record(5, 1, "")},
-        {"a huge name", begin + record(4, 1, std::string("\xff\xff\xff\xff\1ab", 7)) + record(4, 1, "") + record(5, 1, "")},
+        {"a name longer than its record",
+         begin + record(4, 1, std::string("\x7f\1ab", 4)) + record(4, 1, "") + record(5, 1, "")},
+        {"a huge name",
+         begin + record(4, 1, std::string("\xff\xff\xff\xff\1ab", 7)) + record(4, 1, "") + record(5, 1, "")},
         {"body before parameters", begin + record(5, 1, "work")},
         {"no use case", with("SCRIPT_NAME", "/invoke/none")},
         {"no path", with("SCRIPT_NAME", "/else")},
@@ -121,7 +125,8 @@
     EXPECT_EQ(other.answer(1).status(), "400");
 }
 
-// Another customer's class is deduplicated by a key: each attempt bears its client's, unchanged, and none leaves without.
+// Another customer's class is deduplicated by a key: each attempt bears its client's, unchanged, and none leaves
+// without.
 TEST_F(PlatformTest, AnIdempotencyKeyGoesOnUnchangedWithEachAttempt) {
     peer({Does::resets, Does::answers}), peer({Does::resets, Does::answers});
     open(replaced(plain_config, R"("semantics":"retryable")", R"("semantics":"dedup")"));
@@ -166,7 +171,8 @@
     Peer& b = peer({Does::silent, Does::answers});
     open();
     const std::string second = message(1, job_fields(hex16(2), hex16(0xf)));
-    Client& one = client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
+    Client& one =
+        client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
     loop.run(5s);
     EXPECT_EQ(a.stops.size() + b.stops.size(), 1u);
     EXPECT_EQ(one.answer(1).times, 2);  // one for each
@@ -179,7 +185,8 @@
     for (int c = 0; c < 30; ++c) {
         std::string text, back;
         for (int i = 1; i <= 32; ++i) {
-            text += message(i, job_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)), hex16(static_cast<std::uint64_t>(i))));
+            text += message(
+                i, job_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)), hex16(static_cast<std::uint64_t>(i))));
             back += record(2, i, "");
         }
         client(10ms, {{0ms, text + back}});
@@ -269,13 +276,15 @@
 }
 
 TEST_F(PlatformTest, ABrokenFrameMeansToAskAgain) {
-    for (const std::string& bad : {std::string("\xff\xff\xff\xff", 4), big(3, 4), big(9, 4) + big(2, 8) + "\5", big(12, 4) + big(2, 8) + "\2abc"}) {
+    for (const std::string& bad : {std::string("\xff\xff\xff\xff", 4), big(3, 4), big(9, 4) + big(2, 8) + "\5",
+                                   big(12, 4) + big(2, 8) + "\2abc"}) {
         net::SimulatedEventLoop own;
         Noticeboard board(own, "10.9.0.1");
         PlatformConfig told = load_platform_config(file_of(plain_config));
         told.gateway.log.file = "/dev/null";
         Log quiet(own, told.gateway.log);
-        discovery::Watcher it(own, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, 7);
+        discovery::Watcher it(
+            own, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, 7);
         it.start();
         own.run(500ms);
         board.say(bad);
@@ -340,7 +349,8 @@
 // A restart is ready from nothing, and gives a late starter no more than its cold budget though nothing is learned.
 TEST_F(PlatformTest, AfterARestartAColdInvokerStaysWithinItsBudget) {
     peer(), peer();
-    open(replaced(plain_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)", R"("state":"up","capacity_hint":5,"boot_ms":1},)"));
+    open(replaced(plain_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)",
+                  R"("state":"up","capacity_hint":5,"boot_ms":1},)"));
     for (std::uint64_t i = 1; i <= 100; ++i) request(5ms * static_cast<int>(i), i, hex16(i));
     loop.run(120ms);
     EXPECT_LE(peers[0]->runs.size(), 1u);
@@ -359,12 +369,15 @@
 // that stood loaded there.
 TEST(Connecting, OnlyARefusalOrSilenceSaysThatNobodyIsThere) {
     namespace error = net::asio::error;
-    for (const net::Error& nobody : {net::Error(error::connection_refused), net::Error(error::timed_out), net::Error(error::host_unreachable)})
+    for (const net::Error& nobody :
+         {net::Error(error::connection_refused), net::Error(error::timed_out), net::Error(error::host_unreachable)})
         EXPECT_EQ(Causes::cause_of(nobody), delivery::StopCause::no_connection);
-    for (const net::Error& here : {net::Error(error::connection_reset), net::Error(error::no_descriptors), net::Error(error::broken_pipe),
-                                   net::Error(error::no_buffer_space), net::Error(error::operation_aborted), net::Error(error::network_unreachable)}) {
+    for (const net::Error& here : {net::Error(error::connection_reset), net::Error(error::no_descriptors),
+                                   net::Error(error::broken_pipe), net::Error(error::no_buffer_space),
+                                   net::Error(error::operation_aborted), net::Error(error::network_unreachable)}) {
         EXPECT_EQ(Causes::cause_of(here), delivery::StopCause::connection_lost);
-        EXPECT_EQ(delivery::outcome_of(delivery::Progress::not_connected, Causes::cause_of(here)), AttemptOutcome::never_sent);
+        EXPECT_EQ(delivery::outcome_of(delivery::Progress::not_connected, Causes::cause_of(here)),
+                  AttemptOutcome::never_sent);
     }
 }
 
@@ -392,14 +405,17 @@
         EXPECT_NE(why(bad).find(word), std::string::npos) << why(bad) << " for " << word;
         EXPECT_NE(why(bad).find(config_file()), std::string::npos);
     }
-    EXPECT_NE([] {
-        try {
-            load_platform_config("/nowhere/config.json");
-        } catch (const platform_settings::SettingsError& fault) {
-            return std::string(fault.what());
-        }
-        return std::string();
-    }().find("/nowhere/config.json"), std::string::npos);
+    EXPECT_NE(
+        [] {
+            try {
+                load_platform_config("/nowhere/config.json");
+            } catch (const platform_settings::SettingsError& fault) {
+                return std::string(fault.what());
+            }
+            return std::string();
+        }()
+            .find("/nowhere/config.json"),
+        std::string::npos);
 }
 
 // Every field in turn is missing, of another kind, or absurd: the file is turned down with its name, or the controller
@@ -408,14 +424,28 @@
     using platform_settings::json;
     const json plain = json::parse(plain_config);
     std::vector<json::json_pointer> fields;
-    const std::function<void(const json&, const json::json_pointer&)> walk = [&](const json& at, const json::json_pointer& path) {
+    const std::function<void(const json&, const json::json_pointer&)> walk = [&](const json& at,
+                                                                                 const json::json_pointer& path) {
         if (!path.empty()) fields.push_back(path);
         if (!at.is_structured()) return;
         for (const auto& [key, value] : at.items()) walk(value, at.is_array() ? path / std::stoul(key) : path / key);
     };
     walk(plain, json::json_pointer());
     ASSERT_GT(fields.size(), 80u);
-    const std::vector<json> instead{nullptr, true, -1, 0, 0.5, 1e300, -1e300, 18446744073709551615u, "", "x", "1", json::array(), json::object(), {1, "x", nullptr}};
+    const std::vector<json> instead{nullptr,
+                                    true,
+                                    -1,
+                                    0,
+                                    0.5,
+                                    1e300,
+                                    -1e300,
+                                    18446744073709551615u,
+                                    "",
+                                    "x",
+                                    "1",
+                                    json::array(),
+                                    json::object(),
+                                    {1, "x", nullptr}};
     int named = 0, run = 0;
     for (const auto& field : fields) {
         for (std::size_t i = 0; i <= instead.size(); ++i) {
@@ -444,7 +474,9 @@
             Log log(loop, config.gateway.log);
             PlatformServer host(loop, config, log);
             if (host.open()) continue;
-            Client client(loop, 10ms, {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") + message(2, {{"SCRIPT_NAME", "/_health"}})}});
+            Client client(loop, 10ms,
+                          {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") +
+                                     message(2, {{"SCRIPT_NAME", "/_health"}})}});
             loop.run(200ms);
             host.reconfigure(config);
             loop.run(400ms);
@@ -457,7 +489,8 @@
 TEST(PlatformConfig, AListOverTheBoundIsNamedAtTheStart) {
     std::string targets;
     for (std::size_t i = 0; i <= discovery::max_records; ++i)
-        targets += (i ? "," : "") + fmt::format(R"({{"uid":"s-{:08x}","endpoint":"10.{}.{}.{}:7001","state":"up"}})", i, i >> 16, i >> 8 & 255, i & 255);
+        targets += (i ? "," : "") + fmt::format(R"({{"uid":"s-{:08x}","endpoint":"10.{}.{}.{}:7001","state":"up"}})", i,
+                                                i >> 16, i >> 8 & 255, i & 255);
     std::string text = plain_config;
     const auto from = text.find("\"targets\":[") + 11, to = text.find("]}}]}", from);
     text.replace(from, to - from, targets);
@@ -465,7 +498,9 @@
         load_platform_config(file_of(text));
         FAIL() << "it was read";
     } catch (const platform_settings::SettingsError& fault) {
-        EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known' names 20001 invokers; 20000 at most"), std::string::npos) << fault.what();
+        EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known' names 20001 invokers; 20000 at most"),
+                  std::string::npos)
+            << fault.what();
     }
 }
 
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -2,15 +2,14 @@
 #pragma once
 
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <fstream>
 
+#include "emulator/platform_bytes.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "platform/platform_server.hpp"
 #include "platform_settings/fields.hpp"
-#include "emulator/platform_bytes.hpp"
 
 namespace plumkeel::platform {
 
@@ -18,7 +17,8 @@
 using namespace bytes;
 using net::Task;
 
-inline const char* const plain_config = R"({"name":"n1","listen":"10.1.0.1:7001","seed":"8c1f30d27a5be964","board":"10.9.0.1:2379",
+inline const char* const plain_config =
+    R"({"name":"n1","listen":"10.1.0.1:7001","seed":"8c1f30d27a5be964","board":"10.9.0.1:2379",
  "limits":{"cores":1.0,"memory_mb":48,"sockets":256},
  "known":{"rev":1,"notices":[{"rev":1,"pool":{"rev":1,"all":true,"targets":[
   {"uid":"s-00000001","endpoint":"10.0.0.1:7001","az":"a","model":"k","pod_group":0,"state":"up","capacity_hint":5,"boot_ms":0},
@@ -48,7 +48,23 @@
     return name;
 }
 
-enum class Does { answers, noise, endless, short_body, long_body, huge, cuts, resets, half, twice, ahead, silent, full, full_twice, errs };
+enum class Does {
+    answers,
+    noise,
+    endless,
+    short_body,
+    long_body,
+    huge,
+    cuts,
+    resets,
+    half,
+    twice,
+    ahead,
+    silent,
+    full,
+    full_twice,
+    errs
+};
 
 // An invoker as a test scripts it: what it does with its nth hop; the last holds for all further ones.
 struct Peer {
@@ -57,10 +73,10 @@
     std::vector<Does> script;
     Time takes = 20ms;
     bool hears_probes = true;
-    Time reads_from{};  // nothing is read before
+    Time reads_from{};                                  // nothing is read before
     std::vector<std::shared_ptr<net::Stream>> streams;  // as they came up
-    std::vector<std::pair<Time, std::string>> runs;  // when they had come whole, and their ids
-    std::vector<std::string> stops, odd, lines;  // `lines`: those of the runs
+    std::vector<std::pair<Time, std::string>> runs;     // when they had come whole, and their ids
+    std::vector<std::string> stops, odd, lines;         // `lines`: those of the runs
     int connections{}, open{};
 
     Peer(net::EventLoop& w, const std::string& host, std::vector<Does> does)
@@ -93,7 +109,8 @@
                 std::string body;
                 if (line.starts_with("RUN ")) {
                     if (got.size() >= end + 2 + std::stoul(line.substr(line.rfind(' ') + 1)) + 2) lines.push_back(line);
-                    if (line.find("patience=0") != std::string::npos || line.find("patience=-") != std::string::npos) odd.push_back(line);
+                    if (line.find("patience=0") != std::string::npos || line.find("patience=-") != std::string::npos)
+                        odd.push_back(line);
                     const std::size_t length = std::stoul(line.substr(line.rfind(' ') + 1));
                     if (got.size() < end + 2 + length + 2) break;
                     got.erase(0, end + 2 + length + 2);
@@ -121,28 +138,58 @@
     }
     Task<> answer(std::shared_ptr<net::Stream> stream, std::string id, Does does) {
         co_await loop.sleep(takes);
-        const std::string body = answer_body.empty() ? body_for(id) : answer_body, head = id + " data n=reused " + std::to_string(body.size()) + "\r\n";
+        const std::string body = answer_body.empty() ? body_for(id) : answer_body,
+                          head = id + " data n=reused " + std::to_string(body.size()) + "\r\n";
         const std::string good = head + body + "\r\n";
         switch (does) {
-            case Does::answers: put(stream, good); break;
-            case Does::noise: put(stream, "\x01\xff\x7f zzz\r\n" + good); break;
-            case Does::endless: put(stream, std::string(5000, 'e')); break;
-            case Does::short_body: put(stream, id + " data n=reused 4\r\n" + body + "\r\n"); break;
-            case Does::long_body: put(stream, id + " data n=reused 90\r\n" + body + "\r\n" + good); break;
-            case Does::huge: put(stream, id + " data n=reused 3000000000\r\n" + std::string(4000, 'h')); break;
-            case Does::cuts: put(stream, good.substr(0, good.size() - 4)); co_await loop.sleep(1ms); stream->close(); break;
-            case Does::resets: stream->reset(); break;
-            case Does::half: put(stream, good.substr(0, good.size() / 2)); break;
-            case Does::twice: put(stream, good + good); break;
-            case Does::ahead: put(stream, "00000000000000ff data n=reused 3\r\nnot\r\n" + good); break;
-            case Does::silent: break;
-            case Does::full: put(stream, id + " full - 0\r\n\r\n"); break;
+            case Does::answers:
+                put(stream, good);
+                break;
+            case Does::noise:
+                put(stream, "\x01\xff\x7f zzz\r\n" + good);
+                break;
+            case Does::endless:
+                put(stream, std::string(5000, 'e'));
+                break;
+            case Does::short_body:
+                put(stream, id + " data n=reused 4\r\n" + body + "\r\n");
+                break;
+            case Does::long_body:
+                put(stream, id + " data n=reused 90\r\n" + body + "\r\n" + good);
+                break;
+            case Does::huge:
+                put(stream, id + " data n=reused 3000000000\r\n" + std::string(4000, 'h'));
+                break;
+            case Does::cuts:
+                put(stream, good.substr(0, good.size() - 4));
+                co_await loop.sleep(1ms);
+                stream->close();
+                break;
+            case Does::resets:
+                stream->reset();
+                break;
+            case Does::half:
+                put(stream, good.substr(0, good.size() / 2));
+                break;
+            case Does::twice:
+                put(stream, good + good);
+                break;
+            case Does::ahead:
+                put(stream, "00000000000000ff data n=reused 3\r\nnot\r\n" + good);
+                break;
+            case Does::silent:
+                break;
+            case Does::full:
+                put(stream, id + " full - 0\r\n\r\n");
+                break;
             case Does::full_twice:  // the second some milliseconds late
                 put(stream, id + " full peers_in=1 0\r\n\r\n");
                 co_await loop.sleep(3ms);
                 put(stream, id + " full peers_in=1 0\r\n\r\n");
                 break;
-            case Does::errs: put(stream, id + " failed - 0\r\n\r\n"); break;
+            case Does::errs:
+                put(stream, id + " failed - 0\r\n\r\n");
+                break;
         }
     }
 };
@@ -156,7 +203,8 @@
 
     const net::Address front;
 
-    Client(net::EventLoop& w, Time when, std::vector<std::pair<Time, std::string>> texts, bool reads = true, net::Address at = {"10.1.0.1", 7001})
+    Client(net::EventLoop& w, Time when, std::vector<std::pair<Time, std::string>> texts, bool reads = true,
+           net::Address at = {"10.1.0.1", 7001})
         : loop(w), front(std::move(at)) {
         loop.spawn(run(when, std::move(texts), reads));
     }
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <thread>
 
-#include "net/socket_event_loop.hpp"
 #include "emulator/faults/fault_plan.hpp"
 #include "emulator/faults/process.hpp"
+#include "net/socket_event_loop.hpp"
 #include "tests/platform_world.hpp"
 
 namespace plumkeel::platform {
--- a/tests/promql_test.cpp
+++ b/tests/promql_test.cpp
@@ -1,11 +1,11 @@
 // The evaluator against examples worked by hand from the published semantics.
+#include "emulator/promql.hpp"
+
 #include <gtest/gtest.h>
 
 #include <bit>
 #include <cmath>
 
-#include "emulator/promql.hpp"
-
 namespace plumkeel::promql {
 namespace {
 
@@ -14,7 +14,8 @@
 // A sample every `step_s` from `from_s` on.
 Series series(Labels labels, std::vector<double> values, std::int64_t step_s = 10, std::int64_t from_s = 0) {
     Series out{std::move(labels), {}};
-    for (std::size_t i = 0; i < values.size(); ++i) out.points.push_back({(from_s + static_cast<std::int64_t>(i) * step_s) * 1000, values[i]});
+    for (std::size_t i = 0; i < values.size(); ++i)
+        out.points.push_back({(from_s + static_cast<std::int64_t>(i) * step_s) * 1000, values[i]});
     return out;
 }
 
@@ -71,7 +72,9 @@
 
 TEST(Promql, QuantilesAreInterpolatedWithinTheirBucket) {
     Database data;
-    const auto bucket = [&](const char* le, double count) { data.add(series({{"__name__", "h_bucket"}, {"le", le}}, {count})); };
+    const auto bucket = [&](const char* le, double count) {
+        data.add(series({{"__name__", "h_bucket"}, {"le", le}}, {count}));
+    };
     bucket("0.1", 10);
     bucket("0.5", 30);
     bucket("1", 40);
@@ -85,7 +88,8 @@
 TEST(Promql, AggregationMatchingAndPrecedence) {
     Database data;
     for (int i = 1; i <= 4; ++i)
-        data.add(series({{"__name__", "m"}, {"zone", i % 2 ? "a" : "b"}, {"n", std::to_string(i)}}, {static_cast<double>(i)}));
+        data.add(series({{"__name__", "m"}, {"zone", i % 2 ? "a" : "b"}, {"n", std::to_string(i)}},
+                        {static_cast<double>(i)}));
     data.add(series({{"__name__", "limit"}, {"zone", "a"}}, {3}));
     EXPECT_EQ(one(data, "sum(m)", 0), 10);
     EXPECT_EQ(one(data, "sum by (zone) (m{zone=\"a\"})", 0), 4);
@@ -100,7 +104,8 @@
 }
 
 TEST(Promql, BadTextIsToldWithItsPlace) {
-    for (const char* text : {"sum(", "rate(c)", "c[5x]", "c{a}", "1 +", "c{a=\"x\"", "sum by zone (c)", "c)", "histogram_quantile(c)"})
+    for (const char* text :
+         {"sum(", "rate(c)", "c[5x]", "c{a}", "1 +", "c{a=\"x\"", "sum by zone (c)", "c)", "histogram_quantile(c)"})
         EXPECT_THROW(Query{text}, Fault) << text;
     EXPECT_THROW(Query(std::string(100'000, '(')), Fault);
     EXPECT_THROW(Query(std::string(100'000, '-')), Fault);
@@ -129,7 +134,9 @@
     const auto turns = play(read_rules(rules), data);
     std::string told;
     for (const Turn& each : turns)
-        told += std::to_string(each.ms / 1000) + (each.to == Turn::To::pending ? "p " : each.to == Turn::To::firing ? "f " : "r ");
+        told += std::to_string(each.ms / 1000) + (each.to == Turn::To::pending  ? "p "
+                                                  : each.to == Turn::To::firing ? "f "
+                                                                                : "r ");
     EXPECT_EQ(told, "10p 30f 50r 60p 80p ");  // what flaps at its threshold never fires
 }
 
--- a/tests/recorder_test.cpp
+++ b/tests/recorder_test.cpp
@@ -1,4 +1,6 @@
 // The recorder against disks that stall, fill up and come back, its rotation, and samples of the jobs.
+#include "trace/recorder.hpp"
+
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -8,7 +10,6 @@
 #include "tests/memory_file.hpp"
 #include "tests/toy_trace.hpp"
 #include "trace/recording_scheduler.hpp"
-#include "trace/recorder.hpp"
 
 namespace plumkeel::trace {
 namespace {
@@ -90,7 +91,8 @@
     std::set<std::uint64_t> functions;
     for (const Record& each : records) {
         if (each.type == RecordType::function_known) functions.insert(unpack<NameRecord>(each.body).number);
-        if (each.type == RecordType::submit && !functions.count(unpack<RequestSubmitted>(each.body).function)) return false;
+        if (each.type == RecordType::submit && !functions.count(unpack<RequestSubmitted>(each.body).function))
+            return false;
     }
     return true;
 }
@@ -242,7 +244,8 @@
     const auto emit = [&](const Record& record) {
         EXPECT_GE(record.at, last);  // the file's order
         last = record.at;
-        if (record.type == RecordType::sampled_request) kept[record.request] = unpack<SampledRequest>(record.body).records.size();
+        if (record.type == RecordType::sampled_request)
+            kept[record.request] = unpack<SampledRequest>(record.body).records.size();
         EXPECT_TRUE(record.type == RecordType::sampled_request || record.request == 0);
         EXPECT_NE(record.type, RecordType::actions);
     };
@@ -271,7 +274,8 @@
         if (record.type == RecordType::sampled_request) told.push_back(record.request);
     };
     for (std::uint64_t request = 1; request <= 100; ++request)
-        sampler.feed({Time(request), RecordType::submit, request, pack(RequestSubmitted{0, 0, 0, 1, {}, 4s, false})}, emit);
+        sampler.feed({Time(request), RecordType::submit, request, pack(RequestSubmitted{0, 0, 0, 1, {}, 4s, false})},
+                     emit);
     ASSERT_GT(told.size(), 50u);
     EXPECT_EQ(told.front(), 1u);
     sampler.finish(emit);
--- a/tests/remote_test.cpp
+++ b/tests/remote_test.cpp
@@ -1,7 +1,7 @@
 // Remote write: the pacer's decisions, series and their ends, the spool over kills, and the sender against a
 // receiver that stalls, turns down, cuts and answers late, in virtual time.
-#include <gtest/gtest.h>
 #include <fcntl.h>
+#include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -11,10 +11,10 @@
 #include <filesystem>
 #include <limits>
 
+#include "emulator/receiver.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "net/socket_event_loop.hpp"
 #include "remote_write/sender.hpp"
-#include "emulator/receiver.hpp"
 
 namespace plumkeel::remote_write {
 namespace {
@@ -301,7 +301,8 @@
         ASSERT_EQ(receiver.series().size(), static_cast<std::size_t>(series));
         for (const auto& [labels, points] : receiver.series()) {
             ASSERT_EQ(points.size(), static_cast<std::size_t>(scraped)) << labels.back().second;
-            for (std::size_t i = 0; i < points.size(); ++i) ASSERT_EQ(points[i].first, static_cast<std::int64_t>(i + 1) * 1000);
+            for (std::size_t i = 0; i < points.size(); ++i)
+                ASSERT_EQ(points[i].first, static_cast<std::int64_t>(i + 1) * 1000);
         }
     }
 
--- a/tests/scenarios.cpp
+++ b/tests/scenarios.cpp
@@ -9,15 +9,12 @@
 //   leave JOB                                     the client gives up
 //   to MS                                         time passes, with all wakings due until then
 //   stall MS                                      time passes, but the controller stands still
-//   expect hop JOB INVOKER | off JOB | probe INVOKER | release INVOKER | order|unload FUNCTION INVOKER  since the last 'clear'
-//   deny ...                                      the same, and it must not have happened
-//   state JOB STATE                               as it stands now
-//   why JOB REASON                                what it was turned for last
-//   weighed JOB INVOKER fits|BAR                  as told with that
-//   hops JOB N                                    how many it has had
-//   clear                                         forget what happened
-//   sent INVOKER at most|at least N               hops to it since the last 'clear'
-//   count hop|probe at most|at least N            how often that happened since the last 'clear'
+//   expect hop JOB INVOKER | off JOB | probe INVOKER | release INVOKER | order|unload FUNCTION INVOKER  since the last
+//   'clear' deny ...                                      the same, and it must not have happened state JOB STATE as it
+//   stands now why JOB REASON                                what it was turned for last weighed JOB INVOKER fits|BAR
+//   as told with that hops JOB N                                    how many it has had clear forget what happened sent
+//   INVOKER at most|at least N               hops to it since the last 'clear' count hop|probe at most|at least N how
+//   often that happened since the last 'clear'
 //
 // @x stands for an invoker: bound by the first 'expect' that meets it, the same one afterwards; !@x: any
 // other.
@@ -58,48 +55,44 @@
 }
 
 const std::map<std::string, AttemptOutcome> endings = {
-    {"honoured", AttemptOutcome::succeeded},       {"errored", AttemptOutcome::failed},
-    {"turned_away", AttemptOutcome::rejected}, {"unreachable", AttemptOutcome::unreachable},
-    {"never_sent", AttemptOutcome::never_sent},   {"not_loaded", AttemptOutcome::load_failed},
-    {"overdue", AttemptOutcome::timed_out},         {"cut_off", AttemptOutcome::connection_lost},
+    {"honoured", AttemptOutcome::succeeded},    {"errored", AttemptOutcome::failed},
+    {"turned_away", AttemptOutcome::rejected},  {"unreachable", AttemptOutcome::unreachable},
+    {"never_sent", AttemptOutcome::never_sent}, {"not_loaded", AttemptOutcome::load_failed},
+    {"overdue", AttemptOutcome::timed_out},     {"cut_off", AttemptOutcome::connection_lost},
     {"called_off", AttemptOutcome::cancelled}};
 const std::map<std::string, LoadEvent> notes = {{"loaded", LoadEvent::was_loaded},
-                                           {"began", LoadEvent::started_load},
-                                           {"joined", LoadEvent::joined_load},
-                                           {"broke", LoadEvent::load_failed}};
-const std::map<std::string, RequestState> states = {{"fresh", RequestState::received},
-                                                {"hopping", RequestState::in_flight},
-                                                {"parked", RequestState::parked},
-                                                {"streaming", RequestState::streaming},
-                                                {"honoured", RequestState::succeeded},
-                                                {"bounced", RequestState::rejected},
-                                                {"written_off", RequestState::failed},
-                                                {"abandoned", RequestState::cancelled}};
+                                                {"began", LoadEvent::started_load},
+                                                {"joined", LoadEvent::joined_load},
+                                                {"broke", LoadEvent::load_failed}};
+const std::map<std::string, RequestState> states = {
+    {"fresh", RequestState::received},      {"hopping", RequestState::in_flight},  {"parked", RequestState::parked},
+    {"streaming", RequestState::streaming}, {"honoured", RequestState::succeeded}, {"bounced", RequestState::rejected},
+    {"written_off", RequestState::failed},  {"abandoned", RequestState::cancelled}};
 
 const std::map<std::string, DecisionReason> whys = {{"best_invoker", DecisionReason::best_invoker},
-                                         {"calm_copy", DecisionReason::new_replica},
-                                         {"silent_there", DecisionReason::invoker_unresponsive},
-                                         {"none_usable", DecisionReason::no_eligible_invoker},
-                                         {"crowded", DecisionReason::overloaded},
-                                         {"load_out", DecisionReason::load_in_progress},
-                                         {"lanes_taken", DecisionReason::concurrency_limit},
-                                         {"load_ordered", DecisionReason::preload_sent},
-                                         {"loads_rationed", DecisionReason::load_budget_exhausted},
-                                         {"never_ran", DecisionReason::attempt_never_ran},
-                                         {"hops_used", DecisionReason::attempts_exhausted},
-                                         {"parked_long", DecisionReason::parking_budget_exceeded},
-                                         {"time_up", DecisionReason::deadline_exceeded},
-                                         {"may_have_run", DecisionReason::may_have_run},
-                                         {"answer_came", DecisionReason::response_received},
-                                         {"client_left", DecisionReason::client_disconnected}};
+                                                    {"calm_copy", DecisionReason::new_replica},
+                                                    {"silent_there", DecisionReason::invoker_unresponsive},
+                                                    {"none_usable", DecisionReason::no_eligible_invoker},
+                                                    {"crowded", DecisionReason::overloaded},
+                                                    {"load_out", DecisionReason::load_in_progress},
+                                                    {"lanes_taken", DecisionReason::concurrency_limit},
+                                                    {"load_ordered", DecisionReason::preload_sent},
+                                                    {"loads_rationed", DecisionReason::load_budget_exhausted},
+                                                    {"never_ran", DecisionReason::attempt_never_ran},
+                                                    {"hops_used", DecisionReason::attempts_exhausted},
+                                                    {"parked_long", DecisionReason::parking_budget_exceeded},
+                                                    {"time_up", DecisionReason::deadline_exceeded},
+                                                    {"may_have_run", DecisionReason::may_have_run},
+                                                    {"answer_came", DecisionReason::response_received},
+                                                    {"client_left", DecisionReason::client_disconnected}};
 const std::map<std::string, ExclusionReason> bars = {{"fits", ExclusionReason::none},
-                                         {"not_ready", ExclusionReason::not_ready},
-                                         {"cold_budget", ExclusionReason::slow_start_budget},
-                                         {"doubted", ExclusionReason::unhealthy},
-                                         {"eased", ExclusionReason::recovery_limit},
-                                         {"may_not_repeat", ExclusionReason::not_retryable},
-                                         {"turned_away", ExclusionReason::recently_rejected},
-                                         {"no_room", ExclusionReason::no_capacity}};
+                                                     {"not_ready", ExclusionReason::not_ready},
+                                                     {"cold_budget", ExclusionReason::slow_start_budget},
+                                                     {"doubted", ExclusionReason::unhealthy},
+                                                     {"eased", ExclusionReason::recovery_limit},
+                                                     {"may_not_repeat", ExclusionReason::not_retryable},
+                                                     {"turned_away", ExclusionReason::recently_rejected},
+                                                     {"no_room", ExclusionReason::no_capacity}};
 
 template <class T>
 T word(const std::map<std::string, T>& table, const std::string& text) {
@@ -143,21 +136,24 @@
 
     void set(const std::string& key, const std::string& value) {
         const std::map<std::string, Time*> times = {
-            {"keep_alive", &may.keep_alive}, {"cold_for", &rules.slow_start_duration},
-            {"push_span", &rules.slow_start_window}, {"load_span", &rules.load_budget_window},
-            {"promised", &use.latency_target},     {"expiry", &expiry},
+            {"keep_alive", &may.keep_alive},           {"cold_for", &rules.slow_start_duration},
+            {"push_span", &rules.slow_start_window},   {"load_span", &rules.load_budget_window},
+            {"promised", &use.latency_target},         {"expiry", &expiry},
             {"remembered", &use.deduplication_window}, {"retry_after", &may.max_retry_after}};
-        const std::map<std::string, double*> figures = {
-            {"cold_share", &rules.slow_start_initial_share},    {"push_multiple", &rules.slow_start_rate_multiple},
-            {"free_loads", &rules.load_budget_base},    {"loads_per_job", &rules.load_budget_per_request},
-            {"share_per_s", &tenant.quota_per_s}, {"memory_price", &may.memory_price},
-            {"probe_price", &may.health_check_price}};
+        const std::map<std::string, double*> figures = {{"cold_share", &rules.slow_start_initial_share},
+                                                        {"push_multiple", &rules.slow_start_rate_multiple},
+                                                        {"free_loads", &rules.load_budget_base},
+                                                        {"loads_per_job", &rules.load_budget_per_request},
+                                                        {"share_per_s", &tenant.quota_per_s},
+                                                        {"memory_price", &may.memory_price},
+                                                        {"probe_price", &may.health_check_price}};
         const std::map<std::string, bool*> flags = {{"call_off", &may.cancellation},
                                                     {"probe", &may.health_checks},
                                                     {"second_copies", &may.hedging},
                                                     {"order_copies", &may.preload},
                                                     {"loads_on_demand", &may.on_demand_loading}};
-        const std::map<std::string, int*> counts = {{"hops", &may.max_attempts}, {"controllers", &may.controller_count}};
+        const std::map<std::string, int*> counts = {{"hops", &may.max_attempts},
+                                                    {"controllers", &may.controller_count}};
         if (times.count(key))
             *times.at(key) = ms(number(value));
         else if (figures.count(key))
@@ -168,12 +164,14 @@
             *counts.at(key) = static_cast<int>(number(value));
         else if (key == "repeat")
             use.idempotency = word<Idempotency>({{"replayable", Idempotency::idempotent},
-                                       {"referenced", Idempotency::deduplicated},
-                                       {"single_use", Idempotency::at_most_once}},
-                                      value);
+                                                 {"referenced", Idempotency::deduplicated},
+                                                 {"single_use", Idempotency::at_most_once}},
+                                                value);
         else if (key == "reach")
-            use.deduplication_scope = word<DeduplicationScope>(
-                {{"everywhere", DeduplicationScope::global}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}}, value);
+            use.deduplication_scope = word<DeduplicationScope>({{"everywhere", DeduplicationScope::global},
+                                                                {"zone", DeduplicationScope::zone},
+                                                                {"cell", DeduplicationScope::cell}},
+                                                               value);
         else
             fail("unknown setting '" + key + "'");
     }
@@ -189,11 +187,11 @@
     void note(const Actions& r) {
         for (const Invoker* invoker : r.released_invokers) happened.push_back({"release", invoker->name});
         for (const Attempt* attempt : r.to_cancel) happened.push_back({"off", name_of(attempt->request)});
-        for (const Attempt* attempt : r.to_send) happened.push_back({"hop", name_of(attempt->request), attempt->invoker->name});
+        for (const Attempt* attempt : r.to_send)
+            happened.push_back({"hop", name_of(attempt->request), attempt->invoker->name});
         for (const Invoker* invoker : r.to_probe) happened.push_back({"probe", invoker->name});
         for (const PreloadCommand& order : r.to_preload)
-            happened.push_back(
-                {order.copies ? "order" : "unload", order.function->name, order.invoker->name});
+            happened.push_back({order.copies ? "order" : "unload", order.function->name, order.invoker->name});
         for (const StateTransition& each : r.transitions) turned[name_of(each.request)] = each;
         next = r.next_wake;
     }
@@ -278,8 +276,7 @@
 
     static void bound_by(int count, const std::vector<std::string>& w) {
         const double bound = number(w.back());
-        if (w[w.size() - 2] == "most" ? count > bound : count < bound)
-            fail("it was " + std::to_string(count));
+        if (w[w.size() - 2] == "most" ? count > bound : count < bound) fail("it was " + std::to_string(count));
     }
 
     static std::string option(const std::vector<std::string>& words, const std::string& key) {
@@ -310,12 +307,14 @@
             note(it().submit(now, taken));
         } else if (verb == "end") {
             const auto index = static_cast<std::size_t>(number(w.at(2)));
-            if (index >= request(w.at(1)).attempts.size() || !request(w[1]).attempts[index].in_flight) fail("no such hop is out");
+            if (index >= request(w.at(1)).attempts.size() || !request(w[1]).attempts[index].in_flight)
+                fail("no such hop is out");
             LoadEvent told = LoadEvent::none;
             if (w.size() > 4 && w[4].find('=') == std::string::npos) told = word(notes, w[4]);
             const std::string concurrent_requests = option(w, "company");
             note(it().attempt_ended(now, request(w[1]).attempts[index], word(endings, w.at(3)), told,
-                                concurrent_requests.empty() ? 0 : static_cast<int>(number(concurrent_requests)), {}));
+                                    concurrent_requests.empty() ? 0 : static_cast<int>(number(concurrent_requests)),
+                                    {}));
         } else if (verb == "probe") {
             LoadReport report;
             if (const std::string held = option(w, "held"); !held.empty()) report.in_flight = number(held);
@@ -356,7 +355,8 @@
             if (found->exclusion != word(bars, w.at(3)))
                 for (const auto& [name, bar] : bars)
                     if (bar == found->exclusion) fail("it is " + name);
-            if (found->exclusion == ExclusionReason::none && !(found->finish_s > 0 && found->contention_s >= 0)) fail("without an estimate");
+            if (found->exclusion == ExclusionReason::none && !(found->finish_s > 0 && found->contention_s >= 0))
+                fail("without an estimate");
         } else if (verb == "hops") {
             if (static_cast<double>(request(w.at(1)).attempts.size()) != number(w.at(2)))
                 fail("it had " + std::to_string(request(w[1]).attempts.size()));
--- a/tests/spool_faults_test.cpp
+++ b/tests/spool_faults_test.cpp
@@ -7,9 +7,9 @@
 #include <cerrno>
 #include <filesystem>
 
+#include "emulator/faults/fault_plan.hpp"
 #include "random/pcg.hpp"
 #include "remote_write/durable_queue.hpp"
-#include "emulator/faults/fault_plan.hpp"
 
 namespace plumkeel::remote_write {
 namespace {
--- a/tests/tale_test.cpp
+++ b/tests/tale_test.cpp
@@ -3,13 +3,13 @@
 #include <gtest/gtest.h>
 
 #include "tests/memory_file.hpp"
-#include "trace_analysis/pseudonymizer.hpp"
-#include "trace_analysis/merged_stream.hpp"
-#include "trace_analysis/summary.hpp"
-#include "trace_analysis/history_format.hpp"
 #include "tests/toy_trace.hpp"
-#include "trace/recording_scheduler.hpp"
 #include "trace/names.hpp"
+#include "trace/recording_scheduler.hpp"
+#include "trace_analysis/history_format.hpp"
+#include "trace_analysis/merged_stream.hpp"
+#include "trace_analysis/pseudonymizer.hpp"
+#include "trace_analysis/summary.hpp"
 
 namespace plumkeel::trace_analysis {
 namespace {
@@ -20,7 +20,8 @@
 struct Shelf {
     std::map<std::string, MemoryFile> files;
 
-    void put(const std::string& name, const std::vector<Record>& records, Time begun = Time(1'000'000), std::size_t block = 1500) {
+    void put(const std::string& name, const std::vector<Record>& records, Time begun = Time(1'000'000),
+             std::size_t block = 1500) {
         trace::Writer writer(files[name], begun, block);
         for (const Record& each : records) writer.add(each);
         writer.finish();
@@ -61,13 +62,15 @@
 Record taken(Time at, std::uint64_t request, std::uint64_t request_class = 0) {
     return {at, trace::submit, request, trace::pack(trace::RequestSubmitted{request_class, 1, 0, 1, {}, 4s, false})};
 }
-Record turned(Time at, std::uint64_t request, RequestState to, DecisionReason why, std::optional<std::uint64_t> attempt = {}, std::uint64_t invoker = 0) {
+Record turned(Time at, std::uint64_t request, RequestState to, DecisionReason why,
+              std::optional<std::uint64_t> attempt = {}, std::uint64_t invoker = 0) {
     trace::TransitionRecord told{to, why, {}, {}, {}};
     if (attempt) told.sent = trace::TransitionRecord::Sent{*attempt, invoker, true, false};
     return {at, trace::transition, request, trace::pack(told)};
 }
 Record ended(Time at, std::uint64_t request, std::uint64_t attempt, AttemptOutcome ending) {
-    return {at, trace::attempt_ended, request, trace::pack(trace::AttemptEnded{attempt, ending, LoadEvent::none, 0, {}})};
+    return {at, trace::attempt_ended, request,
+            trace::pack(trace::AttemptEnded{attempt, ending, LoadEvent::none, 0, {}})};
 }
 std::vector<Record> names_first() {
     trace::Start start;
@@ -102,7 +105,9 @@
 
 TEST(Told, EveryBodyCutShortOrLongerIsAFaultAndNothingElse) {
     for (const Record& record : toy_trace(with_reasons())) {
-        if (record.type != trace::transition && record.type != trace::actions && record.type != trace::endpoints_changed) continue;
+        if (record.type != trace::transition && record.type != trace::actions &&
+            record.type != trace::endpoints_changed)
+            continue;
         for (std::size_t n = 0; n < record.body.size(); ++n) {
             const std::string part = record.body.substr(0, n);
             if (record.type == trace::transition) {
@@ -125,18 +130,21 @@
     auto records = names_first();
     trace::TransitionRecord first{RequestState::in_flight, DecisionReason::best_invoker, {}, {}, {}};
     first.sent = trace::TransitionRecord::Sent{0, 1, false, true};
-    first.candidates = {{1, 120ms, 20ms, true, ExclusionReason::none}, {0, {}, {}, false, ExclusionReason::slow_start_budget}};
+    first.candidates = {{1, 120ms, 20ms, true, ExclusionReason::none},
+                        {0, {}, {}, false, ExclusionReason::slow_start_budget}};
     records.push_back(taken(1s, 7));
     records.push_back(turned(1s, 7, RequestState::parked, DecisionReason::no_eligible_invoker));
     records.push_back({1200ms, trace::transition, 7, trace::pack(first)});
     records.push_back(ended(1500ms, 7, 0, AttemptOutcome::connection_lost));
     records.push_back(turned(1500ms, 7, RequestState::failed, DecisionReason::may_have_run));
     const std::string story = told_of(records, 7);
-    for (const char* part : {"job 7 at one: function f, use case u, tenant t", "taken at 1.000000 s", "promised within 1.00 s",
-                             "parked: no invoker may be sent it now", "hop 0 goes to right: of those weighed it would answer first",
-                             "right would answer in 120.0 ms, 20.0 ms of it behind others, a copy is thought to stand there",
-                             "left passed over: cold: its budget of jobs is used up", "hop 0 at right ends after 300.0 ms: cut off",
-                             "written off: it may have run, and may not run again anywhere", "so: written off after 500.0 ms, 1 hop, parked for 200.0 ms"})
+    for (const char* part :
+         {"job 7 at one: function f, use case u, tenant t", "taken at 1.000000 s", "promised within 1.00 s",
+          "parked: no invoker may be sent it now", "hop 0 goes to right: of those weighed it would answer first",
+          "right would answer in 120.0 ms, 20.0 ms of it behind others, a copy is thought to stand there",
+          "left passed over: cold: its budget of jobs is used up", "hop 0 at right ends after 300.0 ms: cut off",
+          "written off: it may have run, and may not run again anywhere",
+          "so: written off after 500.0 ms, 1 hop, parked for 200.0 ms"})
         EXPECT_NE(story.find(part), std::string::npos) << part << "\nin:\n" << story;
     EXPECT_LT(story.find("ends after"), story.find("written off: it may"));
 }
@@ -169,7 +177,8 @@
     auto request = [&](std::uint64_t id, RequestState to, Time took) {
         records.push_back(taken(1s, id));
         records.push_back(turned(1s, id, RequestState::in_flight, DecisionReason::best_invoker, 0, id % 2));
-        records.push_back(ended(1s + took, id, 0, to == RequestState::succeeded ? AttemptOutcome::succeeded : AttemptOutcome::timed_out));
+        records.push_back(ended(1s + took, id, 0,
+                                to == RequestState::succeeded ? AttemptOutcome::succeeded : AttemptOutcome::timed_out));
         records.push_back(turned(1s + took, id, to, DecisionReason::response_received));
     };
     request(1, RequestState::succeeded, 200ms);
@@ -177,7 +186,10 @@
     request(3, RequestState::failed, 100ms);
     request(4, RequestState::rejected, 100ms);
     const auto histories = tales_of(records);
-    auto count = [&](const HistoryFilter& wanted) { return std::count_if(histories.begin(), histories.end(), [&](const RequestHistory& t) { return wanted.matches(t); }); };
+    auto count = [&](const HistoryFilter& wanted) {
+        return std::count_if(histories.begin(), histories.end(),
+                             [&](const RequestHistory& t) { return wanted.matches(t); });
+    };
     EXPECT_EQ(count(filter([](HistoryFilter& f) { f.outcome = "honoured"; })), 1);
     EXPECT_EQ(count(filter([](HistoryFilter& f) { f.outcome = "late"; })), 1);
     EXPECT_EQ(count(filter([](HistoryFilter& f) { f.outcome = "written-off"; })), 1);
@@ -197,12 +209,14 @@
     for (std::size_t i = 0; i < 3; ++i) {
         std::vector<Record> part;
         if (i > 0) {
-            part.push_back({records[i * third].at, trace::resumed, 0, trace::pack(trace::Resumed{i * third, known.size(), ""})});
+            part.push_back(
+                {records[i * third].at, trace::resumed, 0, trace::pack(trace::Resumed{i * third, known.size(), ""})});
             for (const Record& each : known) part.push_back({records[i * third].at, each.type, 0, each.body});
         }
         for (std::size_t n = i * third; n < (i == 2 ? records.size() : (i + 1) * third); ++n) {
             part.push_back(records[n]);
-            if (records[n].type == trace::settings || records[n].type == trace::function_known || records[n].type == trace::invoker_known)
+            if (records[n].type == trace::settings || records[n].type == trace::function_known ||
+                records[n].type == trace::invoker_known)
                 known.push_back(records[n]);
         }
         shelf.put("part" + std::to_string(i), part);
@@ -360,7 +374,8 @@
             EXPECT_EQ(there.outcome, own.outcome);
             EXPECT_EQ(there.received_at - own.received_at, side ? Time(70ms) : Time{});
             ASSERT_EQ(there.attempts.size(), own.attempts.size());
-            for (std::size_t i = 0; i < own.attempts.size(); ++i) EXPECT_EQ(there.attempts[i].invoker, own.attempts[i].invoker);
+            for (std::size_t i = 0; i < own.attempts.size(); ++i)
+                EXPECT_EQ(there.attempts[i].invoker, own.attempts[i].invoker);
         }
     }
     EXPECT_EQ(histories.size(), 800u);
@@ -393,7 +408,8 @@
 
 TEST(Anonymous, NoOriginalNameOrAddressIsLeftAndTheSameNameHasTheSameToken) {
     const auto records = toy_trace(with_reasons());
-    Pseudonymizer one("a key of sixteen bytes or more"), same("a key of sixteen bytes or more"), other("another key, of as many bytes");
+    Pseudonymizer one("a key of sixteen bytes or more"), same("a key of sixteen bytes or more"),
+        other("another key, of as many bytes");
     std::vector<Record> veiled;
     for (const Record& each : records)
         if (auto out = one.pseudonymize(each)) veiled.push_back(std::move(*out));
@@ -447,7 +463,8 @@
     EXPECT_EQ(taken_sum, 400u);
     ASSERT_TRUE(summary.worst());
     EXPECT_LE(summary.worst()->ended.ended_badly(), plain.ended_badly());
-    EXPECT_TRUE(std::any_of(summary.annotations().begin(), summary.annotations().end(), [](const Annotation& m) { return m.what.find("drains") != std::string::npos; }));
+    EXPECT_TRUE(std::any_of(summary.annotations().begin(), summary.annotations().end(),
+                            [](const Annotation& m) { return m.what.find("drains") != std::string::npos; }));
 }
 
 TEST(Summary, PercentilesAreWithinTwoPercent) {
--- a/tests/trace_fuzz.cpp
+++ b/tests/trace_fuzz.cpp
@@ -5,11 +5,11 @@
 #include <cstdlib>
 
 #include "tests/memory_file.hpp"
-#include "trace_analysis/pseudonymizer.hpp"
+#include "tests/toy_trace.hpp"
+#include "trace_analysis/history_format.hpp"
 #include "trace_analysis/merged_stream.hpp"
+#include "trace_analysis/pseudonymizer.hpp"
 #include "trace_analysis/summary.hpp"
-#include "trace_analysis/history_format.hpp"
-#include "tests/toy_trace.hpp"
 
 namespace {
 
@@ -54,7 +54,8 @@
         summary.finish();
         summary.worst();
         try_to([&] {
-            const auto braid = trace_analysis::merge_traces(all, std::vector<trace::Time>(all.size()), trace::Time(300'000));
+            const auto braid =
+                trace_analysis::merge_traces(all, std::vector<trace::Time>(all.size()), trace::Time(300'000));
             while (braid->next()) {
             }
         });
@@ -81,7 +82,8 @@
 
 void harm(std::string& bytes, std::uint64_t& dice) {
     if (bytes.empty()) return;
-    const std::size_t at = toy_dice(dice) % bytes.size(), n = std::min<std::size_t>(1 + toy_dice(dice) % 20, bytes.size() - at);
+    const std::size_t at = toy_dice(dice) % bytes.size(),
+                      n = std::min<std::size_t>(1 + toy_dice(dice) % 20, bytes.size() - at);
     switch (toy_dice(dice) % 5) {
         case 0:
             bytes[at] = static_cast<char>(bytes[at] ^ (1 << (toy_dice(dice) % 8)));
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,6 +1,5 @@
 // The trace file: exact round trips, every cut point, random damage, lying heads.
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <filesystem>
@@ -25,7 +24,8 @@
     for (int i = 0; i < count; ++i) {
         at += Time(next(dice) % 200);
         const std::uint64_t request = next(dice) % 10 == 0 ? 0 : 1 + static_cast<std::uint64_t>(i) / 4;
-        out.push_back({at, static_cast<std::uint8_t>(40 + next(dice) % 20), request, "f" + std::to_string(next(dice) % 50) + "=" + std::to_string(next(dice) % 1000)});
+        out.push_back({at, static_cast<std::uint8_t>(40 + next(dice) % 20), request,
+                       "f" + std::to_string(next(dice) % 50) + "=" + std::to_string(next(dice) % 1000)});
     }
     return out;
 }
@@ -54,7 +54,8 @@
 
 TEST(Trace, ComesBackExactly) {
     const auto records = some(20'000);
-    for (const std::size_t block : {100u, 4000u, 1'000'000u}) EXPECT_EQ(read(written(records, block)), records) << block;
+    for (const std::size_t block : {100u, 4000u, 1'000'000u})
+        EXPECT_EQ(read(written(records, block)), records) << block;
     EXPECT_EQ(read(written(records, 4000, false)), records);  // never finished
     EXPECT_TRUE(read(written({})).empty());
 }
@@ -132,7 +133,8 @@
         const int harms = 1 + static_cast<int>(next(dice) % 3);
         std::size_t first = file.bytes.size();
         for (int i = 0; i < harms; ++i) {
-            const std::size_t at = next(dice) % file.bytes.size(), n = std::min<std::size_t>(1 + next(dice) % 60, file.bytes.size() - at);
+            const std::size_t at = next(dice) % file.bytes.size(),
+                              n = std::min<std::size_t>(1 + next(dice) % 60, file.bytes.size() - at);
             first = std::min(first, at);
             switch (next(dice) % 4) {
                 case 0:
@@ -157,7 +159,8 @@
             for (const BlockLocation& place : clean.places())
                 if (place.offset + place.bytes <= first) before += place.records;
             ASSERT_GE(got.size(), before) << round;
-            ASSERT_TRUE(std::equal(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(before), got.begin())) << round;
+            ASSERT_TRUE(std::equal(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(before), got.begin()))
+                << round;
         } catch (const TraceError&) {
             ASSERT_LT(first, 40u) << round;  // only a damaged head, or a part that must be known, stops a reader
         }
