--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "net/socket_event_loop.hpp"
-#include "tests/platform_world.hpp"
+#include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
@@ -14,7 +14,7 @@
 // Deadlines long enough that nothing ends by time; one invoker listed unless a test says otherwise.
 std::string patient() {
     std::string text =
-        replaced(plain_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
+        replaced(default_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
     const auto second = text.find(R"(,
   {"uid":"s-00000002")");
     const auto end = text.find("]}}]}", second);
@@ -29,7 +29,7 @@
     return message(number, job_fields(hex16(id), hex16(id), 60000), body);
 }
 
-bool ran(const Peer& peer, std::uint64_t id) {
+bool ran(const ScriptedInvoker& peer, std::uint64_t id) {
     return std::any_of(peer.runs.begin(), peer.runs.end(), [&](const auto& run) { return run.second == hex16(id); });
 }
 
@@ -45,11 +45,11 @@
 protected:
     void open_with(const std::string& text) { open(GetParam().may_cancel ? text : no_cancel(text)); }
     // Job `id` on a connection of its own at `when`, taken back or left `after` its connection came up.
-    Client& leaver(Time when, std::uint64_t id, Time after, const std::string& body = "") {
-        Client& it = client(when, {{0ms, job_text(1, id, body)}});
+    ScriptedClient& leaver(Time when, std::uint64_t id, Time after, const std::string& body = "") {
+        ScriptedClient& it = add_client(when, {{0ms, job_text(1, id, body)}});
         loop.call_at(when + 200us + after, [&it, this] {
             if (GetParam().how == Leaves::cancels)
-                Peer::put(it.stream, record(2, 1, ""));
+                ScriptedInvoker::write(it.stream, record(2, 1, ""));
             else
                 it.stream->close();
         });
@@ -59,16 +59,16 @@
 
 // One stream a connection and eight connections: the ninth job waits for one. Its client leaves; then one is free.
 TEST_P(ClientLeavesTest, WhileItsJobWaitsForAConnection) {
-    Peer& only = peer({Does::silent});
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond});
     open_with(replaced(replaced(patient(), R"("sockets":256)", R"("sockets":64)"), R"("streams_per_conn":32)",
                        R"("streams_per_conn":1)"));
-    for (std::uint64_t i = 1; i <= 8; ++i) client(10ms, {{0ms, job_text(1, i)}});
+    for (std::uint64_t i = 1; i <= 8; ++i) add_client(10ms, {{0ms, job_text(1, i)}});
     leaver(20ms, 9, 10ms);
-    client(25ms, {{0ms, job_text(1, 10)}});
+    add_client(25ms, {{0ms, job_text(1, 10)}});
     loop.run(50ms);
     ASSERT_EQ(only.runs.size(), 8u);
-    only.script = {Does::answers};
-    Peer::put(only.streams[0], only.runs[0].second + " data n=reused 2\r\nok\r\n");
+    only.script = {InvokerBehaviour::respond};
+    ScriptedInvoker::write(only.streams[0], only.runs[0].second + " data n=reused 2\r\nok\r\n");
     loop.run(500ms);
     EXPECT_FALSE(ran(only, 9));
     EXPECT_TRUE(ran(only, 10));  // which waited behind it
@@ -76,7 +76,7 @@
 
 // The connection to the invoker takes 2 of the network's latencies to come up; the client is gone before.
 TEST_P(ClientLeavesTest, WhileItsJobsConnectionComesUp) {
-    Peer& only = peer({Does::answers});
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
     open_with(patient());
     leaver(10ms, 1, 50us);
     loop.run(300ms);
@@ -85,23 +85,24 @@
 }
 
 TEST_P(ClientLeavesTest, WhileItsJobIsParked) {
-    Peer& only = peer({Does::answers});
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open_with(replaced(patient(), R"("state":"up")", R"("state":"draining")"));
     leaver(10ms, 1, 10ms);
-    client(10ms, {{0ms, job_text(1, 2)}});
+    add_client(10ms, {{0ms, job_text(1, 2)}});
     loop.run(50ms);
-    board.say(frame(board.last = 2, 2, {{1, "10.0.0.1"}}));
+    board.send(frame(board.last_event = 2, 2, {{1, "10.0.0.1"}}));
     loop.run(2s);
     EXPECT_FALSE(ran(only, 1));
     EXPECT_TRUE(ran(only, 2));
 }
 
 TEST_P(ClientLeavesTest, BetweenAttempts) {
-    Peer& only = peer({Does::full, Does::full, Does::answers});
+    ScriptedInvoker& only =
+        add_invoker({InvokerBehaviour::reject, InvokerBehaviour::reject, InvokerBehaviour::respond});
     open_with(patient());
     leaver(10ms, 1, 30ms);  // its first attempt was turned away after 20 ms
-    client(10ms, {{0ms, job_text(1, 2)}});
+    add_client(10ms, {{0ms, job_text(1, 2)}});
     loop.run(5s);
     EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }),
               1);
@@ -110,7 +111,7 @@
 }
 
 TEST_P(ClientLeavesTest, WhileItsJobIsOut) {
-    Peer& only = peer({Does::silent, Does::answers});
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     open_with(patient());
     leaver(10ms, 1, 30ms);
     loop.run(100ms);
@@ -135,63 +136,64 @@
 };
 
 TEST_P(FullSocketTest, WhileItsJobIsBehindAFullSocket) {
-    Peer& only = peer({Does::answers});
-    only.reads_from = 90ms;
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    only.starts_reading_at = 90ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open_with(one_line());
-    Client& first = client(10ms, {{0ms, job_text(1, 1, large)}});
-    Client& second = client(30ms, {{0ms, job_text(1, 2, large)}});
-    Client& third = client(40ms, {{0ms, job_text(1, 3)}});
+    ScriptedClient& first = add_client(10ms, {{0ms, job_text(1, 1, large)}});
+    ScriptedClient& second = add_client(30ms, {{0ms, job_text(1, 2, large)}});
+    ScriptedClient& third = add_client(40ms, {{0ms, job_text(1, 3)}});
     loop.call_at(60ms, [&] {
         if (GetParam().how == Leaves::cancels)
-            Peer::put(second.stream, record(2, 1, ""));
+            ScriptedInvoker::write(second.stream, record(2, 1, ""));
         else
             second.stream->close();
     });
     loop.run(3s);
     EXPECT_EQ(only.connections, 1);
-    EXPECT_EQ(first.answer(1).status(), "200");
-    EXPECT_EQ(third.answer(1).status(), "200");
+    EXPECT_EQ(first.response(1).status(), "200");
+    EXPECT_EQ(third.response(1).status(), "200");
     EXPECT_FALSE(ran(only, 2));
     EXPECT_TRUE(only.stops.empty());  // what never left needs no stop
 }
 
 // The same hop, and the list says that its invoker takes no more.
 TEST_P(FullSocketTest, OrItsInvokerDrains) {
-    Peer& only = peer({Does::answers});
-    only.reads_from = 90ms;
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    only.starts_reading_at = 90ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open_with(one_line());
-    Client& first = client(10ms, {{0ms, job_text(1, 1, large)}});
-    client(30ms, {{0ms, job_text(1, 2, large)}});
-    loop.call_at(60ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
+    ScriptedClient& first = add_client(10ms, {{0ms, job_text(1, 1, large)}});
+    add_client(30ms, {{0ms, job_text(1, 2, large)}});
+    loop.call_at(60ms, [&] { board.send(frame(board.last_event = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
     loop.run(3s);
-    EXPECT_EQ(first.answer(1).status(), "200");
+    EXPECT_EQ(first.response(1).status(), "200");
     EXPECT_FALSE(ran(only, 2));
 }
 
 // More answers pending than 64 KiB, since the client does not read: what it takes back is seen all the same.
 TEST_P(ClientLeavesTest, WhileItsAnswersAreNotRead) {
-    Peer& only = peer({Does::silent, Does::answers});
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     loop.limit_buffer({"10.1.0.1", 7001}, 8000);
-    only.answer_body = std::string(16'000, 'a');
+    only.response_body = std::string(16'000, 'a');
     open_with(patient());
     std::string text;
     for (int i = 1; i <= 7; ++i) text += job_text(i, static_cast<std::uint64_t>(i));
-    Client& one = client(10ms, {{0ms, text}}, false);
+    ScriptedClient& one = add_client(10ms, {{0ms, text}}, false);
     loop.run(200ms);
     ASSERT_EQ(only.runs.size(), 7u);
-    ASSERT_EQ(host->gateway().status().at("jobs").at("open").to_number<int>(), 1);
-    Peer::put(one.stream, record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // read after the answers were given
+    ASSERT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 1);
+    ScriptedInvoker::write(one.stream,
+                           record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // read after the answers were given
     loop.run(220ms);
     if (GetParam().how == Leaves::cancels)
-        Peer::put(one.stream, record(2, 1, ""));
+        ScriptedInvoker::write(one.stream, record(2, 1, ""));
     else
         one.stream->close();
     loop.run(300ms);
     EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
-    EXPECT_EQ(host->gateway().status().at("jobs").at("open").to_number<int>(), 0);
+    EXPECT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 0);
 }
 
 std::vector<Leaving> leavings() {
@@ -206,18 +208,18 @@
 
 // Refusals to one who reads none are not held without end: the connection goes long before its answers count as unread.
 TEST_F(PlatformTest, AClientThatReadsNoRefusalsIsNotHeldForMuch) {
-    peer();
+    add_invoker();
     loop.limit_buffer({"10.1.0.1", 7001}, 64 * 1024);
     open(patient());
     std::string text;
     for (int i = 0; i < 200; ++i) text += message(1, {{"SCRIPT_NAME", "/invoke/nothing"}});
-    Client& flood = client(10ms, {}, false);
+    ScriptedClient& flood = add_client(10ms, {}, false);
     std::size_t most = 0;
     Time gone = Time::max();
     for (int i = 0; i < 100; ++i)
         loop.call_at(20ms + 5ms * i, [&] {
-            Peer::put(flood.stream, text);
-            const auto status = host->gateway().status();
+            ScriptedInvoker::write(flood.stream, text);
+            const auto status = server->gateway().status();
             if (status.at("door").at("connections").to_number<int>() == 0) gone = std::min(gone, loop.now());
             most = std::max(most, status.at("door").at("turned_back").as_object().empty() ? 0 : 1ul);
         });
@@ -232,7 +234,7 @@
 protected:
     // One of its own connection and function, with a minute's time.
     void patient_job(Time when, std::uint64_t id) {
-        well.emplace_back(hex16(id), &client(when, {{0ms, job_text(1, id, "work")}}));
+        expected_requests.emplace_back(hex16(id), &add_client(when, {{0ms, job_text(1, id, "work")}}));
     }
 };
 
@@ -247,70 +249,71 @@
 
 // Eight connections for all of twenty invokers: one that idles gives way, and who has none is served all the same.
 TEST_F(EndingsTest, AnInvokerWithoutAConnectionTakesThePlaceOfOneThatIdles) {
-    for (int i = 0; i < 20; ++i) peer();
+    for (int i = 0; i < 20; ++i) add_invoker();
     open(listed(20, "64"));
-    for (std::uint64_t i = 1; i <= 300; ++i) request(30ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 300; ++i) add_request(30ms * static_cast<int>(i), i, hex16(i));
     loop.run(30s);
-    EXPECT_EQ(honoured(), 300u);
+    EXPECT_EQ(succeeded_requests(), 300u);
     std::size_t used = 0;
-    for (const auto& each : peers) used += !each->runs.empty();
+    for (const auto& each : invokers) used += !each->runs.empty();
     EXPECT_GT(used, 9u);  // more than can be connected at once
 }
 
 // All places taken by connections with something out: the next invoker waits for the first that ends, not for its own
 // time to run out.
 TEST_F(EndingsTest, WithAllConnectionsInUseTheNextOneFreeIsHandedOn) {
-    for (int i = 0; i < 20; ++i) peer({Does::silent});
+    for (int i = 0; i < 20; ++i) add_invoker({InvokerBehaviour::never_respond});
     open(listed(20, "64"));
-    std::vector<Client*> all;
-    for (std::uint64_t i = 1; i <= 30; ++i) all.push_back(&client(10ms, {{0ms, job_text(1, i)}}));
+    std::vector<ScriptedClient*> all;
+    for (std::uint64_t i = 1; i <= 30; ++i) all.push_back(&add_client(10ms, {{0ms, job_text(1, i)}}));
     loop.run(200ms);
     std::size_t open_connections = 0;
-    const std::size_t before = runs();
-    for (const auto& each : peers) open_connections += static_cast<std::size_t>(each->open);
+    const std::size_t before = total_runs();
+    for (const auto& each : invokers) open_connections += static_cast<std::size_t>(each->open_connections);
     ASSERT_EQ(open_connections, 8u);
     ASSERT_LT(before, 30u);
-    for (const auto& each : peers) {
-        each->script = {Does::answers};
-        for (const auto& run : each->runs) Peer::put(each->streams[0], run.second + " data n=reused 2\r\nok\r\n");
+    for (const auto& each : invokers) {
+        each->script = {InvokerBehaviour::respond};
+        for (const auto& run : each->runs)
+            ScriptedInvoker::write(each->streams[0], run.second + " data n=reused 2\r\nok\r\n");
     }
     loop.run(2s);
-    EXPECT_EQ(runs(), 30u);
-    for (Client* each : all) EXPECT_EQ(each->answer(1).status(), "200");
+    EXPECT_EQ(total_runs(), 30u);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).status(), "200");
 }
 
 // The list names another address while the connection to the old one comes up: what has not left goes to the new one,
 // since anybody may be at the old one by now.
 TEST_F(EndingsTest, AnAddressThatMovesWhileItsConnectionComesUpIsNotSpokenTo) {
-    Peer& old = peer();
-    Peer& fresh = peer();
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedInvoker& old = add_invoker();
+    ScriptedInvoker& fresh = add_invoker();
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open(patient());
     loop.run(5ms);
-    request(10ms, 1);
+    add_request(10ms, 1);
     loop.call_at(10'300us, [&] {
-        board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}}));
+        board.send(frame(board.last_event = 2, 2, {{1, "10.0.0.2"}}));
     });  // told at 10.4; sent at 10.3
     loop.run(2s);
     EXPECT_TRUE(old.runs.empty());
     EXPECT_EQ(fresh.runs.size(), 1u);
-    EXPECT_EQ(honoured(), 1u);
+    EXPECT_EQ(succeeded_requests(), 1u);
 }
 
 // What is out at the old address is awaited there, and nothing new goes to it.
 TEST_F(EndingsTest, WhatIsOutAtAnAddressThatMovesIsAwaitedThere) {
-    Peer& old = peer();
-    Peer& fresh = peer();
-    old.takes = 500ms;
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedInvoker& old = add_invoker();
+    ScriptedInvoker& fresh = add_invoker();
+    old.service_time = 500ms;
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open(patient());
     patient_job(10ms, 1), patient_job(200ms, 2);
-    loop.call_at(100ms, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.2"}})); });
+    loop.call_at(100ms, [&] { board.send(frame(board.last_event = 2, 2, {{1, "10.0.0.2"}})); });
     loop.run(2s);
     EXPECT_EQ(old.runs.size(), 1u);
     EXPECT_EQ(fresh.runs.size(), 1u);
-    EXPECT_EQ(honoured(), 2u);
-    EXPECT_EQ(old.open, 0);
+    EXPECT_EQ(succeeded_requests(), 2u);
+    EXPECT_EQ(old.open_connections, 0);
 }
 
 // Its time is nearly up when its connection is there: a hop without a whole millisecond would void the run.
@@ -320,86 +323,86 @@
 };
 
 TEST_P(SlowNetworkTest, NothingIsSentWithoutTimeLeft) {
-    Peer& only = peer();
-    only.takes = 0ms;
+    ScriptedInvoker& only = add_invoker();
+    only.service_time = 0ms;
     open(replaced(patient(), R"("quantum":1.0)", R"("quantum":0.01)"));
     auto fields = job_fields(hex16(1), hex16(1));
     fields[2].second = GetParam();
-    Client& one = client(10ms, {{0ms, message(1, fields)}});
+    ScriptedClient& one = add_client(10ms, {{0ms, message(1, fields)}});
     loop.run(3s);
     EXPECT_EQ(only.connections, 1);
     EXPECT_TRUE(only.runs.empty());
-    EXPECT_EQ(one.answer(1).times, 1);
+    EXPECT_EQ(one.response(1).times, 1);
 }
 INSTANTIATE_TEST_SUITE_P(All, SlowNetworkTest, testing::Values("2.1", "2.5", "2.9"),
                          [](const auto& each) { return "Budget" + std::to_string(each.index); });
 
 // An invoker that goes, with its machine silent: its hop's time is not waited for where another may run the job.
 TEST_F(EndingsTest, AConnectionResetUnderAJobThatMayRunAgainSendsItOn) {
-    Peer& a = peer({Does::resets, Does::answers});
-    Peer& b = peer({Does::resets, Does::answers});
+    ScriptedInvoker& a = add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond});
+    ScriptedInvoker& b = add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond});
     open();
-    request(10ms, 1);
+    add_request(10ms, 1);
     loop.run(3s);
-    EXPECT_EQ(honoured(), 1u);
+    EXPECT_EQ(succeeded_requests(), 1u);
     EXPECT_EQ(a.runs.size() + b.runs.size(), 2u);
 }
 
 // The connection is reset at the instant at which a request that may run but once is put on it: the write fails, so it
 // never ran, and goes on.
 TEST_F(EndingsTest, WhatCouldNotBeWrittenNeverRan) {
-    Peer& only = peer();
+    ScriptedInvoker& only = add_invoker();
     open(replaced(patient(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
     patient_job(10ms, 1);
-    Client& second = client(20ms, {});
-    well.emplace_back(hex16(2), &second);
+    ScriptedClient& second = add_client(20ms, {});
+    expected_requests.emplace_back(hex16(2), &second);
     loop.run(100ms);
     ASSERT_EQ(only.streams.size(), 1u);
     loop.call_at(110ms, [&] {
-        Peer::put(second.stream, job_text(1, 2, "work"));  // both arrive at the same moment, this first
+        ScriptedInvoker::write(second.stream, job_text(1, 2, "work"));  // both arrive at the same moment, this first
         only.streams[0]->reset();
     });
     loop.run(5s);
-    EXPECT_EQ(honoured(), 2u);
+    EXPECT_EQ(succeeded_requests(), 2u);
     EXPECT_EQ(only.runs.size(), 2u);
 }
 
 // A record stops in its middle, and another request of its connection is open: that one is answered, then the
 // connection goes.
 TEST_F(EndingsTest, ARecordThatDoesNotComeWholeCostsNoOpenRequestItsAnswer) {
-    Peer& only = peer();
-    only.takes = 3s;
+    ScriptedInvoker& only = add_invoker();
+    only.service_time = 3s;
     open(patient());
-    Client& one = client(10ms, {{0ms, job_text(1, 1, "work") + job_text(2, 2, "work").substr(0, 60)}});
+    ScriptedClient& one = add_client(10ms, {{0ms, job_text(1, 1, "work") + job_text(2, 2, "work").substr(0, 60)}});
     loop.run(10s);
-    EXPECT_EQ(one.answer(1).times, 1);
-    EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(1)));
-    EXPECT_LT(one.ended, 5s);
+    EXPECT_EQ(one.response(1).times, 1);
+    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
+    EXPECT_LT(one.ended_at, 5s);
 }
 
 // ---------------------------------------------------------------- the list ends
 
 // A whole list that leaves out an invoker with a hop out: the hop is awaited, and nothing new goes there.
 TEST_F(EndingsTest, AWholeListWithoutAnInvokerLeavesItsOpenHopsAlone) {
-    Peer& a = peer();
-    Peer& b = peer();
-    a.takes = b.takes = 300ms;
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedInvoker& a = add_invoker();
+    ScriptedInvoker& b = add_invoker();
+    a.service_time = b.service_time = 300ms;
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open(listed(2, "256"));
     for (std::uint64_t i = 1; i <= 40; ++i) patient_job(10ms * static_cast<int>(i), i);
-    loop.call_at(200ms, [&] { board.say(frame(board.last = 2, 1, {{2, "10.0.0.2"}})); });
+    loop.call_at(200ms, [&] { board.send(frame(board.last_event = 2, 1, {{2, "10.0.0.2"}})); });
     loop.run(5s);
-    EXPECT_EQ(honoured(), 40u);
+    EXPECT_EQ(succeeded_requests(), 40u);
     EXPECT_GT(a.runs.size(), 0u);
     for (const auto& [at, id] : a.runs) EXPECT_LE(at, 201ms) << id;
 }
 
 // Thirty controllers lose the board at the same moment: they don't come again in step.
 TEST_F(EndingsTest, ControllersThatLoseTheBoardTogetherDoNotReturnInStep) {
-    PlatformConfig told = load_platform_config(file_of(plain_config));
+    PlatformConfig told = load_platform_config(write_config(default_config));
     told.gateway.log.file = "/dev/null";
     Log quiet(loop, told.gateway.log);
-    auto board = std::make_unique<Noticeboard>(loop, "10.9.0.1");
+    auto board = std::make_unique<ScriptedDiscovery>(loop, "10.9.0.1");
     std::vector<std::unique_ptr<discovery::Watcher>> all;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         all.push_back(std::make_unique<discovery::Watcher>(
@@ -407,15 +410,15 @@
         all.back()->start();
     }
     loop.run(500ms);
-    ASSERT_EQ(board->asked.size(), 30u);
+    ASSERT_EQ(board->subscriptions.size(), 30u);
     board->listener->close();
-    for (const auto& stream : board->held) stream->close();
+    for (const auto& stream : board->streams) stream->close();
     loop.run(2s);
-    Noticeboard again(loop, "10.9.0.1");
+    ScriptedDiscovery again(loop, "10.9.0.1");
     loop.run(3500ms);  // the longest pause is 1.2 s; those that hear nothing here come again later
-    ASSERT_EQ(again.asked.size(), 30u);
+    ASSERT_EQ(again.subscriptions.size(), 30u);
     std::set<Time> moments;
-    for (const auto& [at, number] : again.asked) moments.insert(at);
+    for (const auto& [at, number] : again.subscriptions) moments.insert(at);
     EXPECT_GE(moments.size(), 20u);
 }
 
@@ -423,35 +426,36 @@
 
 // The board's address moves after the word to end: nothing is lost, and the process ends as it would.
 TEST_F(EndingsTest, ANewConfigurationDuringADrainChangesNothingOfIt) {
-    peer(), peer();
-    Noticeboard old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
+    add_invoker(), add_invoker();
+    ScriptedDiscovery old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
     open();
-    for (std::uint64_t i = 1; i <= 160; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 160; ++i) add_request(10ms * static_cast<int>(i), i, hex16(i));
     Time ended{};
-    loop.call_at(1s, [&] { host->shut_down([&] { ended = loop.now(); }); });
+    loop.call_at(1s, [&] { server->shut_down([&] { ended = loop.now(); }); });
     loop.call_at(1200ms, [&] {
-        host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2"))));
+        server->reconfigure(load_platform_config(write_config(replaced(default_config, "10.9.0.1", "10.9.0.2"))));
     });
-    loop.call_at(1300ms, [&] { host->shut_down([] { FAIL() << "ended twice"; }); });
+    loop.call_at(1300ms, [&] { server->shut_down([] { FAIL() << "ended twice"; }); });
     loop.run(10s);
-    EXPECT_EQ(honoured(), 160u);
+    EXPECT_EQ(succeeded_requests(), 160u);
     EXPECT_GE(ended, 1800ms);
     EXPECT_LT(ended, 4s);
-    EXPECT_EQ(fresh.asked.size(), 1u);
+    EXPECT_EQ(fresh.subscriptions.size(), 1u);
 }
 
 // The word to end is carried out only when the last connection has taken leave: an end of the process resets what its
 // client has not read.
 TEST_F(EndingsTest, TheProcessEndsOnlyAfterItsLastFarewell) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
-    for (std::uint64_t i = 1; i <= 20; ++i) request(10ms * static_cast<int>(i), i);
+    for (std::uint64_t i = 1; i <= 20; ++i) add_request(10ms * static_cast<int>(i), i);
     int connections = -1;
     loop.call_at(300ms, [&] {
-        host->shut_down([&] { connections = host->gateway().status().at("door").at("connections").to_number<int>(); });
+        server->shut_down(
+            [&] { connections = server->gateway().status().at("door").at("connections").to_number<int>(); });
     });
     loop.run(10s);
-    EXPECT_EQ(honoured(), 20u);
+    EXPECT_EQ(succeeded_requests(), 20u);
     EXPECT_EQ(connections, 0);
 }
 
@@ -463,11 +467,11 @@
     for (const auto& [from, to] :
          std::map<std::string, std::string>{{"10.1.0.1", own + "1"}, {"10.9.0.1", own + "9"}, {"10.0.0.1", own + "11"}})
         text = replaced(text, from, to);
-    PlatformConfig config = load_platform_config(file_of(text));
+    PlatformConfig config = load_platform_config(write_config(text));
     config.gateway.log.file = "/dev/null";
     net::SocketEventLoop loop;
     Log log(loop, config.gateway.log);
-    Peer invoker(loop, own + "11", {Does::answers});
+    ScriptedInvoker invoker(loop, own + "11", {InvokerBehaviour::respond});
     auto host = std::make_unique<PlatformServer>(loop, config, log);
     ASSERT_FALSE(host->open());
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -12,7 +12,7 @@
 #include "invoker_protocol/codec.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "remote_write/sender.hpp"
-#include "tests/platform_world.hpp"
+#include "tests/platform_fixture.hpp"
 #include "tests/toy_trace.hpp"
 #include "trace/file.hpp"
 
@@ -145,12 +145,14 @@
 
 TEST_F(GoldenPlatform, AnswersAndRuns) {
     open();
-    Noticeboard board(loop, "10.9.0.1");
-    peer({Does::answers, Does::errs, Does::full, Does::answers});
-    peer({Does::full, Does::answers});
-    Client& well_served = client(20ms, {{0ms, message(1, job_fields(hex16(0xa1), hex16(0xf)), "work")},
-                                        {300ms, message(2, job_fields(hex16(0xa2), hex16(0xe)), "more work")},
-                                        {600ms, message(3, job_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
+    ScriptedDiscovery board(loop, "10.9.0.1");
+    add_invoker(
+        {InvokerBehaviour::respond, InvokerBehaviour::fail, InvokerBehaviour::reject, InvokerBehaviour::respond});
+    add_invoker({InvokerBehaviour::reject, InvokerBehaviour::respond});
+    ScriptedClient& well_served =
+        add_client(20ms, {{0ms, message(1, job_fields(hex16(0xa1), hex16(0xf)), "work")},
+                          {300ms, message(2, job_fields(hex16(0xa2), hex16(0xe)), "more work")},
+                          {600ms, message(3, job_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
     Fields unknown_class = job_fields(hex16(0xb1), hex16(0xf));
     unknown_class[0].second = "/invoke/nothing";
     Fields no_time = job_fields(hex16(0xb2), hex16(0xf), 0);
@@ -160,34 +162,34 @@
     health[0].second = "/_health";
     Fields elsewhere = job_fields(hex16(0xb5), hex16(0xf));
     elsewhere[0].second = "/other";
-    Client& turned_down =
-        client(40ms, {{0ms, message(1, unknown_class, "x")},
-                      {100ms, message(2, no_time, "x")},
-                      {200ms, message(3, absurd_time, "x")},
-                      {300ms, message(4, health)},
-                      {400ms, message(5, elsewhere, "x")},
-                      {500ms, message(6, job_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
-                      {700ms, record(9, 0, pair("FCGI_MAX_CONNS", "") + pair("FCGI_MPXS_CONNS", ""))},
-                      {800ms, record(33, 0, "")}});
+    ScriptedClient& turned_down =
+        add_client(40ms, {{0ms, message(1, unknown_class, "x")},
+                          {100ms, message(2, no_time, "x")},
+                          {200ms, message(3, absurd_time, "x")},
+                          {300ms, message(4, health)},
+                          {400ms, message(5, elsewhere, "x")},
+                          {500ms, message(6, job_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
+                          {700ms, record(9, 0, pair("FCGI_MAX_CONNS", "") + pair("FCGI_MPXS_CONNS", ""))},
+                          {800ms, record(33, 0, "")}});
     loop.run(4s);
-    expect_golden("answers_served.txt", well_served.got);
-    expect_golden("answers_refused.txt", turned_down.got);
+    expect_golden("answers_served.txt", well_served.received);
+    expect_golden("answers_refused.txt", turned_down.received);
     std::string lines;
-    for (const auto& each : peers)
-        for (const std::string& line : each->lines) lines += line + "\r\n";
+    for (const auto& each : invokers)
+        for (const std::string& line : each->run_lines) lines += line + "\r\n";
     expect_golden("runs_at_invokers.txt", lines);
     std::string asked;
-    for (const auto& [at, number] : board.asked) asked += fmt::format("{} {}\n", at.count(), number);
+    for (const auto& [at, number] : board.subscriptions) asked += fmt::format("{} {}\n", at.count(), number);
     expect_golden("discovery_asked.txt", asked);
 }
 
 // The status that operators and tools read.
 TEST_F(GoldenPlatform, RefusedForWantOfInvokers) {
     open();
-    Noticeboard board(loop, "10.9.0.1");
-    Client& it = client(20ms, {{0ms, message(1, job_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
+    ScriptedDiscovery board(loop, "10.9.0.1");
+    ScriptedClient& it = add_client(20ms, {{0ms, message(1, job_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
     loop.run(3s);
-    expect_golden("answers_without_invokers.txt", it.got);
+    expect_golden("answers_without_invokers.txt", it.received);
 }
 
 // A trace written then is read, told and decided again without a difference.
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -2,46 +2,51 @@
 // board: what each is owed is checked from the bytes that passed.
 #include <set>
 
-#include "tests/platform_world.hpp"
+#include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
 
 TEST_F(PlatformTest, ManyJobsOnAConnectionAreHonouredUnchanged) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
     std::string text;
     for (int i = 1; i <= 32; ++i)
         text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
-    Client& one = client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
+    ScriptedClient& one = add_client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
     loop.run(5s);
-    for (int i = 1; i <= 32; ++i) EXPECT_EQ(one.answer(i).body(), Peer::body_for(hex16(static_cast<std::uint64_t>(i))));
-    EXPECT_EQ(one.answer(40).status(), "200");
-    EXPECT_EQ(runs(), 32u);
-    EXPECT_LE(peers[0]->connections + peers[1]->connections, 16);
+    for (int i = 1; i <= 32; ++i)
+        EXPECT_EQ(one.response(i).body(), ScriptedInvoker::response_body_for(hex16(static_cast<std::uint64_t>(i))));
+    EXPECT_EQ(one.response(40).status(), "200");
+    EXPECT_EQ(total_runs(), 32u);
+    EXPECT_LE(invokers[0]->connections + invokers[1]->connections, 16);
 }
 
-class SpoiltTest : public PlatformTest, public testing::WithParamInterface<Does> {};
+class SpoiltTest : public PlatformTest, public testing::WithParamInterface<InvokerBehaviour> {};
 TEST_P(SpoiltTest, NothingSpoiltIsPassedOnAndEveryJobHasOneAnswer) {
     for (int i = 0; i < 2; ++i) {
-        std::vector<Does> script;
-        for (int n = 0; n < 12; ++n) script.push_back(n % 3 == 1 ? GetParam() : Does::answers);
-        script.push_back(Does::answers);
-        peer(script);
+        std::vector<InvokerBehaviour> script;
+        for (int n = 0; n < 12; ++n) script.push_back(n % 3 == 1 ? GetParam() : InvokerBehaviour::respond);
+        script.push_back(InvokerBehaviour::respond);
+        add_invoker(script);
     }
     open();
-    for (std::uint64_t i = 1; i <= 40; ++i) request(10ms * static_cast<int>(i), i);
+    for (std::uint64_t i = 1; i <= 40; ++i) add_request(10ms * static_cast<int>(i), i);
     loop.run(20s);
-    EXPECT_GE(honoured(), GetParam() == Does::silent ? 32u : 40u);
-    for (const auto& [id, it] : well)
-        if (it->answer(1).status() == "200") {
-            EXPECT_EQ(it->answer(1).body(), Peer::body_for(id));
+    EXPECT_GE(succeeded_requests(), GetParam() == InvokerBehaviour::never_respond ? 32u : 40u);
+    for (const auto& [id, it] : expected_requests)
+        if (it->response(1).status() == "200") {
+            EXPECT_EQ(it->response(1).body(), ScriptedInvoker::response_body_for(id));
         }
 }
 INSTANTIATE_TEST_SUITE_P(All, SpoiltTest,
-                         testing::Values(Does::noise, Does::endless, Does::short_body, Does::long_body, Does::huge,
-                                         Does::cuts, Does::resets, Does::half, Does::twice, Does::ahead, Does::silent,
-                                         Does::full, Does::errs));
+                         testing::Values(InvokerBehaviour::garbage_first, InvokerBehaviour::endless_line,
+                                         InvokerBehaviour::length_too_small, InvokerBehaviour::length_too_large,
+                                         InvokerBehaviour::length_over_limit, InvokerBehaviour::truncate,
+                                         InvokerBehaviour::reset, InvokerBehaviour::stall_midway,
+                                         InvokerBehaviour::respond_twice, InvokerBehaviour::unsolicited_first,
+                                         InvokerBehaviour::never_respond, InvokerBehaviour::reject,
+                                         InvokerBehaviour::fail));
 
 struct Bad {
     const char* name;
@@ -98,89 +103,90 @@
 
 class BadClientTest : public PlatformTest, public testing::WithParamInterface<Bad> {};
 TEST_P(BadClientTest, IsToldOrClosedSoonAndReachesNoInvoker) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
-    std::vector<Client*> bad;
-    for (int i = 0; i < 20; ++i) bad.push_back(&client(10ms * i, {{0ms, GetParam().text}}));
-    for (std::uint64_t i = 100; i < 120; ++i) request(10ms * static_cast<int>(i - 99), i);
+    std::vector<ScriptedClient*> bad;
+    for (int i = 0; i < 20; ++i) bad.push_back(&add_client(10ms * i, {{0ms, GetParam().text}}));
+    for (std::uint64_t i = 100; i < 120; ++i) add_request(10ms * static_cast<int>(i - 99), i);
     loop.run(10s);
-    EXPECT_EQ(honoured(), 20u);
-    EXPECT_EQ(runs(), 20u);
-    for (const Client* each : bad) {
-        const bool told = each->answer(1).times > 0 && each->answer(1).status() != "200";
-        EXPECT_LE(std::min(told ? each->last : each->ended, each->ended) - each->connected, 2500ms);
+    EXPECT_EQ(succeeded_requests(), 20u);
+    EXPECT_EQ(total_runs(), 20u);
+    for (const ScriptedClient* each : bad) {
+        const bool told = each->response(1).times > 0 && each->response(1).status() != "200";
+        EXPECT_LE(std::min(told ? each->last_read_at : each->ended_at, each->ended_at) - each->connected_at, 2500ms);
     }
-    EXPECT_EQ(host->gateway().status().at("door").at("held_bytes").to_number<int>(), 0);
+    EXPECT_EQ(server->gateway().status().at("door").at("held_bytes").to_number<int>(), 0);
 }
 INSTANTIATE_TEST_SUITE_P(All, BadClientTest, testing::ValuesIn(bad_texts()));
 
 TEST_F(PlatformTest, AnOpenIdUnderAnotherBodyIsNotTaken) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
-    request(10ms, 5);
-    Client& other = client(15ms, {{0ms, message(1, job_fields(hex16(5), hex16(0xf)), "other")}});
+    add_request(10ms, 5);
+    ScriptedClient& other = add_client(15ms, {{0ms, message(1, job_fields(hex16(5), hex16(0xf)), "other")}});
     loop.run(5s);
-    EXPECT_EQ(honoured(), 1u);
-    EXPECT_EQ(runs(), 1u);
-    EXPECT_EQ(other.answer(1).status(), "400");
+    EXPECT_EQ(succeeded_requests(), 1u);
+    EXPECT_EQ(total_runs(), 1u);
+    EXPECT_EQ(other.response(1).status(), "400");
 }
 
 // Another customer's class is deduplicated by a key: each attempt bears its client's, unchanged, and none leaves
 // without.
 TEST_F(PlatformTest, AnIdempotencyKeyGoesOnUnchangedWithEachAttempt) {
-    peer({Does::resets, Does::answers}), peer({Does::resets, Does::answers});
-    open(replaced(plain_config, R"("semantics":"retryable")", R"("semantics":"dedup")"));
+    add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond}),
+        add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond});
+    open(replaced(default_config, R"("semantics":"retryable")", R"("semantics":"dedup")"));
     const auto with = [](std::uint64_t id, const std::string& key) {
         auto fields = job_fields(hex16(id), hex16(0xf));
         if (!key.empty()) fields.emplace_back("HTTP_ONCE_KEY", key);
         return message(1, fields, "work");
     };
-    Client& good = client(10ms, {{0ms, with(1, "5c242d41-3cff")}});
+    ScriptedClient& good = add_client(10ms, {{0ms, with(1, "5c242d41-3cff")}});
     const std::vector<std::string> bad{"", "a,b", "a=b", "a b", "a\r\nSTOP 1", std::string(300, 'k')};
-    std::vector<Client*> turned;
-    for (std::size_t i = 0; i < bad.size(); ++i) turned.push_back(&client(20ms, {{0ms, with(10 + i, bad[i])}}));
+    std::vector<ScriptedClient*> turned;
+    for (std::size_t i = 0; i < bad.size(); ++i) turned.push_back(&add_client(20ms, {{0ms, with(10 + i, bad[i])}}));
     loop.run(5s);
-    EXPECT_EQ(good.answer(1).body(), Peer::body_for(hex16(1)));
+    EXPECT_EQ(good.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
     std::size_t attempts = 0;
-    for (const auto& each : peers)
-        for (const std::string& line : each->lines) {
+    for (const auto& each : invokers)
+        for (const std::string& line : each->run_lines) {
             ++attempts;
             EXPECT_NE(line.find(",op=5c242d41-3cff,"), std::string::npos) << line;
         }
     EXPECT_EQ(attempts, 2u);
-    for (Client* each : turned) EXPECT_EQ(each->answer(1).status(), "400");
+    for (ScriptedClient* each : turned) EXPECT_EQ(each->response(1).status(), "400");
 }
 
 // A retry with next to no time left never runs: it is refused, which is harmless to try again, and not failed.
 TEST_F(PlatformTest, WithoutTimeLeftAJobIsRefusedNotFailed) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
-    std::vector<Client*> all;
+    std::vector<ScriptedClient*> all;
     for (const char* left : {"0", "0.4", "0.999"}) {
         auto fields = job_fields(hex16(all.size() + 1), hex16(0xf));
         fields[2].second = left;
-        all.push_back(&client(10ms, {{0ms, message(1, fields, "work")}}));
+        all.push_back(&add_client(10ms, {{0ms, message(1, fields, "work")}}));
     }
     loop.run(2s);
-    for (Client* each : all) EXPECT_EQ(each->answer(1).status(), "503");
-    EXPECT_EQ(runs(), 0u);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).status(), "503");
+    EXPECT_EQ(total_runs(), 0u);
 }
 
 TEST_F(PlatformTest, ATakenBackJobIsStoppedAndItsNumberFree) {
-    Peer& a = peer({Does::silent, Does::answers});
-    Peer& b = peer({Does::silent, Does::answers});
+    ScriptedInvoker& a = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    ScriptedInvoker& b = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     open();
     const std::string second = message(1, job_fields(hex16(2), hex16(0xf)));
-    Client& one =
-        client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
+    ScriptedClient& one = add_client(
+        10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
     loop.run(5s);
     EXPECT_EQ(a.stops.size() + b.stops.size(), 1u);
-    EXPECT_EQ(one.answer(1).times, 2);  // one for each
-    EXPECT_EQ(one.answer(1).body(), Peer::body_for(hex16(2)));
+    EXPECT_EQ(one.response(1).times, 2);  // one for each
+    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(2)));
 }
 
 TEST_F(PlatformTest, ManyTakenBackAtOnceLeaveNothingBehind) {
-    peer({Does::silent}), peer({Does::silent});
+    add_invoker({InvokerBehaviour::never_respond}), add_invoker({InvokerBehaviour::never_respond});
     open();
     for (int c = 0; c < 30; ++c) {
         std::string text, back;
@@ -189,136 +195,137 @@
                 i, job_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)), hex16(static_cast<std::uint64_t>(i))));
             back += record(2, i, "");
         }
-        client(10ms, {{0ms, text + back}});
+        add_client(10ms, {{0ms, text + back}});
     }
     loop.run(10s);
-    const auto status = host->gateway().status();
+    const auto status = server->gateway().status();
     EXPECT_EQ(status.at("jobs").at("open").to_number<int>(), 0);
     EXPECT_EQ(status.at("door").at("held_bytes").to_number<int>(), 0);
 }
 
 TEST_F(PlatformTest, AClientThatReadsNothingIsLetGoAndHoldsUpNobody) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
     std::string text;
     for (int i = 1; i <= 4000; ++i) text += record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}, {"FCGI_MAX_REQS", ""}}));
-    client(10ms, {{0ms, text}}, false);
-    for (std::uint64_t i = 1; i <= 20; ++i) request(50ms * static_cast<int>(i), i);
+    add_client(10ms, {{0ms, text}}, false);
+    for (std::uint64_t i = 1; i <= 20; ++i) add_request(50ms * static_cast<int>(i), i);
     loop.run(15s);
-    EXPECT_EQ(honoured(), 20u);
-    EXPECT_EQ(host->gateway().status().at("door").at("connections").to_number<int>(), 0);
+    EXPECT_EQ(succeeded_requests(), 20u);
+    EXPECT_EQ(server->gateway().status().at("door").at("connections").to_number<int>(), 0);
 }
 
 // More connections than the bound: silent ones give way, and who speaks is honoured.
 TEST_F(PlatformTest, SilentConnectionsGiveWayToThoseThatSpeak) {
-    peer(), peer();
+    add_invoker(), add_invoker();
     open();
-    for (int i = 0; i < 400; ++i) client(10ms, {});
-    for (std::uint64_t i = 1; i <= 20; ++i) request(100ms + 10ms * static_cast<int>(i), i);
+    for (int i = 0; i < 400; ++i) add_client(10ms, {});
+    for (std::uint64_t i = 1; i <= 20; ++i) add_request(100ms + 10ms * static_cast<int>(i), i);
     loop.run(10s);
-    EXPECT_EQ(honoured(), 20u);
+    EXPECT_EQ(succeeded_requests(), 20u);
 }
 
 // ---------------------------------------------------------------- the notice board
 
 TEST_F(PlatformTest, OfAListOverTheBoundOnlySoManyInvokersAreTakenUp) {
-    most_invokers = 4;
-    Noticeboard board(loop, "10.9.0.1");
+    max_invokers = 4;
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open();
-    peer(), peer();
+    add_invoker(), add_invoker();
     loop.run(100ms);
     std::vector<Row> rows;
     for (std::uint32_t i = 3; i < 50; ++i) rows.push_back({i, "10.0.0." + std::to_string(i)});
-    board.say(frame(2, 2, rows));
+    board.send(frame(2, 2, rows));
     loop.run(1s);
-    const auto invokers = [&] { return host->gateway().estimates().size(); };
-    EXPECT_EQ(invokers(), 4u);
-    for (int i = 0; i < 5; ++i) request(1s + i * 100ms, static_cast<std::uint64_t>(i) + 1);
+    const auto known_invokers = [&] { return server->gateway().estimates().size(); };
+    EXPECT_EQ(known_invokers(), 4u);
+    for (int i = 0; i < 5; ++i) add_request(1s + i * 100ms, static_cast<std::uint64_t>(i) + 1);
     // Two leave; once they are let go, others are taken up when they are told of again.
-    board.say(frame(3, 2, {{3, "10.0.0.3", 7001, 2}, {4, "10.0.0.4", 7001, 2}}));
+    board.send(frame(3, 2, {{3, "10.0.0.3", 7001, 2}, {4, "10.0.0.4", 7001, 2}}));
     loop.run(12s);
-    board.say(frame(4, 2, {{5, "10.0.0.5"}, {6, "10.0.0.6"}, {7, "10.0.0.7"}}));
+    board.send(frame(4, 2, {{5, "10.0.0.5"}, {6, "10.0.0.6"}, {7, "10.0.0.7"}}));
     loop.run(13s);
-    EXPECT_EQ(invokers(), 4u);
-    EXPECT_EQ(honoured(), 5u) << "what is known serves on";
+    EXPECT_EQ(known_invokers(), 4u);
+    EXPECT_EQ(succeeded_requests(), 5u) << "what is known serves on";
 }
 
 TEST_F(PlatformTest, TheBoardIsFollowedThroughRepeatsGapsBreaksAndSilence) {
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open();
     loop.run(500ms);
-    ASSERT_EQ(board.asked.size(), 1u);
-    EXPECT_EQ(board.asked[0].second, 1u);
-    board.last = 2;
+    ASSERT_EQ(board.subscriptions.size(), 1u);
+    EXPECT_EQ(board.subscriptions[0].second, 1u);
+    board.last_event = 2;
     const std::string second = frame(2, 2, {{3, "10.0.0.3"}});
-    board.say(second + second);  // told twice
+    board.send(second + second);  // told twice
     loop.run(600ms);
-    EXPECT_EQ(host->watcher().last(), 2u);
-    board.say(frame(4, 2, {{4, "10.0.0.4"}}));  // the third is missing
+    EXPECT_EQ(server->watcher().last(), 2u);
+    board.send(frame(4, 2, {{4, "10.0.0.4"}}));  // the third is missing
     loop.run(1s);
-    ASSERT_EQ(board.asked.size(), 2u);
-    EXPECT_EQ(board.asked[1].second, 2u);
-    board.last = 4;
-    board.say(frame(3, 2, {{3, "10.0.0.3", 7001, 2}}) + frame(4, 2, {{4, "10.0.0.4"}}).substr(0, 20));
+    ASSERT_EQ(board.subscriptions.size(), 2u);
+    EXPECT_EQ(board.subscriptions[1].second, 2u);
+    board.last_event = 4;
+    board.send(frame(3, 2, {{3, "10.0.0.3", 7001, 2}}) + frame(4, 2, {{4, "10.0.0.4"}}).substr(0, 20));
     loop.run(1100ms);
     board.stream->close();  // in the middle of an event
     loop.run(1500ms);
-    ASSERT_EQ(board.asked.size(), 3u);
-    EXPECT_EQ(board.asked[2].second, 3u);
-    board.beats = false;  // stays open and says nothing more
+    ASSERT_EQ(board.subscriptions.size(), 3u);
+    EXPECT_EQ(board.subscriptions[2].second, 3u);
+    board.sends_heartbeats = false;  // stays open and says nothing more
     const Time silent_since = loop.now();
     loop.run(silent_since + 3s);
-    ASSERT_GE(board.asked.size(), 4u);
-    EXPECT_LE(board.asked[3].first - silent_since, 3s);
-    board.say(frame(9, 1, {{9, "10.0.0.9"}}));  // a whole list makes good what was missed
+    ASSERT_GE(board.subscriptions.size(), 4u);
+    EXPECT_LE(board.subscriptions[3].first - silent_since, 3s);
+    board.send(frame(9, 1, {{9, "10.0.0.9"}}));  // a whole list makes good what was missed
     loop.run(loop.now() + 100ms);
-    EXPECT_EQ(host->watcher().last(), 9u);
+    EXPECT_EQ(server->watcher().last(), 9u);
 }
 
 TEST_F(PlatformTest, ABrokenFrameMeansToAskAgain) {
     for (const std::string& bad : {std::string("\xff\xff\xff\xff", 4), big(3, 4), big(9, 4) + big(2, 8) + "\5",
                                    big(12, 4) + big(2, 8) + "\2abc"}) {
         net::SimulatedEventLoop own;
-        Noticeboard board(own, "10.9.0.1");
-        PlatformConfig told = load_platform_config(file_of(plain_config));
+        ScriptedDiscovery board(own, "10.9.0.1");
+        PlatformConfig told = load_platform_config(write_config(default_config));
         told.gateway.log.file = "/dev/null";
         Log quiet(own, told.gateway.log);
         discovery::Watcher it(
             own, quiet, told.labels, told.discovery, 1, [](const discovery::WatchEvent&) {}, 7);
         it.start();
         own.run(500ms);
-        board.say(bad);
+        board.send(bad);
         own.run(1s);
-        EXPECT_EQ(board.asked.size(), 2u);
+        EXPECT_EQ(board.subscriptions.size(), 2u);
     }
 }
 
 TEST_F(PlatformTest, ANewConfigurationMovesToTheBoardsNewAddress) {
-    Noticeboard old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
+    ScriptedDiscovery old(loop, "10.9.0.1"), fresh(loop, "10.9.0.2");
     open();
     loop.run(500ms);
-    old.last = 2;
-    old.say(frame(2, 2, {{3, "10.0.0.3"}}));
+    old.last_event = 2;
+    old.send(frame(2, 2, {{3, "10.0.0.3"}}));
     loop.run(600ms);
-    host->reconfigure(load_platform_config(file_of(replaced(plain_config, "10.9.0.1", "10.9.0.2"))));
+    server->reconfigure(load_platform_config(write_config(replaced(default_config, "10.9.0.1", "10.9.0.2"))));
     loop.run(800ms);
-    ASSERT_EQ(fresh.asked.size(), 1u);
-    EXPECT_EQ(fresh.asked[0].second, 2u);
-    EXPECT_EQ(old.asked.size(), 1u);
+    ASSERT_EQ(fresh.subscriptions.size(), 1u);
+    EXPECT_EQ(fresh.subscriptions[0].second, 2u);
+    EXPECT_EQ(old.subscriptions.size(), 1u);
 }
 
 // ---------------------------------------------------------------- drains, reused addresses, the end
 
 TEST_F(PlatformTest, ADrainingInvokerIsSentNothingNewAndOneAtAReusedAddressStartsAfresh) {
-    Peer& a = peer();
-    Peer& b = peer();
-    Noticeboard board(loop, "10.9.0.1");
+    ScriptedInvoker& a = add_invoker();
+    ScriptedInvoker& b = add_invoker();
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open();
-    for (std::uint64_t i = 1; i <= 300; ++i) request(10ms * static_cast<int>(i), i, hex16(i % 7 + (i > 220 ? 10 : 0)));
-    loop.call_at(1s, [&] { board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
-    loop.call_at(2s, [&] { board.say(frame(board.last = 3, 2, {{1, "10.0.0.1", 7001, 2}, {3, "10.0.0.1"}})); });
+    for (std::uint64_t i = 1; i <= 300; ++i)
+        add_request(10ms * static_cast<int>(i), i, hex16(i % 7 + (i > 220 ? 10 : 0)));
+    loop.call_at(1s, [&] { board.send(frame(board.last_event = 2, 2, {{1, "10.0.0.1", 7001, 1}})); });
+    loop.call_at(2s, [&] { board.send(frame(board.last_event = 3, 2, {{1, "10.0.0.1", 7001, 2}, {3, "10.0.0.1"}})); });
     loop.run(8s);
-    EXPECT_EQ(honoured(), 300u);
+    EXPECT_EQ(succeeded_requests(), 300u);
     int drained = 0, later = 0;
     for (const auto& [at, id] : a.runs) {
         drained += at > 1010ms && at < 2s;
@@ -330,33 +337,33 @@
 }
 
 TEST_F(PlatformTest, AfterTheWordToEndClientsAreTakenForAMomentAndAllAreAnswered) {
-    Peer& a = peer();
-    Peer& b = peer();
-    a.takes = b.takes = 100ms;
+    ScriptedInvoker& a = add_invoker();
+    ScriptedInvoker& b = add_invoker();
+    a.service_time = b.service_time = 100ms;
     open();
-    for (std::uint64_t i = 1; i <= 160; ++i) request(10ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 160; ++i) add_request(10ms * static_cast<int>(i), i, hex16(i));
     Time ended{};
-    loop.call_at(1s, [&] { host->shut_down([&] { ended = loop.now(); }); });
+    loop.call_at(1s, [&] { server->shut_down([&] { ended = loop.now(); }); });
     loop.run(10s);
-    EXPECT_EQ(honoured(), 160u);  // the last 0.6 s after the word
+    EXPECT_EQ(succeeded_requests(), 160u);  // the last 0.6 s after the word
     EXPECT_GE(ended, 1800ms);
     EXPECT_LT(ended, 4s);
-    Client& late = client(loop.now() + 10ms, {});
+    ScriptedClient& late = add_client(loop.now() + 10ms, {});
     loop.run(loop.now() + 1s);
-    EXPECT_NE(late.ended, Time::max());  // nobody listens any more
+    EXPECT_NE(late.ended_at, Time::max());  // nobody listens any more
 }
 
 // A restart is ready from nothing, and gives a late starter no more than its cold budget though nothing is learned.
 TEST_F(PlatformTest, AfterARestartAColdInvokerStaysWithinItsBudget) {
-    peer(), peer();
-    open(replaced(plain_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)",
+    add_invoker(), add_invoker();
+    open(replaced(default_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)",
                   R"("state":"up","capacity_hint":5,"boot_ms":1},)"));
-    for (std::uint64_t i = 1; i <= 100; ++i) request(5ms * static_cast<int>(i), i, hex16(i));
+    for (std::uint64_t i = 1; i <= 100; ++i) add_request(5ms * static_cast<int>(i), i, hex16(i));
     loop.run(120ms);
-    EXPECT_LE(peers[0]->runs.size(), 1u);
-    EXPECT_GE(peers[1]->runs.size(), 10u);
+    EXPECT_LE(invokers[0]->runs.size(), 1u);
+    EXPECT_GE(invokers[1]->runs.size(), 10u);
     loop.run(10s);
-    EXPECT_GE(honoured(), 90u);
+    EXPECT_GE(succeeded_requests(), 90u);
 }
 
 // ---------------------------------------------------------------- the configuration
@@ -384,26 +391,26 @@
 TEST(PlatformConfig, AnErrorNamesFileAndField) {
     const auto why = [](const std::string& text) -> std::string {
         try {
-            load_platform_config(file_of(text));
+            load_platform_config(write_config(text));
         } catch (const platform_settings::SettingsError& fault) {
             return fault.what();
         }
         return "";
     };
-    EXPECT_EQ(why(plain_config), "");
+    EXPECT_EQ(why(default_config), "");
     for (const auto& [bad, word] : std::vector<std::pair<std::string, std::string>>{
              {"{", "is no JSON"},
              {"[]", "is no JSON"},
-             {replaced(plain_config, R"("listen":"10.1.0.1:7001")", R"("listen":"here")"), "'listen'"},
-             {replaced(plain_config, R"("board":"10.9.0.1:2379",)", ""), "'board'"},
-             {replaced(plain_config, R"("seed":"8c1f30d27a5be964")", R"("seed":"xyz")"), "'seed'"},
-             {replaced(plain_config, R"("sockets":256)", R"("sockets":8)"), "'sockets'"},
-             {replaced(plain_config, R"("memory_mb":48)", R"("memory_mb":"much")"), "'memory_mb'"},
-             {replaced(plain_config, R"("classes":[)", R"("else":[)"), "'classes'"},
-             {replaced(plain_config, R"("deadline":3000.0,)", ""), "'deadline'"},
-             {replaced(plain_config, R"("uid":"s-00000001")", R"("uid":7)"), "'uid'"}}) {
+             {replaced(default_config, R"("listen":"10.1.0.1:7001")", R"("listen":"here")"), "'listen'"},
+             {replaced(default_config, R"("board":"10.9.0.1:2379",)", ""), "'board'"},
+             {replaced(default_config, R"("seed":"8c1f30d27a5be964")", R"("seed":"xyz")"), "'seed'"},
+             {replaced(default_config, R"("sockets":256)", R"("sockets":8)"), "'sockets'"},
+             {replaced(default_config, R"("memory_mb":48)", R"("memory_mb":"much")"), "'memory_mb'"},
+             {replaced(default_config, R"("classes":[)", R"("else":[)"), "'classes'"},
+             {replaced(default_config, R"("deadline":3000.0,)", ""), "'deadline'"},
+             {replaced(default_config, R"("uid":"s-00000001")", R"("uid":7)"), "'uid'"}}) {
         EXPECT_NE(why(bad).find(word), std::string::npos) << why(bad) << " for " << word;
-        EXPECT_NE(why(bad).find(config_file()), std::string::npos);
+        EXPECT_NE(why(bad).find(config_path()), std::string::npos);
     }
     EXPECT_NE(
         [] {
@@ -422,7 +429,7 @@
 // runs with it and answers.
 TEST(PlatformConfig, AForeignFieldIsNamedOrDoesNoHarm) {
     using platform_settings::json;
-    const json plain = json::parse(plain_config);
+    const json plain = json::parse(default_config);
     std::vector<json::json_pointer> fields;
     const std::function<void(const json&, const json::json_pointer&)> walk = [&](const json& at,
                                                                                  const json::json_pointer& path) {
@@ -459,10 +466,10 @@
             }
             PlatformConfig config;
             try {
-                config = load_platform_config(file_of(changed.dump()));
+                config = load_platform_config(write_config(changed.dump()));
             } catch (const platform_settings::SettingsError& fault) {
                 ++named;
-                EXPECT_NE(std::string(fault.what()).find(config_file()), std::string::npos);
+                EXPECT_NE(std::string(fault.what()).find(config_path()), std::string::npos);
                 continue;
             } catch (const std::exception& other) {
                 ADD_FAILURE() << field << " as case " << i << ": " << other.what();
@@ -474,9 +481,9 @@
             Log log(loop, config.gateway.log);
             PlatformServer host(loop, config, log);
             if (host.open()) continue;
-            Client client(loop, 10ms,
-                          {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") +
-                                     message(2, {{"SCRIPT_NAME", "/_health"}})}});
+            ScriptedClient client(loop, 10ms,
+                                  {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") +
+                                             message(2, {{"SCRIPT_NAME", "/_health"}})}});
             loop.run(200ms);
             host.reconfigure(config);
             loop.run(400ms);
@@ -491,11 +498,11 @@
     for (std::size_t i = 0; i <= discovery::max_records; ++i)
         targets += (i ? "," : "") + fmt::format(R"({{"uid":"s-{:08x}","endpoint":"10.{}.{}.{}:7001","state":"up"}})", i,
                                                 i >> 16, i >> 8 & 255, i & 255);
-    std::string text = plain_config;
+    std::string text = default_config;
     const auto from = text.find("\"targets\":[") + 11, to = text.find("]}}]}", from);
     text.replace(from, to - from, targets);
     try {
-        load_platform_config(file_of(text));
+        load_platform_config(write_config(text));
         FAIL() << "it was read";
     } catch (const platform_settings::SettingsError& fault) {
         EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known' names 20001 invokers; 20000 at most"),
@@ -505,7 +512,7 @@
 }
 
 TEST(PlatformConfig, BoundsFollowFromTheLimits) {
-    const PlatformConfig config = load_platform_config(file_of(plain_config));
+    const PlatformConfig config = load_platform_config(write_config(default_config));
     EXPECT_LE(config.gateway.admission.max_connections + config.gateway.pool.max_total_connections, 256u);
     EXPECT_GE(config.gateway.admission.max_connections, 256u / 3);  // clients hold a third at the most
     EXPECT_LT(config.gateway.admission.max_memory_bytes, 48u * 1024 * 1024 / 4);
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -10,7 +10,7 @@
 #include "emulator/faults/fault_plan.hpp"
 #include "emulator/faults/process.hpp"
 #include "net/socket_event_loop.hpp"
-#include "tests/platform_world.hpp"
+#include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
@@ -25,7 +25,7 @@
         return fmt::format("127.{}.{}.{}", 64 + (::getpid() >> 8) % 64, ::getpid() & 255, last);
     }
     static std::string config() {
-        std::string text = plain_config;
+        std::string text = default_config;
         for (const auto& [from, to] : std::map<std::string, std::string>{
                  {"10.1.0.1", host(1)}, {"10.9.0.1", host(9)}, {"10.0.0.1", host(11)}, {"10.0.0.2", host(12)}})
             text = replaced(text, from, to);
@@ -42,7 +42,7 @@
     }
     void start(const std::string& text) {
         process.reset();  // its address is free again
-        const std::string file = file_of(text);
+        const std::string file = write_config(text);
         // As deploy/balancer.toml starts it.
         process = std::make_unique<faults::Process>(
             std::vector<std::string>{"/bin/sh", "-c", "trap '' HUP; exec \"$0\" platform", PLUMKEEL_PROGRAM},
@@ -51,13 +51,13 @@
                                                {"LD_PRELOAD", PLUMKEEL_FAULT_PRELOAD},
                                                {faults::plan_variable, plan.path()}});
     }
-    Peer& peer(int last, std::vector<Does> does = {Does::answers}) {
-        return *peers.emplace_back(std::make_unique<Peer>(loop, host(last), std::move(does)));
+    ScriptedInvoker& peer(int last, std::vector<InvokerBehaviour> does = {InvokerBehaviour::respond}) {
+        return *peers.emplace_back(std::make_unique<ScriptedInvoker>(loop, host(last), std::move(does)));
     }
     // Moments are counted from when the program was first ready.
-    Client& client(Time when, std::vector<std::pair<Time, std::string>> texts) {
+    ScriptedClient& client(Time when, std::vector<std::pair<Time, std::string>> texts) {
         return *clients.emplace_back(
-            std::make_unique<Client>(loop, ready + when, std::move(texts), true, net::Address{host(1), 7001}));
+            std::make_unique<ScriptedClient>(loop, ready + when, std::move(texts), true, net::Address{host(1), 7001}));
     }
     void at(Time when, std::function<void()> what) { loop.call_at(ready + when, std::move(what)); }
     void run(Time until) {
@@ -66,17 +66,17 @@
     }
     void TearDown() override {
         for (const auto& each : clients)
-            EXPECT_GT(each->connected, Time{}) << "a client never came up: nothing was shown";
+            EXPECT_GT(each->connected_at, Time{}) << "a client never came up: nothing was shown";
     }
     // Of requests that their clients sent at `sent`, with this budget: no attempt that came since told more than was
     // left. Returns how many came.
     std::size_t told_no_more_than_left(Time sent, Time budget) const {
         std::size_t came = 0;
         for (const auto& each : peers)
-            for (std::size_t i = 0; i < each->lines.size(); ++i) {
+            for (std::size_t i = 0; i < each->run_lines.size(); ++i) {
                 if (each->runs[i].first < ready + sent) continue;
                 ++came;
-                const int patience = std::stoi(each->lines[i].substr(each->lines[i].find("patience=") + 9));
+                const int patience = std::stoi(each->run_lines[i].substr(each->run_lines[i].find("patience=") + 9));
                 EXPECT_LE(patience, (ready + sent + budget + 150ms - each->runs[i].first) / 1ms);
             }
         return came;
@@ -102,8 +102,8 @@
     net::SocketEventLoop loop;
     Time ready{};
     std::unique_ptr<faults::Process> process;
-    std::vector<std::unique_ptr<Peer>> peers;
-    std::vector<std::unique_ptr<Client>> clients;
+    std::vector<std::unique_ptr<ScriptedInvoker>> peers;
+    std::vector<std::unique_ptr<ScriptedClient>> clients;
 };
 
 // send(2) may be interrupted, and may find no buffers for a moment: neither says that the connection has broken.
@@ -111,7 +111,7 @@
     peer(11), peer(12);
     start(config());
     wait_until_ready();
-    std::vector<Client*> all;
+    std::vector<ScriptedClient*> all;
     for (int i = 0; i < 20; ++i) {
         std::vector<std::pair<Time, std::string>> texts;
         for (int n = 1; n <= 20; ++n)
@@ -130,8 +130,8 @@
     });
     run(8s);
     std::size_t answered = 0, served = 0;
-    for (Client* each : all) {
-        const auto got = answers(each->got);
+    for (ScriptedClient* each : all) {
+        const auto got = answers(each->received);
         ASSERT_TRUE(got);
         for (int n = 1; n <= 20; ++n) {
             answered += got->count(n) && got->at(n).times == 1;
@@ -149,14 +149,14 @@
     peer(11), peer(12);
     start(config());
     wait_until_ready();
-    Client& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                 {500ms, message(2, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
+                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))}});
     at(950ms, [&] { plan.fail(Call::receive, 1'000'000, {ENOMEM}); });
     at(1100ms, [&] { plan.heal(); });
     run(2500ms);
     EXPECT_GT(plan.rule(Call::receive).failed, 0u);
-    EXPECT_EQ(one.answer(2).status(), "200");
-    EXPECT_LT(one.last - ready, 1800ms);
+    EXPECT_EQ(one.response(2).status(), "200");
+    EXPECT_LT(one.last_read_at - ready, 1800ms);
 }
 
 // recv(2) gives less than has come, and nothing more comes afterwards.
@@ -166,11 +166,11 @@
     wait_until_ready();
     plan.cut_short(Call::receive, 1'000'000);
     plan.cut_short(Call::send, 1'000'000);
-    Client& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)), "work")}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)), "work")}});
     run(2500ms);
     EXPECT_GT(plan.rule(Call::receive).cut_short, 0u);
-    EXPECT_EQ(one.answer(1).status(), "200");
-    EXPECT_LT(one.last - ready, 1800ms);
+    EXPECT_EQ(one.response(1).status(), "200");
+    EXPECT_LT(one.last_read_at - ready, 1800ms);
 }
 
 // accept(2) fails now and then, though there are descriptors: no idle client has to go for it, and who comes is served
@@ -179,7 +179,7 @@
     peer(11), peer(12);
     start(config());
     wait_until_ready();
-    std::vector<Client*> idle, fresh;
+    std::vector<ScriptedClient*> idle, fresh;
     for (std::uint64_t i = 1; i <= 10; ++i)
         idle.push_back(&client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
     at(900ms, [&] { plan.fail(Call::accept, 500'000, {ENFILE, ENOBUFS, ENOMEM, ECONNABORTED}); });
@@ -188,13 +188,14 @@
             &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(plan.rule(Call::accept).failed, 10u);
-    for (Client* each : idle) {
-        EXPECT_EQ(each->answer(1).status(), "200");
-        EXPECT_EQ(each->ended, Time::max()) << "closed after " << (each->ended - each->last) / 1ms << " ms";
+    for (ScriptedClient* each : idle) {
+        EXPECT_EQ(each->response(1).status(), "200");
+        EXPECT_EQ(each->ended_at, Time::max())
+            << "closed after " << (each->ended_at - each->last_read_at) / 1ms << " ms";
     }
-    for (Client* each : fresh) {
-        EXPECT_EQ(each->answer(1).status(), "200");
-        EXPECT_LT(each->last - each->connected, 1s);
+    for (ScriptedClient* each : fresh) {
+        EXPECT_EQ(each->response(1).status(), "200");
+        EXPECT_LT(each->last_read_at - each->connected_at, 1s);
     }
 }
 
@@ -219,7 +220,7 @@
     peer(11), peer(12);
     start(config());
     wait_until_ready();
-    std::vector<Client*> fresh;
+    std::vector<ScriptedClient*> fresh;
     for (std::uint64_t i = 1; i <= 10; ++i) client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}});
     at(900ms, [&] { plan.fail(Call::accept, 500'000, {EMFILE}); });
     for (std::uint64_t i = 11; i <= 50; ++i)
@@ -227,9 +228,9 @@
             &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(plan.rule(Call::accept).failed, 10u);
-    for (Client* each : fresh) {
-        EXPECT_EQ(each->answer(1).status(), "200");
-        EXPECT_LT(each->last - each->connected, 1s);
+    for (ScriptedClient* each : fresh) {
+        EXPECT_EQ(each->response(1).status(), "200");
+        EXPECT_LT(each->last_read_at - each->connected_at, 1s);
     }
 }
 
@@ -241,19 +242,20 @@
     wait_until_ready();
     const std::string whole = message(1, job_fields(hex16(99), hex16(1)), std::string(9000, 'h'));
     for (int i = 0; i < 60; ++i) client(500ms, {{0ms, whole.substr(0, whole.size() - 8)}});
-    std::vector<Client*> good;
+    std::vector<ScriptedClient*> good;
     for (std::uint64_t i = 1; i <= 10; ++i)
         good.push_back(&client(900ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
     run(4s);
-    for (Client* each : good) {
-        EXPECT_EQ(each->answer(1).status(), "200");
-        EXPECT_LT(each->last - each->connected, 700ms);
+    for (ScriptedClient* each : good) {
+        EXPECT_EQ(each->response(1).status(), "200");
+        EXPECT_LT(each->last_read_at - each->connected_at, 700ms);
     }
 }
 
 // All places are taken by requests that are open: one that comes waits unaccepted, and its time runs.
 TEST_F(ProcessFaultsTest, TimeInTheBacklogIsTheClients) {
-    std::vector<Peer*> all = {&peer(11, {Does::silent}), &peer(12, {Does::silent})};
+    std::vector<ScriptedInvoker*> all = {&peer(11, {InvokerBehaviour::never_respond}),
+                                         &peer(12, {InvokerBehaviour::never_respond})};
     std::string text =
         replaced(replaced(config(), R"("sockets":256)", R"("sockets":64)"), R"("probes":true)", R"("probes":false)");
     for (int i = 0; i < 2; ++i)
@@ -261,17 +263,17 @@
     start(text);
     wait_until_ready();
     for (std::uint64_t i = 1; i <= 44; ++i) client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i), 1500))}});
-    Client& late = client(700ms, {{0ms, message(1, job_fields(hex16(100), hex16(100), 2900))}});
+    ScriptedClient& late = client(700ms, {{0ms, message(1, job_fields(hex16(100), hex16(100), 2900))}});
     at(1900ms, [&] {
-        for (Peer* each : all) each->script = {Does::answers};
+        for (ScriptedInvoker* each : all) each->script = {InvokerBehaviour::respond};
     });
     run(5s);
-    EXPECT_EQ(late.answer(1).status(), "200") << (late.last - late.connected) / 1ms << " ms";
-    for (const Peer* each : all)
-        for (std::size_t i = 0; i < each->lines.size(); ++i) {
+    EXPECT_EQ(late.response(1).status(), "200") << (late.last_read_at - late.connected_at) / 1ms << " ms";
+    for (const ScriptedInvoker* each : all)
+        for (std::size_t i = 0; i < each->run_lines.size(); ++i) {
             if (each->runs[i].second != hex16(100)) continue;
-            const int patience = std::stoi(each->lines[i].substr(each->lines[i].find("patience=") + 9));
-            EXPECT_LE(patience, (late.connected + 2900ms + 150ms - each->runs[i].first) / 1ms);
+            const int patience = std::stoi(each->run_lines[i].substr(each->run_lines[i].find("patience=") + 9));
+            EXPECT_LE(patience, (late.connected_at + 2900ms + 150ms - each->runs[i].first) / 1ms);
         }
 }
 
@@ -279,45 +281,45 @@
 // goes on, and takes the new one up.
 TEST_F(ProcessFaultsTest, ANewConfigurationDuringTheStartDoesNotEndIt) {
     const std::string old = long_config();
-    Noticeboard board(loop, host(9)), moved(loop, host(10));
+    ScriptedDiscovery board(loop, host(9)), moved(loop, host(10));
     peer(11), peer(12);
     for (int i = 0; i < 12; ++i) {
         start(old);
         const int after_ms = 6 * i + 4;
         std::this_thread::sleep_for(std::chrono::milliseconds(after_ms));
-        const std::string fresh = config_file() + ".new";
+        const std::string fresh = config_path() + ".new";
         std::ofstream(fresh) << replaced(old, host(9), host(10));
-        std::filesystem::rename(fresh, config_file());
+        std::filesystem::rename(fresh, config_path());
         process->signal(SIGHUP);
-        const std::size_t before = moved.asked.size();
+        const std::size_t before = moved.subscriptions.size();
         run(loop.now() - ready + 600ms);
         ASSERT_FALSE(process->ended()) << "ended by signal " << process->ended()->code << ", told " << after_ms
                                        << " ms after its start";
-        EXPECT_GT(moved.asked.size(), before) << "told " << after_ms << " ms after its start";
+        EXPECT_GT(moved.subscriptions.size(), before) << "told " << after_ms << " ms after its start";
     }
 }
 
 // The process stands still for a while. A request that stood in its socket for most of its time is not sent on with all
 // of it, and an idle connection on which a request has come meanwhile is not closed.
 TEST_F(ProcessFaultsTest, APauseOfTheProcessCountsForWhatCameMeanwhile) {
-    Peer& a = peer(11);
-    Peer& b = peer(12);
+    ScriptedInvoker& a = peer(11);
+    ScriptedInvoker& b = peer(12);
     start(config());
     wait_until_ready();
-    Client& idle = client(
+    ScriptedClient& idle = client(
         500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}, {9s, message(2, job_fields(hex16(2), hex16(1)))}});
-    Client& fresh = client(8s, {{400ms, message(1, job_fields(hex16(3), hex16(1), 2500))},
-                                {1s, message(2, job_fields(hex16(4), hex16(1), 600))}});
+    ScriptedClient& fresh = client(8s, {{400ms, message(1, job_fields(hex16(3), hex16(1), 2500))},
+                                        {1s, message(2, job_fields(hex16(4), hex16(1), 600))}});
     at(6300ms, [&] { process->signal(SIGSTOP); });
     at(10s, [&] { process->signal(SIGCONT); });
     run(14s);
-    EXPECT_EQ(idle.answer(2).times, 1);
-    EXPECT_EQ(idle.answer(2).status(), "200");
-    EXPECT_EQ(fresh.answer(1).times, 1);
-    EXPECT_EQ(fresh.answer(2).times, 1);
-    EXPECT_EQ(fresh.answer(2).status(), "503");  // its client has left, as far as can be told
-    for (const Peer* each : {&a, &b})
-        for (const std::string& line : each->lines) {
+    EXPECT_EQ(idle.response(2).times, 1);
+    EXPECT_EQ(idle.response(2).status(), "200");
+    EXPECT_EQ(fresh.response(1).times, 1);
+    EXPECT_EQ(fresh.response(2).times, 1);
+    EXPECT_EQ(fresh.response(2).status(), "503");  // its client has left, as far as can be told
+    for (const ScriptedInvoker* each : {&a, &b})
+        for (const std::string& line : each->run_lines) {
             const int patience = std::stoi(line.substr(line.find("patience=") + 9));
             if (line.find(hex16(3)) != std::string::npos) {
                 EXPECT_LE(patience, 900 + 150) << line;
@@ -329,31 +331,31 @@
 // After a pause of the process what came meanwhile is read in many small pieces: all of it came before, and the end of
 // a client that stands behind it is seen before anything is sent for that client.
 TEST_F(ProcessFaultsTest, APauseCountsForWhatIsReadInPiecesAfterIt) {
-    Peer& a = peer(11);
-    Peer& b = peer(12);
+    ScriptedInvoker& a = peer(11);
+    ScriptedInvoker& b = peer(12);
     start(config());
     wait_until_ready();
     // Settled before, so that the pause falls on connections that are up.
-    Client& stays = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}});
-    Client& leaves = client(500ms, {{0ms, message(1, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& stays = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}});
+    ScriptedClient& leaves = client(500ms, {{0ms, message(1, job_fields(hex16(2), hex16(1)))}});
     const std::string large(15'000, 'b');
     at(990ms, [&] { plan.cut_short(Call::receive, 1'000'000); });
     at(1s, [&] { process->signal(SIGSTOP); });
     at(1050ms, [&] {
-        Peer::put(stays.stream, message(2, job_fields(hex16(3), hex16(1), 2500), large));
-        Peer::put(leaves.stream, message(2, job_fields(hex16(4), hex16(1), 2500), large) +
-                                     message(3, job_fields(hex16(5), hex16(1), 2500), large));
+        ScriptedInvoker::write(stays.stream, message(2, job_fields(hex16(3), hex16(1), 2500), large));
+        ScriptedInvoker::write(leaves.stream, message(2, job_fields(hex16(4), hex16(1), 2500), large) +
+                                                  message(3, job_fields(hex16(5), hex16(1), 2500), large));
     });
     at(1100ms, [&] { leaves.stream->close(); });
     at(2s, [&] { process->signal(SIGCONT); });
     run(6s);
-    EXPECT_EQ(stays.answer(2).times, 1);
-    for (const Peer* each : {&a, &b})
-        for (std::size_t i = 0; i < each->lines.size(); ++i) {
+    EXPECT_EQ(stays.response(2).times, 1);
+    for (const ScriptedInvoker* each : {&a, &b})
+        for (std::size_t i = 0; i < each->run_lines.size(); ++i) {
             EXPECT_NE(each->runs[i].second, hex16(4));
             EXPECT_NE(each->runs[i].second, hex16(5));
             if (each->runs[i].second != hex16(3)) continue;
-            const int patience = std::stoi(each->lines[i].substr(each->lines[i].find("patience=") + 9));
+            const int patience = std::stoi(each->run_lines[i].substr(each->run_lines[i].find("patience=") + 9));
             EXPECT_LE(patience, (ready + 1050ms + 2500ms + 150ms - each->runs[i].first) / 1ms);
         }
 }
@@ -363,7 +365,7 @@
     peer(11), peer(12);
     start(config());
     wait_until_ready();
-    std::vector<Client*> all;
+    std::vector<ScriptedClient*> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
         all.push_back(&client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(1)))}}));
     at(1s, [&] {
@@ -372,13 +374,13 @@
     });
     at(1050ms, [&] {
         for (std::uint64_t i = 1; i <= 10; ++i)
-            Peer::put(all[i - 1]->stream, message(2, job_fields(hex16(100 + i), hex16(1), 2500)));
+            ScriptedInvoker::write(all[i - 1]->stream, message(2, job_fields(hex16(100 + i), hex16(1), 2500)));
     });
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { plan.heal(); });
     run(6s);
     EXPECT_GE(told_no_more_than_left(1050ms, 2500ms), 5u);
-    for (Client* each : all) EXPECT_EQ(each->answer(2).times, 1);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(2).times, 1);
 }
 
 // The same where accepting fails for a moment after the pause.
@@ -390,56 +392,56 @@
         process->signal(SIGSTOP);
         plan.fail(Call::accept, 1'000'000, {ENOBUFS});
     });
-    std::vector<Client*> all;
+    std::vector<ScriptedClient*> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
         all.push_back(&client(1050ms, {{0ms, message(1, job_fields(hex16(i), hex16(1), 2500))}}));
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { plan.heal(); });
     run(6s);
     EXPECT_GE(told_no_more_than_left(1050ms, 2500ms), 5u);
-    for (Client* each : all) EXPECT_EQ(each->answer(1).times, 1);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).times, 1);
 }
 
 // An answer could not leave before a pause, for want of memory, nor at once after it: its client has read all that
 // there was, and is not taken for one that reads nothing.
 TEST_F(ProcessFaultsTest, AnAnswerThatCouldNotLeaveBeforeAPauseIsNotTakenForUnread) {
-    Peer& a = peer(11);
-    Peer& b = peer(12);
-    a.takes = b.takes = 100ms;
+    ScriptedInvoker& a = peer(11);
+    ScriptedInvoker& b = peer(12);
+    a.service_time = b.service_time = 100ms;
     start(config());
     wait_until_ready();
-    Client& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                 {500ms, message(2, job_fields(hex16(2), hex16(1)))},
-                                 {2s, message(3, job_fields(hex16(3), hex16(1), 2900))}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
+                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))},
+                                         {2s, message(3, job_fields(hex16(3), hex16(1), 2900))}});
     at(1050ms, [&] { plan.fail(Call::send, 1'000'000, {ENOBUFS}); });
     at(1300ms, [&] { process->signal(SIGSTOP); });
     at(3500ms, [&] { process->signal(SIGCONT); });
     at(3550ms, [&] { plan.heal(); });
     run(6s);
-    EXPECT_EQ(one.answer(2).times, 1);
-    EXPECT_EQ(one.answer(3).times, 1);
+    EXPECT_EQ(one.response(2).times, 1);
+    EXPECT_EQ(one.response(3).times, 1);
 }
 
 // Invokers close a connection that idled at the moment when a request comes that may run but once. It does not leave on
 // what has been closed already.
 TEST_F(ProcessFaultsTest, ARequestDoesNotLeaveOnAConnectionThatWasClosedWhileItIdled) {
-    Peer& a = peer(11);
-    Peer& b = peer(12);
+    ScriptedInvoker& a = peer(11);
+    ScriptedInvoker& b = peer(12);
     start(replaced(config(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
     wait_until_ready();
-    std::vector<Client*> all;
+    std::vector<ScriptedClient*> all;
     for (std::uint64_t i = 1; i <= 30; ++i) all.push_back(&client(550ms + 100ms * static_cast<int>(i), {{}}));
     for (std::uint64_t i = 1; i <= 30; ++i)
         at(600ms + 100ms * static_cast<int>(i), [&, i] {
             process->signal(SIGSTOP);
-            Peer::put(all[i - 1]->stream, message(1, job_fields(hex16(i), hex16(i % 3))));
-            for (Peer* each : {&a, &b})
+            ScriptedInvoker::write(all[i - 1]->stream, message(1, job_fields(hex16(i), hex16(i % 3))));
+            for (ScriptedInvoker* each : {&a, &b})
                 for (const auto& stream : std::exchange(each->streams, {})) stream->close();
             loop.call_at(loop.now() + 5ms, [&] { process->signal(SIGCONT); });
         });
     run(5s);
     std::size_t served = 0;
-    for (Client* each : all) served += each->answer(1).status() == "200";
+    for (ScriptedClient* each : all) served += each->response(1).status() == "200";
     EXPECT_EQ(served, 30u);
 }
 
@@ -449,15 +451,15 @@
     const auto own = [](int last) {
         return fmt::format("127.{}.{}.{}", 32 + (::getpid() >> 8) % 32, ::getpid() & 255, last);
     };
-    std::string text = plain_config;
+    std::string text = default_config;
     for (const auto& [from, to] : std::map<std::string, std::string>{
              {"10.1.0.1", own(1)}, {"10.9.0.1", own(9)}, {"10.0.0.1", own(11)}, {"10.0.0.2", own(12)}})
         text = replaced(text, from, to);
-    PlatformConfig config = load_platform_config(file_of(text));
+    PlatformConfig config = load_platform_config(write_config(text));
     config.gateway.log.file = "/dev/null";
     net::SocketEventLoop loop;
     Log log(loop, config.gateway.log);
-    Peer a(loop, own(11), {Does::answers}), b(loop, own(12), {Does::answers});
+    ScriptedInvoker a(loop, own(11), {InvokerBehaviour::respond}), b(loop, own(12), {InvokerBehaviour::respond});
     auto host = std::make_unique<PlatformServer>(loop, config, log);
     ASSERT_FALSE(host->open());
     const auto work = [&](Time span) {
@@ -469,16 +471,16 @@
         loop.call_at(400ms + 50ms * i, [&] { work(42ms); });
         for (int k = 1; k < 40; ++k) loop.call_at(400ms + 50ms * i + 1ms * k, [&] { work(100us); });
     }
-    std::vector<std::unique_ptr<Client>> all;
+    std::vector<std::unique_ptr<ScriptedClient>> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        all.push_back(std::make_unique<Client>(
+        all.push_back(std::make_unique<ScriptedClient>(
             loop, 1s + 10ms * static_cast<int>(i),
             std::vector<std::pair<Time, std::string>>{{0ms, message(1, job_fields(hex16(i), hex16(i), 2900))}}, true,
             net::Address{own(1), 7001}));
     loop.call_at(5s, [&] { loop.stop(); });
     loop.run();
     std::size_t answered = 0;
-    for (const auto& each : all) answered += each->answer(1).times == 1;
+    for (const auto& each : all) answered += each->response(1).times == 1;
     EXPECT_EQ(answered, 10u);
     EXPECT_GE(a.runs.size() + b.runs.size(), 10u);
     EXPECT_TRUE(host->gateway().status().at("invariants_broken").as_object().empty());
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
 // The wall clock steps while the monotonic clock runs on: what was told in Unix time stays what it was. Virtual time.
-#include "tests/platform_world.hpp"
+#include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
@@ -16,12 +16,12 @@
         return static_cast<std::uint64_t>((day + at + (GetParam().everywhere ? GetParam().by : Time{})) / 1ms);
     }
     boost::json::object believed(const char* name) const {
-        for (const auto& row : host->gateway().estimates())
+        for (const auto& row : server->gateway().estimates())
             if (row.at("i").as_string() == name) return row.as_object();
         return {};
     }
     static std::string slow_ramp() {
-        return replaced(replaced(plain_config, R"("cold":1000.0)", R"("cold":16000.0)"), R"("cold_share":0.5)",
+        return replaced(replaced(default_config, R"("cold":1000.0)", R"("cold":16000.0)"), R"("cold_share":0.5)",
                         R"("cold_share":0.1)");
     }
     static constexpr Time day = 24h;
@@ -30,12 +30,12 @@
 
 // An invoker that starts after the step is cold for as long as the settings say, no shorter and no longer.
 TEST_P(WallClockTest, LeavesTheColdTimeOfALateStarterAsItIs) {
-    peer(), peer();
-    Noticeboard board(loop, "10.9.0.1");
+    add_invoker(), add_invoker();
+    ScriptedDiscovery board(loop, "10.9.0.1");
     open(slow_ramp());
     loop.call_at(5s, [&] { loop.step_wall_clock(GetParam().by); });
-    loop.call_at(20s, [&] { board.say(frame(board.last = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
-    for (std::uint64_t i = 1; i <= 600; ++i) request(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
+    loop.call_at(20s, [&] { board.send(frame(board.last_event = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
+    for (std::uint64_t i = 1; i <= 600; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
     loop.run(21s);
     EXPECT_TRUE(believed("s-00000002").contains("cold"));
     loop.run(30s);
@@ -48,16 +48,18 @@
 // The list tells again of an invoker whose start it told before: it has not started anew, and what was learned of it
 // stands.
 TEST_P(WallClockTest, DoesNotMakeAKnownInvokerLookRestarted) {
-    peer(), peer();
-    Noticeboard board(loop, "10.9.0.1");
+    add_invoker(), add_invoker();
+    ScriptedDiscovery board(loop, "10.9.0.1");
     const std::string start = std::to_string((day - 60s) / 1ms);
-    open(replaced(plain_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
-    for (std::uint64_t i = 1; i <= 60; ++i) request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
+    open(
+        replaced(default_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
+    for (std::uint64_t i = 1; i <= 60; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
     loop.run(5s);
     ASSERT_TRUE(believed("s-00000001").contains("told"));
     loop.step_wall_clock(GetParam().by);
     loop.call_at(5001ms, [&] {
-        board.say(frame(board.last = 2, 2, {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
+        board.send(
+            frame(board.last_event = 2, 2, {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
     });
     loop.run(5002ms);
     EXPECT_TRUE(believed("s-00000001").contains("told"));
