--- a/emulator/clients.cpp
+++ b/emulator/clients.cpp
@@ -42,7 +42,7 @@
         JsonnetReader in(settings, file);
         std::size_t seed = 1;
         in.read("seed", seed);
-        in.need("rate", rate_);
+        in.require("rate", rate_);
         in.read("functions", functions_, 1);
         in.read("zipf", zipf_);
         in.read("retries", retries_);
@@ -54,7 +54,7 @@
         if (const auto* list = in.raw("controllers"))
             for (const auto& each : list->as_array())
                 controllers_.push_back(*net::Address::parse(std::string(each.as_string())));
-        in.members("use_cases", [&](const std::string& name, JsonnetReader& part) {
+        in.read_members("use_cases", [&](const std::string& name, JsonnetReader& part) {
             UseCase use;
             use.name = name;
             part.read("repeat", use.repeat);
@@ -67,12 +67,12 @@
             part.read("memory", use.memory);
             use_cases_.push_back(use);
         });
-        in.members("tenants", [&](const std::string& name, JsonnetReader& part) {
+        in.read_members("tenants", [&](const std::string& name, JsonnetReader& part) {
             Tenant tenant{name};
             part.read("share", tenant.share);
             tenants_.push_back(tenant);
         });
-        in.finish();
+        in.reject_unknown_fields();
         chance_ = Chance(seed);
         double sum = 0;
         for (std::size_t i = 0; i < functions_; ++i)
--- a/emulator/day_plan.cpp
+++ b/emulator/day_plan.cpp
@@ -15,9 +15,9 @@
     const json::value* value = in.raw(key);
     if (!value) return out;
     if (value->is_string()) return {std::string(value->as_string())};
-    if (!value->is_array()) in.complain(key, "is no list of names");
+    if (!value->is_array()) in.fail(key, "is no list of names");
     for (const auto& each : value->as_array()) {
-        if (!each.is_string()) in.complain(key, "is no list of names");
+        if (!each.is_string()) in.fail(key, "is no list of names");
         out.emplace_back(each.as_string());
     }
     return out;
@@ -26,7 +26,7 @@
 json::object object(JsonnetReader& in, std::string_view key) {
     const json::value* value = in.raw(key);
     if (!value) return {};
-    if (!value->is_object()) in.complain(key, "is no object");
+    if (!value->is_object()) in.fail(key, "is no object");
     return value->as_object();
 }
 
@@ -74,22 +74,22 @@
     in.read("slack", slack);
     plan.stated.slack = slack.count();
     std::set<std::string> names = {"store", "list", "clients", "receiver"};
-    in.each("invokers", [&](JsonnetReader& part) {
+    in.read_array("invokers", [&](JsonnetReader& part) {
         InvokerPlan& invoker = plan.invokers.emplace_back();
-        part.need("name", invoker.name);
+        part.require("name", invoker.name);
         part.read("zone", invoker.zone);
         part.read("kind", invoker.kind);
         part.read("cell", invoker.cell);
         part.read("cores", invoker.cores);
         part.read("speed", invoker.speed);
         part.read("memory", invoker.memory);
-        if (!names.insert(invoker.name).second) part.complain("name", "'" + invoker.name + "' comes twice");
+        if (!names.insert(invoker.name).second) part.fail("name", "'" + invoker.name + "' comes twice");
     });
     for (int i = 1; i <= plan.controllers; ++i) names.insert("c" + std::to_string(i));
-    in.each("happenings", [&](JsonnetReader& part) {
+    in.read_array("happenings", [&](JsonnetReader& part) {
         Happening& it = plan.happenings.emplace_back();
-        part.need("at", it.at);
-        part.need("kind", it.kind);
+        part.require("at", it.at);
+        part.require("kind", it.kind);
         part.read("lasts", it.lasts);
         part.read("notice", it.notice);
         part.read("drain", it.drain);
@@ -99,14 +99,14 @@
         it.who = texts(part, "who");
         static const std::set<std::string> kinds = {"command", "crash",           "vanish",
                                                     "replace", "kill_controller", "freeze"};
-        if (!kinds.count(it.kind)) part.complain("kind", "'" + it.kind + "' is no kind of happening");
-        if (it.who.empty()) part.complain("who", "is missing");
+        if (!kinds.count(it.kind)) part.fail("kind", "'" + it.kind + "' is no kind of happening");
+        if (it.who.empty()) part.fail("who", "is missing");
         for (const std::string& who : it.who)
-            if (!names.count(who)) part.complain("who", "'" + who + "' is no part of this day");
-        if (it.kind == "command" && it.say.empty()) part.complain("say", "is missing");
+            if (!names.count(who)) part.fail("who", "'" + who + "' is no part of this day");
+        if (it.kind == "command" && it.say.empty()) part.fail("say", "is missing");
     });
-    in.finish();
-    if (plan.invokers.empty()) in.complain("invokers", "is missing");
+    in.reject_unknown_fields();
+    if (plan.invokers.empty()) in.fail("invokers", "is missing");
     state(plan);
     return plan;
 }
--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -43,9 +43,9 @@
         const auto settings = evaluate_jsonnet(file);
         JsonnetReader in(settings, file);
         std::size_t port = 0, seed = 1;
-        in.need("name", name_);
-        in.need("port", port);
-        in.need("store", store_);
+        in.require("name", name_);
+        in.require("port", port);
+        in.require("store", store_);
         in.read("cores", cores_);
         in.read("speed", speed_);
         in.read("memory", memory_);
@@ -60,7 +60,7 @@
         in.read("mean_work_ms", mean_work_ms_);
         in.read("remembers", remembers_);
         in.read("seed", seed);
-        in.finish();
+        in.reject_unknown_fields();
         chance_ = Chance(seed);
         port_ = static_cast<std::uint16_t>(port);
         side_ = {[this](const auto& talk, auto message) { asked(talk, std::move(message)); },
--- a/emulator/list.cpp
+++ b/emulator/list.cpp
@@ -24,8 +24,8 @@
         const auto settings = evaluate_jsonnet(file);
         JsonnetReader in(settings, file);
         std::size_t port = 0;
-        in.need("port", port);
-        in.finish();
+        in.require("port", port);
+        in.reject_unknown_fields();
         side_ = {[this](const auto& talk, auto message) { asked(talk, message); },
                  [this](const auto& talk) { std::erase_if(waiting_, [&](auto& each) { return each.talk == talk; }); }};
         accept_talks(loop_, must_listen(loop_, static_cast<std::uint16_t>(port)), side_);
--- a/emulator/receiver.cpp
+++ b/emulator/receiver.cpp
@@ -111,8 +111,8 @@
     const auto settings = evaluate_jsonnet(file);
     JsonnetReader in(settings, file);
     std::size_t port = 0;
-    in.need("port", port);
-    in.finish();
+    in.require("port", port);
+    in.reject_unknown_fields();
     net::SocketEventLoop loop;
     Record record(record_file);
     WriteReceiver receiver(loop, must_listen(loop, static_cast<std::uint16_t>(port)));
--- a/emulator/store.cpp
+++ b/emulator/store.cpp
@@ -11,10 +11,10 @@
         const auto settings = evaluate_jsonnet(file);
         JsonnetReader in(settings, file);
         std::size_t port = 0;
-        in.need("port", port);
+        in.require("port", port);
         in.read("at_once", at_once_);
         in.read("most", most_);
-        in.finish();
+        in.reject_unknown_fields();
         side_ = {[this](const auto& talk, auto message) { asked(talk, message); }, [](const auto&) {}};
         accept_talks(loop_, must_listen(loop_, static_cast<std::uint16_t>(port)), side_);
         Commands(loop_, [this](const auto& words, const auto& options) {  // slow factor= ; broken on|off
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -36,36 +36,36 @@
 
 void read_count(JsonnetReader& in, const char* key, std::size_t& into, std::size_t least, std::size_t most) {
     in.read(key, into, least);
-    if (into > most) in.complain(key, fmt::format("is over {}", most));
+    if (into > most) in.fail(key, fmt::format("is over {}", most));
 }
 
 void read_positive(JsonnetReader& in, const char* key, double& into, double most) {
     in.read(key, into);
-    if (!(into > 0) || into > most) in.complain(key, fmt::format("is not between 0 and {}", most));
+    if (!(into > 0) || into > most) in.fail(key, fmt::format("is not between 0 and {}", most));
 }
 
 void read_span(JsonnetReader& in, const char* key, Time& into) {
     in.read(key, into);
-    if (into <= Time{} || into > longest_run) in.complain(key, "is not between 0 and 20min");
+    if (into <= Time{} || into > longest_run) in.fail(key, "is not between 0 and 20min");
 }
 
 template <class Case>
 Series<Case> read_series(JsonnetReader& in, const std::vector<std::string>& size_names, std::size_t most) {
     Series<Case> out;
-    in.need("name", out.name);
+    in.require("name", out.name);
     out.size_name = size_names.front();
     in.read("over", out.size_name);
     if (std::find(size_names.begin(), size_names.end(), out.size_name) == size_names.end())
-        in.complain("over", fmt::format("is none of: {}", fmt::join(size_names, ", ")));
+        in.fail("over", fmt::format("is none of: {}", fmt::join(size_names, ", ")));
     in.read("runs", out.runs, 1);
-    if (out.runs > most_runs) in.complain("runs", fmt::format("is over {}", most_runs));
+    if (out.runs > most_runs) in.fail("runs", fmt::format("is over {}", most_runs));
     const boost::json::value* const sizes = in.raw("sizes");
-    if (!sizes || !sizes->is_array() || sizes->as_array().empty()) in.complain("sizes", "is no list of numbers");
+    if (!sizes || !sizes->is_array() || sizes->as_array().empty()) in.fail("sizes", "is no list of numbers");
     for (const auto& each : sizes->as_array()) {
-        if (!each.is_number()) in.complain("sizes", "is no list of numbers");
+        if (!each.is_number()) in.fail("sizes", "is no list of numbers");
         const double size = each.to_number<double>();
         if (!(size >= 1) || size > static_cast<double>(most))
-            in.complain("sizes", fmt::format("holds one not between 1 and {}", most));
+            in.fail("sizes", fmt::format("holds one not between 1 and {}", most));
         out.sizes.push_back(static_cast<std::size_t>(size));
     }
     return out;
@@ -93,8 +93,8 @@
     read_calls(in, out.plain);
     read_span(in, "length", out.plain.length);
     in.read("controllers", out.plain.host.controllers, 1);
-    in.read_word("disturbance", disturbances, out.plain.disturbance);
-    in.finish();
+    in.read_enum("disturbance", disturbances, out.plain.disturbance);
+    in.reject_unknown_fields();
     return out;
 }
 
@@ -104,7 +104,7 @@
     read_calls(in, out.plain);
     read_span(in, "length", out.plain.length);
     in.read("controllers", out.plain.controllers, 1);
-    in.finish();
+    in.reject_unknown_fields();
     return out;
 }
 
@@ -117,7 +117,7 @@
     read_count(in, "changes", out.plain.changes, 1, 10'000);
     read_span(in, "idle", out.plain.idle);
     read_span(in, "busy", out.plain.busy);
-    in.finish();
+    in.reject_unknown_fields();
     return out;
 }
 
@@ -131,10 +131,10 @@
     const auto value = evaluate_jsonnet(file);
     JsonnetReader in(value, file);
     Plan out;
-    in.each("decisions", [&](JsonnetReader& each) { out.decisions.push_back(read_decisions(each)); });
-    in.each("controllers", [&](JsonnetReader& each) { out.controllers.push_back(read_controllers(each)); });
-    in.each("platform", [&](JsonnetReader& each) { out.platform.push_back(read_platform(each)); });
-    in.finish();
+    in.read_array("decisions", [&](JsonnetReader& each) { out.decisions.push_back(read_decisions(each)); });
+    in.read_array("controllers", [&](JsonnetReader& each) { out.controllers.push_back(read_controllers(each)); });
+    in.read_array("platform", [&](JsonnetReader& each) { out.platform.push_back(read_platform(each)); });
+    in.reject_unknown_fields();
     if (out.decisions.empty() && out.controllers.empty() && out.platform.empty())
         throw ConfigError(file + ": names nothing to measure: decisions, controllers and platform are empty");
     return out;
--- a/src/config/jsonnet_reader.cpp
+++ b/src/config/jsonnet_reader.cpp
@@ -36,7 +36,7 @@
     if (!object_) throw ConfigError(file_ + ": " + (path_.empty() ? "the settings" : path_) + ": is no object");
 }
 
-void JsonnetReader::complain(std::string_view key, const std::string& what) const {
+void JsonnetReader::fail(std::string_view key, const std::string& what) const {
     throw ConfigError(file_ + ": " + (path_.empty() ? "" : path_ + ".") + std::string(key) + ": " + what);
 }
 
@@ -58,40 +58,40 @@
 void JsonnetReader::read(std::string_view key, std::string& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_string()) complain(key, "is no text");
+    if (!value->is_string()) fail(key, "is no text");
     into = std::string(value->as_string());
 }
 
 void JsonnetReader::read(std::string_view key, bool& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_bool()) complain(key, "is neither true nor false");
+    if (!value->is_bool()) fail(key, "is neither true nor false");
     into = value->as_bool();
 }
 
 void JsonnetReader::read(std::string_view key, Time& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_string()) complain(key, "is no time such as \"250ms\", \"1.5s\" or \"2min\"");
+    if (!value->is_string()) fail(key, "is no time such as \"250ms\", \"1.5s\" or \"2min\"");
     try {
         into = parse_duration(std::string_view(value->as_string()));
     } catch (const ConfigError& fault) {
-        complain(key, fault.what());
+        fail(key, fault.what());
     }
 }
 
 void JsonnetReader::read(std::string_view key, double& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_number()) complain(key, "is no number");
+    if (!value->is_number()) fail(key, "is no number");
     into = value->to_number<double>();
-    if (!(into >= 0)) complain(key, "is below 0");
+    if (!(into >= 0)) fail(key, "is below 0");
 }
 
 void JsonnetReader::read(std::string_view key, int& into, int least) {
     std::size_t figure = static_cast<std::size_t>(std::max(0, into));
     read(key, figure, static_cast<std::size_t>(least));
-    if (figure > 1'000'000'000) complain(key, "is too large");
+    if (figure > 1'000'000'000) fail(key, "is too large");
     into = static_cast<int>(figure);
 }
 
@@ -100,12 +100,12 @@
     if (!value) return;
     double figure = -1;
     if (value->is_number()) figure = value->to_number<double>();
-    if (figure < 0 || figure != std::floor(figure) || figure > 1e15) complain(key, "is no whole number");
+    if (figure < 0 || figure != std::floor(figure) || figure > 1e15) fail(key, "is no whole number");
     into = static_cast<std::size_t>(figure);
-    if (into < least) complain(key, "is below " + std::to_string(least));
+    if (into < least) fail(key, "is below " + std::to_string(least));
 }
 
-void JsonnetReader::read_word(std::string_view key, const std::map<std::string, int>& words, int& into) {
+void JsonnetReader::read_enum(std::string_view key, const std::map<std::string, int>& words, int& into) {
     std::string word;
     read(key, word);
     if (word.empty()) return;
@@ -116,45 +116,46 @@
     }
     std::string known;
     for (const auto& [each, value] : words) known += (known.empty() ? "" : ", ") + each;
-    complain(key, "'" + word + "' is none of: " + known);
+    fail(key, "'" + word + "' is none of: " + known);
 }
 
-void JsonnetReader::within(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
+void JsonnetReader::read_object(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
     static const boost::json::value nothing = boost::json::object();
     const auto* value = find(key);
     JsonnetReader inner(value ? *value : nothing, file_, (path_.empty() ? "" : path_ + ".") + std::string(key));
     what(inner);
-    inner.finish();
+    inner.reject_unknown_fields();
 }
 
-void JsonnetReader::each(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
+void JsonnetReader::read_array(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_array()) complain(key, "is no list");
+    if (!value->is_array()) fail(key, "is no list");
     std::size_t place = 0;
     for (const auto& entry : value->as_array()) {
         JsonnetReader inner(
             entry, file_, (path_.empty() ? "" : path_ + ".") + std::string(key) + "[" + std::to_string(place++) + "]");
         what(inner);
-        inner.finish();
+        inner.reject_unknown_fields();
     }
 }
 
-void JsonnetReader::members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& what) {
+void JsonnetReader::read_members(std::string_view key,
+                                 const std::function<void(const std::string&, JsonnetReader&)>& what) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_object()) complain(key, "is no object");
+    if (!value->is_object()) fail(key, "is no object");
     for (const auto& [name, entry] : value->as_object()) {
         JsonnetReader inner(entry, file_,
                             (path_.empty() ? "" : path_ + ".") + std::string(key) + "." + std::string(name));
         what(std::string(name), inner);
-        inner.finish();
+        inner.reject_unknown_fields();
     }
 }
 
-void JsonnetReader::finish() const {
+void JsonnetReader::reject_unknown_fields() const {
     for (const auto& [name, value] : *object_)
-        if (!asked_.count(std::string_view(name))) complain(std::string_view(name), "is not known here");
+        if (!asked_.count(std::string_view(name))) fail(std::string_view(name), "is not known here");
 }
 
 }  // namespace plumkeel
--- a/src/config/jsonnet_reader.hpp
+++ b/src/config/jsonnet_reader.hpp
@@ -40,27 +40,27 @@
     void read(std::string_view key, std::size_t& into, std::size_t least = 0);
     // Fields left out keep what they hold; need() complains instead.
     template <class T>
-    void need(std::string_view key, T& into) {
-        if (!has(key)) complain(key, "is missing");
+    void require(std::string_view key, T& into) {
+        if (!has(key)) fail(key, "is missing");
         read(key, into);
     }
-    void read_word(std::string_view key, const std::map<std::string, int>& words, int& into);
+    void read_enum(std::string_view key, const std::map<std::string, int>& words, int& into);
     template <class T>
-    void read_word(std::string_view key, const std::map<std::string, T>& words, T& into) {
+    void read_enum(std::string_view key, const std::map<std::string, T>& words, T& into) {
         std::map<std::string, int> plain;
         for (const auto& [word, value] : words) plain[word] = static_cast<int>(value);
         int chosen = static_cast<int>(into);
-        read_word(key, plain, chosen);
+        read_enum(key, plain, chosen);
         into = static_cast<T>(chosen);
     }
     // An object within, empty where left out; a list of objects; the members of an object by name.
-    void within(std::string_view key, const std::function<void(JsonnetReader&)>& what);
-    void each(std::string_view key, const std::function<void(JsonnetReader&)>& what);
-    void members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& what);
+    void read_object(std::string_view key, const std::function<void(JsonnetReader&)>& what);
+    void read_array(std::string_view key, const std::function<void(JsonnetReader&)>& what);
+    void read_members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& what);
     const boost::json::value* raw(std::string_view key);
 
-    void finish() const;
-    [[noreturn]] void complain(std::string_view key, const std::string& what) const;
+    void reject_unknown_fields() const;
+    [[noreturn]] void fail(std::string_view key, const std::string& what) const;
 
 private:
     const boost::json::value* find(std::string_view key);
