--- a/src/fastcgi/connection.hpp
+++ b/src/fastcgi/connection.hpp
@@ -1,10 +1,11 @@
-// One connection of a web server that speaks FastCGI: reads messages, many at once, hands their jobs to the
-// gateway and sends the answers in whatever order they come.
+/// A web server's FastCGI connection: parses requests, many at once, submits them to the gateway and writes the
+/// responses in the order in which they become ready.
 #pragma once
 
 #include <map>
 
-#include "fastcgi/records.hpp"
+#include "fastcgi/request_parser.hpp"
+#include "fastcgi/write_stall_detector.hpp"
 #include "gateway/gateway.hpp"
 #include "net/lazy_timer.hpp"
 
@@ -16,8 +17,8 @@
                    private ParserHandler,
                    public std::enable_shared_from_this<Connection> {
 public:
-    // `waited`: how long the connection may have stood unaccepted.
-    Connection(Server& front, std::uint64_t number, std::shared_ptr<net::Stream> stream, net::Time waited);
+    /// `accept_delay`: how long the connection may have been in the backlog.
+    Connection(Server& server, std::uint64_t id, std::shared_ptr<net::Stream> stream, net::Time accept_delay);
     void start();
 
     void send_response(const gateway::ActiveRequest& request, unsigned status, std::string_view passed,
@@ -28,68 +29,90 @@
     void end_stream(const gateway::ActiveRequest& request, bool whole) override;
     net::Task<bool> wait_writable() override;
 
-    std::uint64_t number() const { return number_; }
-    bool busy() const { return !open_.empty() || parser_.in_request() || write_queue_->pending_bytes() > 0; }
-    bool idle() const { return !busy() && !leaving_; }
-    // For how long nothing but messages that do not come whole has been on it; 0 where there is more.
-    net::Time unfinished_for() const;
-    bool spoke() const { return spoke_; }  // a whole message has come
-    net::Time last() const { return last_; }
-    bool has_unread_input() override { return !leaving_ && stream_->has_unread(); }
-    // Goes now, once what is pending has left.
-    void leave();
-    // The same without waiting for the client: it idles, and its descriptor is needed.
-    void leave_at_once();
+    std::uint64_t id() const { return id_; }
+    bool is_busy() const {
+        return !open_requests_.empty() || parser_.in_request() || write_queue_->pending_bytes() > 0;
+    }
+    bool is_idle() const { return !is_busy() && !closing_; }
+    /// Since when there has been nothing on it but incomplete requests; 0 where there is more.
+    net::Time incomplete_for() const;
+    /// Whether a complete request has arrived on it.
+    bool has_received_request() const { return received_request_; }
+    net::Time last_activity() const { return last_activity_; }
+    bool has_unread_input() override { return !closing_ && stream_->has_unread(); }
+    /// Closes once what is pending has been written.
+    void close_gracefully();
+    /// Closes without waiting for the client: for an idle connection whose descriptor is needed.
+    void close_now();
 
 private:
-    struct Open {
-        gateway::ActiveRequest* request{};
-        bool keep{};
+    static constexpr net::Time timeout_check_interval = std::chrono::milliseconds(250);
+
+    struct OpenRequest {
+        gateway::ActiveRequest* request{};  // null while it is not submitted
+        bool keep_connection{};
     };
 
-    void on_request_begun(std::uint16_t number) override;
+    void on_request_begun(std::uint16_t request_id) override;
     void on_request(RequestMessage message) override;
-    void on_request_error(std::uint16_t number, RequestError why, bool keep) override;
-    void on_abort(std::uint16_t number) override;
+    void on_request_error(std::uint16_t request_id, RequestError error, bool keep_connection) override;
+    void on_abort(std::uint16_t request_id) override;
     void on_get_values(std::string_view names) override;
     void on_unknown_type(std::uint8_t type) override;
-    bool is_pending(std::uint16_t number) const override { return open_.count(number) > 0; }
-
-    net::Task<> live(std::shared_ptr<Connection> self);
-    void note_backlog(Time late);
-    Time waited_unread();
-    void take_in(std::string_view bytes);
-    bool count_coming();
-    void turn_back_unfinished();
-    void finish();
-    void told_leaving();
-    RejectionReason understand(const RequestMessage& message, gateway::IncomingRequest& wanted) const;
-    void object(std::uint16_t number, RejectionReason objection, bool keep);
-    void answer(std::uint16_t number, std::string head, std::string_view body, std::uint8_t protocol_status = complete);
-    void refuse(std::string text);
-    void closed(std::uint16_t number);
-    void drop(std::uint16_t number);
-    void watch();
+    bool is_pending(std::uint16_t request_id) const override { return open_requests_.count(request_id) > 0; }
+
+    // Reading.
+    net::Task<> run(std::shared_ptr<Connection> self);
+    bool enforce_rejection_limit();
+    void note_backlog(Time lag);
+    Time time_unread();
+    void parse(std::string_view bytes);
+    bool update_reservation();
+    void reject_incomplete_requests();
+
+    // Requests.
+    RejectionReason admit(const RequestMessage& message, const gateway::IncomingRequest& request);
+    void submit(RequestMessage message, gateway::IncomingRequest request);
+    void cancel(std::uint16_t request_id);
+
+    // Responses.
+    void reject(std::uint16_t request_id, RejectionReason reason, bool keep_connection);
+    void write_response(std::uint16_t request_id, std::string records);
+    void write_control(std::string record);
+    void request_finished(std::uint16_t request_id);
+
+    // Timeouts and the end.
+    void check_timeouts();
+    bool check_unread_responses(Time now);
+    void reset_unread();
+    void reject_slow_requests(Time now);
+    void close_when_drained();
+    void on_closing();
+    net::Task<> drain_and_close(std::shared_ptr<Connection> self);
     net::EventLoop& loop() const;
 
     Server& server_;
     gateway::Gateway& gateway_;
-    const std::uint64_t number_;
+    const std::uint64_t id_;
     std::shared_ptr<net::Stream> stream_;
     std::shared_ptr<net::WriteQueue> write_queue_;
     RequestParser parser_;
-    std::map<std::uint16_t, Open> open_;        // whole and not answered
-    std::map<std::uint16_t, net::Time> begun_;  // since when, of those that are coming
-    net::LazyTimer watch_;
-    net::Notification left_;
-    net::Time read_at_{}, last_{}, stuck_since_{}, unread_since_{}, watched_at_{};
-    std::optional<net::Time> backlog_since_;  // since when what is read now may have stood unread
-    std::size_t sent_then_{}, counted_{};
-    std::size_t refusals_{};          // bytes of short words since less was pending
-    std::size_t thrown_away_then_{};  // when a request was taken last
-    bool spoke_{}, last_answer_{}, leaving_{}, gone_{};
-    bool unreadable_{};  // what comes is no FastCGI any more
-    bool finishing_{};   // the connection goes once nothing is open on it
+    std::map<std::uint16_t, OpenRequest> open_requests_;      // complete, without a response yet
+    std::map<std::uint16_t, net::Time> incomplete_requests_;  // and when each began
+    net::LazyTimer timeout_timer_;
+    net::Notification closed_notification_;
+    WriteStallDetector write_stall_;
+    net::Time read_at_{}, last_activity_{};
+    net::Time record_progress_at_{};           // when a record was completed last
+    std::optional<net::Time> backlog_since_;   // since when what is read now may have been unread
+    std::size_t reserved_bytes_{};             // counted by admission for incomplete requests
+    std::size_t unread_rejection_bytes_{};     // of rejections and control records, since little was pending
+    std::size_t discarded_bytes_at_submit_{};  // of the parser, when a request was submitted last
+    bool received_request_{};
+    bool client_asked_to_close_{};  // a request came without the flag to keep the connection
+    bool malformed_{};              // the input is no FastCGI any more
+    bool draining_{};               // closes once no request is open on it
+    bool closing_{}, closed_{};
 };
 
 }  // namespace plumkeel::fastcgi
--- a/src/fastcgi/records.hpp
+++ b/src/fastcgi/records.hpp
@@ -1,13 +1,10 @@
-// FastCGI 1.0 as an application in the role Responder speaks it, many requests on a connection: bytes in,
-// messages or a named fault out, and answers as bytes. Free of I/O and clocks. All names of that protocol end
-// here and in visit.cpp.
-//
-// Nothing is kept of a record but its head and what belongs to an open message, within the bounds given.
+/// Records of FastCGI 1.0 as an application in the role Responder exchanges them: headers, name-value pairs and the
+/// records of a response. Free of I/O and clocks.
+///
+/// Source: FastCGI Specification 1.0, sections 3 to 5. The record types and flags of that protocol are named here only.
 #pragma once
 
 #include <cstdint>
-#include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -16,95 +13,50 @@
 
 namespace plumkeel::fastcgi {
 
-struct ParserLimits {
-    std::size_t params_bytes = 8 * 1024;  // bytes of a message's parameters
-    std::size_t body_bytes = 16 * 1024;   // and of its body
-    std::size_t max_requests = 32;        // messages coming at once on a connection
-    std::size_t values_bytes = 512;       // of a management record
+enum class RecordType : std::uint8_t {
+    begin_request = 1,
+    abort_request = 2,
+    end_request = 3,
+    params = 4,
+    standard_input = 5,
+    standard_output = 6,
+    get_values = 9,
+    get_values_result = 10,
+    unknown_type = 11,
 };
 
-// Why a message is not taken.
-enum class RequestError {
-    none,
-    unsupported_role,   // not a Responder
-    too_many_requests,  // open on this connection
-    bad_parameters,     // malformed or over the bound
-    body_too_big,       // the body
-    duplicate_id,       // a number that is open already
-};
-
-struct RequestMessage {
-    std::uint16_t request_id{};
-    bool keep_connection{};  // the connection stays after the answer
-    std::string params, body;
-};
-
-// What came, for whoever reads the connection.
-class ParserHandler {
-public:
-    virtual ~ParserHandler() = default;
-    virtual void on_request_begun(std::uint16_t number) = 0;
-    virtual void on_request(RequestMessage message) = 0;
-    virtual void on_request_error(std::uint16_t number, RequestError why, bool keep) = 0;
-    virtual void on_abort(std::uint16_t number) = 0;  // also one that is whole already
-    virtual void on_get_values(std::string_view names) = 0;
-    virtual void on_unknown_type(std::uint8_t type) = 0;  // of a management record
-    // Whether a number is whole and not answered yet.
-    virtual bool is_pending(std::uint16_t number) const = 0;
-};
-
-class RequestParser {
-public:
-    explicit RequestParser(ParserLimits bounds) : bounds_(bounds) {}
+/// How a request ended, as the protocol knows it (FCGI_END_REQUEST).
+enum class ProtocolStatus : std::uint8_t { request_complete = 0, overloaded = 2, unknown_role = 3 };
 
-    // False: what comes is no FastCGI, and the connection can't be read further.
-    bool feed(std::string_view bytes, ParserHandler& told);
-    // In the middle of a record, and of a record or a message; how many records have come whole.
-    bool in_record() const { return head_.size() > 0 || left_ > 0; }
-    bool in_request() const { return in_record() || !incomplete_.empty(); }
-    std::uint64_t records() const { return records_; }
-    std::size_t bytes_ahead() const {
-        return bytes_ahead_;
-    }  // bytes behind those that a call of Told is about, of the same feed()
-    // The numbers of the messages that have begun and are not whole.
-    std::vector<std::uint16_t> unfinished() const;
-    std::size_t discarded_bytes() const { return discarded_bytes_; }  // bytes of what is not taken, over its life
-    std::size_t held_bytes() const { return held_bytes_; }            // bytes of messages that are coming
-    void forget(std::uint16_t number);
+constexpr std::uint8_t protocol_version = 1;
+constexpr std::uint16_t responder_role = 1;
+constexpr std::uint8_t keep_connection_flag = 1;  // of a begin record
+constexpr std::size_t header_bytes = 8, begin_body_bytes = 8;
+constexpr std::size_t max_content_bytes = 65535;
 
-private:
-    struct Incomplete {
-        RequestMessage message;
-        bool params_whole{};
-    };
+struct RecordHeader {
+    RecordType type{};           // any byte: not all values are named
+    std::uint16_t request_id{};  // 0 in management records
+    std::size_t content_length{}, padding_length{};
 
-    bool head_whole(ParserHandler& told);
-    void content(std::string_view bytes, ParserHandler& told);
-    void record_whole(ParserHandler& told);
-    void begin(ParserHandler& told);
-    void reject(std::uint16_t number, RequestError why, bool keep, ParserHandler& told);
-
-    const ParserLimits bounds_;
-    std::string head_;  // of the record that comes, as far as it is there
-    std::uint8_t type_{};
-    std::uint16_t number_{};
-    std::size_t length_{}, left_{}, padding_{};  // of its content; still to come, with padding
-    std::string small_;                          // content of a record that is not part of a message
-    std::map<std::uint16_t, Incomplete> incomplete_;
-    std::size_t discarded_bytes_{}, held_bytes_{};
-    std::uint64_t records_{};
-    std::size_t bytes_ahead_{};
+    /// From exactly header_bytes bytes; nothing where the version is not protocol_version.
+    static std::optional<RecordHeader> decode(std::string_view bytes);
 };
 
-// Name and value pairs; nothing where the text is malformed.
-std::optional<std::vector<std::pair<std::string_view, std::string_view>>> parse_pairs(std::string_view text);
+/// A 16 bit number in network byte order.
+std::uint16_t decode_uint16(std::string_view bytes, std::size_t offset);
+
+using NameValuePairs = std::vector<std::pair<std::string_view, std::string_view>>;
+/// Views into `text`; nothing where it is malformed.
+std::optional<NameValuePairs> parse_pairs(std::string_view text);
 
-// An answer's records. A body longer than a record takes several.
-std::string encode_stdout(std::uint16_t number, std::string_view text);
-std::string encode_end_request(std::uint16_t number, std::uint32_t app_status, std::uint8_t protocol_status,
-                               bool close_out);
-constexpr std::uint8_t complete = 0, overloaded = 2, unknown_role = 3;
-std::string encode_values(std::string_view asked, std::size_t connections, std::size_t messages);
+/// Output records of a response; text longer than max_content_bytes takes several, empty text none.
+std::string encode_stdout(std::uint16_t request_id, std::string_view text);
+/// The record that ends a request, behind an empty output record where `close_stdout` is set.
+std::string encode_end_request(std::uint16_t request_id, std::uint32_t app_status, ProtocolStatus protocol_status,
+                               bool close_stdout);
+/// The answer to FCGI_GET_VALUES: of the names in `requested` (name-value pairs) those that are known.
+std::string encode_values(std::string_view requested, std::size_t max_connections, std::size_t max_requests);
 std::string encode_unknown_type(std::uint8_t type);
 
 }  // namespace plumkeel::fastcgi
--- a/src/fastcgi/server.hpp
+++ b/src/fastcgi/server.hpp
@@ -1,5 +1,5 @@
-// Where clients connect: accepts FastCGI connections within the door's bounds. When they are used up, a connection
-// that never said anything goes first, then the one that has idled longest, then the new one.
+/// Accepts FastCGI connections within the limits of admission. When all of them are in use, a connection that never
+/// sent a request is closed first, then the one that has been idle longest, then the new one.
 #pragma once
 
 #include <map>
@@ -12,8 +12,9 @@
 
 class Connection;
 
+/// Paths of the requests that are served.
 struct Paths {
-    std::string health = "/_health", requests = "/invoke/";
+    std::string health = "/_health", requests = "/invoke/";  // the latter is followed by a request class
 };
 
 class Server {
@@ -22,36 +23,37 @@
     ~Server();
 
     net::Error open();
-    // Accepts no more connections and takes no more jobs; calls `then` once every open job has its answer and every
-    // answer has left.
+    /// Stops accepting connections and requests; calls `then` once every open request has its response and every
+    /// response has been written.
     void close(std::function<void()> then);
     net::Address address() const { return listener_->address(); }
     std::size_t connections() const { return connections_.size(); }
 
     gateway::Gateway& gateway() { return gateway_; }
     const Paths& paths() const { return paths_; }
-    void connection_closed(const std::shared_ptr<Connection>& sink);
-    // The names of open jobs: a second one under a name that is open is not taken.
+    void connection_closed(const std::shared_ptr<Connection>& connection);
+    /// The client ids of open requests, on all connections: a second request under an open id is rejected.
     std::unordered_set<std::string>& open_request_ids() { return open_request_ids_; }
 
 private:
     net::Task<> accept();
-    // Waits until a connection has left, or for so long.
+    net::Task<> handle_accept_error(net::Error error);
     net::Task<> wait_connection_closed(net::Time at_most);
     net::Task<> make_room();
-    void note_backlog(net::Time waited);
-    net::Time waited_unaccepted() const;
+    void note_backlog(net::Time delay);
+    net::Time accept_delay() const;
     std::shared_ptr<Connection> least_needed() const;
-    void close_idle(int looks);
+    bool has_unread_input() const;
+    void close_when_read(int checks_left);
     void check_drained();
 
     gateway::Gateway& gateway_;
     const Paths paths_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // in the order in which they came
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // by id, so in the order of their accept
     std::unordered_set<std::string> open_request_ids_;
     std::uint64_t connection_ids_{};
-    int waiting_connections_{};  // connections that are accepted and not read yet
+    int waiting_connections_{};  // accepted, and waiting for another one to close
     std::optional<net::Time> backlog_since_;
     bool gateway_drained_{};
     net::Notification connection_closed_;
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -55,7 +55,7 @@
         if (accepted.error) {
             // Nearly always for want of descriptors. The connection stays in the backlog, so accepting at
             // once again would spin.
-            log_.write(Log::Level::error, "accept_broke", {{"why", accepted.error.message()}});
+            log_.write(Log::Level::error, "accept_failed", {{"error", accepted.error.message()}});
             co_await loop_.sleep(gateway_.admission().accept_pause());
             continue;
         }
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -1,10 +1,11 @@
-// The platform's codecs, under sanitizers: split at every byte, and fed a fixed number of damaged streams.
+/// The codecs of the platform's protocols under sanitizers: streams split at every byte, and a fixed number of damaged
+/// streams.
 #include <cstdlib>
 #include <iostream>
 
 #include "discovery/frame_decoder.hpp"
 #include "emulator/platform_bytes.hpp"
-#include "fastcgi/records.hpp"
+#include "fastcgi/request_parser.hpp"
 #include "invoker_protocol/codec.hpp"
 #include "random/pcg.hpp"
 
@@ -18,20 +19,20 @@
     std::exit(1);
 }
 
-// Writes down what was told, and answers nothing: what is whole counts as open.
-struct Notes : fastcgi::ParserHandler {
+// Records all callbacks as text, and responds to nothing: complete requests stay pending.
+struct CallbackLog : fastcgi::ParserHandler {
     std::string text;
     std::map<int, bool> open;
     void on_request_begun(std::uint16_t n) override { text += fmt::format("begun {};", n); }
     void on_request(fastcgi::RequestMessage m) override {
-        text += fmt::format("whole {} {} {} {};", m.request_id, m.keep_connection, m.params.size(), m.body);
+        text += fmt::format("complete {} {} {} {};", m.request_id, m.keep_connection, m.params.size(), m.body);
         open[m.request_id] = true;
     }
     void on_request_error(std::uint16_t n, fastcgi::RequestError why, bool keep) override {
-        text += fmt::format("wrong {} {} {};", n, static_cast<int>(why), keep);
+        text += fmt::format("error {} {} {};", n, fastcgi::name_of(why), keep);
     }
     void on_abort(std::uint16_t n) override {
-        text += fmt::format("back {};", n);
+        text += fmt::format("abort {};", n);
         open.erase(n);
     }
     void on_get_values(std::string_view names) override { text += fmt::format("values {};", names.size()); }
@@ -51,11 +52,11 @@
 }
 
 std::string feed_fastcgi(std::string_view a, std::string_view b) {
-    Notes notes;
-    fastcgi::RequestParser intake({});
-    if (intake.feed(a, notes)) intake.feed(b, notes);
-    check(intake.held_bytes() < 40 * 24 * 1024, "more is held of messages than their bounds");
-    return notes.text;
+    CallbackLog log;
+    fastcgi::RequestParser parser({});
+    if (parser.feed(a, log)) parser.feed(b, log);
+    check(parser.held_bytes() < 40 * 24 * 1024, "more is buffered of requests than their limits");
+    return log.text;
 }
 
 std::string lines() {
@@ -134,7 +135,7 @@
 
 int main() {
     Pcg chance(20);
-    split_everywhere(records(), feed_fastcgi, "whole 1 true");
+    split_everywhere(records(), feed_fastcgi, "complete 1 true");
     split_everywhere(lines(), feed_lines, "0000000000000003 data - a\r\nb well 0\r\n;none");
     split_everywhere(frames(), feed_frames, "2 true false -s-00000003;2 false false;none");
     damage(records(), feed_fastcgi, chance);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -60,9 +60,9 @@
     std::string all;
     all += fastcgi::encode_stdout(7, "Status: 200\r\n\r\nbody");
     all += fastcgi::encode_stdout(1, "");
-    all += fastcgi::encode_end_request(7, 0, fastcgi::complete, true);
-    all += fastcgi::encode_end_request(513, 9, fastcgi::overloaded, false);
-    all += fastcgi::encode_end_request(2, 0, fastcgi::unknown_role, true);
+    all += fastcgi::encode_end_request(7, 0, fastcgi::ProtocolStatus::request_complete, true);
+    all += fastcgi::encode_end_request(513, 9, fastcgi::ProtocolStatus::overloaded, false);
+    all += fastcgi::encode_end_request(2, 0, fastcgi::ProtocolStatus::unknown_role, true);
     const std::string asked = bytes::pair("FCGI_MAX_CONNS", "") + bytes::pair("FCGI_MPXS_CONNS", "") +
                               bytes::pair("FCGI_MAX_REQS", "") + bytes::pair("FCGI_OTHER", "");
     all += fastcgi::encode_values(asked, 64, 512);
