--- a/emulator/receiver.hpp
+++ b/emulator/receiver.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "emulator/common.hpp"
-#include "remote_write/series.hpp"
+#include "remote_write/sample.hpp"
 
 namespace plumkeel::emulator {
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -66,9 +66,9 @@
     if (gateway.metrics() && !config.remote_write.receivers.empty())
         ship = std::make_unique<remote_write::Exporter>(
             config.remote_write, [&gateway] { return gateway.metrics()->collect(); },
-            [&loop, &log](const std::string& kind, const std::string& what) {
-                net::asio::post(loop.executor(), [&log, kind, what] {
-                    log.write(Log::Level::warn, kind, {{"what", what}});
+            [&loop, &log](remote_write::ExportEvent event, const std::string& detail) {
+                net::asio::post(loop.executor(), [&log, event, detail] {
+                    log.write(Log::Level::warn, remote_write::to_string(event), {{"detail", detail}});
                 });
             });
     loop.on_termination([&] {
--- a/src/remote_write/durable_queue.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -1,229 +1,96 @@
 #include "remote_write/durable_queue.hpp"
 
-#include <fcntl.h>
-#include <lmdb.h>
-#include <unistd.h>
-#include <zstd.h>
-
 #include <algorithm>
-#include <cerrno>
-#include <cstring>
-#include <filesystem>
-#include <utility>
+#include <optional>
+
+#include "remote_write/lmdb_store.hpp"
+#include "remote_write/queue_format.hpp"
 
 namespace plumkeel::remote_write {
 namespace {
 
-void check(int rc, const char* what) {
-    if (rc != MDB_SUCCESS) throw QueueError(std::string(what) + ": " + mdb_strerror(rc));
-}
+namespace metadata_key = queue_format::metadata_key;
 
-void put_number(std::string& out, std::uint64_t value) {
-    for (int shift = 56; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift));
+void put_number(LmdbTransaction& transaction, std::string_view key, std::uint64_t number) {
+    transaction.put(LmdbTable::positions, key, queue_format::encode_number(number));
 }
 
-std::uint64_t get_number(std::string_view in, std::size_t at) {
-    std::uint64_t value = 0;
-    for (std::size_t i = 0; i < 8; ++i) value = value << 8 | static_cast<unsigned char>(in[at + i]);
-    return value;
+void put_position(LmdbTransaction& transaction, const std::string& receiver, std::size_t shard,
+                  std::uint64_t position) {
+    put_number(transaction, queue_format::encode_position_key(receiver, shard), position);
 }
 
-std::string key_of(std::uint64_t sequence, int part) {
-    std::string key;
-    put_number(key, sequence);
-    key.push_back(static_cast<char>(part));
-    return key;
-}
+}  // namespace
 
-MDB_val value_of(std::string_view text) {
-    return {text.size(), const_cast<char*>(text.data())};
-}
+// ---------------------------------------------------------------- opening
 
-std::string_view text_of(const MDB_val& value) {
-    return {static_cast<const char*>(value.mv_data), value.mv_size};
+DurableQueue::DurableQueue(QueueConfig config, const std::vector<std::string>& receivers)
+    : config_(std::move(config)), store_(std::make_unique<LmdbStore>(config_.folder, config_.max_bytes)) {
+    LmdbTransaction transaction(*store_, LmdbAccess::read_write);
+    transaction.open_tables(true);
+    load_entries(transaction);
+    load_positions(transaction, receivers);
+    transaction.commit();
 }
 
-// An entry: moment, number of samples, size when unpacked, then a zstd frame.
-constexpr std::size_t entry_head = 24;
-constexpr std::size_t largest_entry = 256 * 1024 * 1024;  // a head that claims more is damage
-
-bool unpack(std::string_view entry, std::string& raw) {
-    if (entry.size() < entry_head || get_number(entry, 16) > largest_entry) return false;
-    raw.resize(get_number(entry, 16));
-    return ZSTD_decompress(raw.data(), raw.size(), entry.data() + entry_head, entry.size() - entry_head) == raw.size();
+void DurableQueue::load_entries(LmdbTransaction& transaction) {
+    transaction.for_each(LmdbTable::entries, [&](std::string_view key_bytes, std::string_view value) {
+        const auto key = queue_format::decode_entry_key(key_bytes);
+        const auto header = queue_format::decode_entry_header(value);
+        if (!key || !header) return;
+        Entry& entry = entries_[key->sequence];
+        entry.timestamp_ms = header->timestamp_ms;
+        entry.samples.resize(std::max(key->shard + 1, static_cast<std::size_t>(config_.shards)));
+        entry.samples[key->shard] = header->samples;
+        entry.bytes += value.size();
+        bytes_ += value.size();
+        next_sequence_ = std::max(next_sequence_, key->sequence + 1);
+    });
 }
 
-}  // namespace
-
-struct DurableQueue::Store {
-    const std::string folder;
-    const std::size_t most_bytes;
-    MDB_env* env{};
-    MDB_dbi entries{}, places{};
-
-    explicit Store(const QueueConfig& rules) : folder(rules.folder), most_bytes(rules.max_bytes) {
-        std::error_code error;
-        std::filesystem::create_directories(folder, error);
-        open();
-    }
-    void open() {
-        check(mdb_env_create(&env), "the spool");
-        mdb_env_set_maxdbs(env, 2);
-        // Twice what may wait, and room for pages that a write keeps until it is done.
-        check(mdb_env_set_mapsize(env, std::max<std::size_t>(most_bytes * 2, 8 * 1024 * 1024) / 4096 * 4096),
-              "the spool's size");
-        // Places need no sync of their own: one that is lost with the machine means samples sent again. What append()
-        // takes is synced there.
-        if (const int rc = mdb_env_open(env, folder.c_str(), MDB_NOSYNC, 0640)) {
-            close();
-            throw QueueError(folder + ": " + mdb_strerror(rc));
-        }
-    }
-    void close() {
-        if (env) mdb_env_close(std::exchange(env, nullptr));
-    }
-    ~Store() { close(); }
-
-    struct Txn {
-        MDB_txn* txn{};
-        Txn(MDB_env* env, unsigned flags) { check(mdb_txn_begin(env, nullptr, flags, &txn), "the spool"); }
-        ~Txn() {
-            if (txn) mdb_txn_abort(txn);
-        }
-        Txn(const Txn&) = delete;
-        void commit() { check(mdb_txn_commit(std::exchange(txn, nullptr)), "the spool does not take it"); }
-    };
-
-    void put(Txn& txn, MDB_dbi where, std::string_view key, std::string_view value) {
-        MDB_val k = value_of(key), v = value_of(value);
-        check(mdb_put(txn.txn, where, &k, &v, 0), "the spool does not take it");
-    }
-    void put_figure(Txn& txn, std::string_view key, std::uint64_t figure) {
-        std::string value;
-        put_number(value, figure);
-        put(txn, places, key, value);
-    }
-    void put_place(Txn& txn, const std::string& receiver, int part, std::uint64_t place) {
-        put_figure(txn, receiver + '\0' + std::to_string(part), place);
-    }
-
-    bool can_read() const {
-        MDB_txn* txn = nullptr;
-        if (!env || mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn) != MDB_SUCCESS) return false;
-        mdb_txn_abort(txn);
-        return true;
-    }
-
-    // Opens the databases in a transaction, which makes them if it may and they are not there yet.
-    void open_tables(Txn& txn, unsigned flags) {
-        check(mdb_dbi_open(txn.txn, "entries", flags, &entries), "the spool's entries");
-        check(mdb_dbi_open(txn.txn, "places", flags, &places), "the spool's places");
-    }
-
-    // In a transaction of their own: one that is aborted takes the handles opened in it along.
-    void open_again() {
-        close();
-        open();
-        Txn txn(env, MDB_RDONLY);
-        open_tables(txn, 0);
-        txn.commit();
-    }
-
-    // Writes the whole database into a new file, which is on disk when it takes the old one's place.
-    void write_anew() {
-        const std::filesystem::path now = std::filesystem::path(folder) / "data.mdb", fresh = now.string() + ".new";
-        const Descriptor file(::open(fresh.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0640));
-        if (file.number < 0) throw QueueError(fresh.string() + ": " + std::strerror(errno));
-        check(mdb_env_copyfd2(env, file.number, MDB_CP_COMPACT), "the spool can't be written anew");
-        sync(file, fresh);
-        close();
-        std::error_code error;
-        std::filesystem::rename(fresh, now, error);
-        if (error) throw QueueError(now.string() + ": " + error.message());
-        sync(Descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)), folder);
-    }
-
-    struct Descriptor {
-        explicit Descriptor(int it) : number(it) {}
-        ~Descriptor() {
-            if (number >= 0) ::close(number);
-        }
-        Descriptor(const Descriptor&) = delete;
-        const int number;
-    };
-    static void sync(const Descriptor& file, const std::filesystem::path& path) {
-        if (file.number < 0 || ::fsync(file.number) != 0) throw QueueError(path.string() + ": " + std::strerror(errno));
-    }
-};
-
-DurableQueue::DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers)
-    : config_(std::move(rules)), store_(std::make_unique<Store>(config_)) {
-    Store::Txn txn(store_->env, 0);
-    store_->open_tables(txn, MDB_CREATE);
-    MDB_cursor* cursor{};
-    MDB_val key, value;
-    check(mdb_cursor_open(txn.txn, store_->entries, &cursor), "the spool's entries");
-    while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == MDB_SUCCESS) {
-        const std::string_view k = text_of(key), v = text_of(value);
-        if (k.size() != 9 || v.size() < entry_head) continue;
-        const auto sequence = get_number(k, 0);
-        const auto part = static_cast<std::size_t>(static_cast<unsigned char>(k[8]));
-        Entry& scrape = entries_[sequence];
-        scrape.at_ms = static_cast<std::int64_t>(get_number(v, 0));
-        scrape.samples.resize(std::max<std::size_t>(part + 1, static_cast<std::size_t>(config_.shards)));
-        scrape.samples[part] = static_cast<std::uint32_t>(get_number(v, 8));
-        scrape.bytes += v.size();
-        bytes_ += v.size();
-        end_ = std::max(end_, sequence + 1);
-    }
-    mdb_cursor_close(cursor);
+void DurableQueue::load_positions(LmdbTransaction& transaction, const std::vector<std::string>& receivers) {
     for (const std::string& name : receivers) positions_[name].assign(static_cast<std::size_t>(config_.shards), 0);
-    std::vector<std::string> strangers;
-    std::uint64_t wrong_parts = 0;
-    check(mdb_cursor_open(txn.txn, store_->places, &cursor), "the spool's places");
-    while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == MDB_SUCCESS) {
-        const std::string_view k = text_of(key);
-        const auto split = k.find('\0');
-        if (value.mv_size != 8) continue;
-        const std::uint64_t number = get_number(text_of(value), 0);
-        if (split == std::string_view::npos) {
-            if (k == "end") end_ = std::max(end_, number);
-            if (k == "dropped") dropped_ = number;
-            if (k == "newest") newest_ms_ = static_cast<std::int64_t>(number);
-            if (k == "parts" && number != static_cast<std::uint64_t>(config_.shards) && !entries_.empty())
-                wrong_parts = number;
-            continue;
-        }
-        const auto it = positions_.find(std::string(k.substr(0, split)));
-        const auto part = static_cast<std::size_t>(std::atoi(std::string(k.substr(split + 1)).c_str()));
-        if (it == positions_.end() || part >= it->second.size())
-            strangers.emplace_back(k);
+    std::vector<std::string> unknown_keys;
+    std::uint64_t stored_shards = 0;
+    transaction.for_each(LmdbTable::positions, [&](std::string_view key, std::string_view value) {
+        const auto number = queue_format::decode_number(value);
+        if (!number) return;
+        const auto position_key = queue_format::decode_position_key(key);
+        if (!position_key) return load_metadata(key, *number, stored_shards);
+        const auto it = positions_.find(position_key->receiver);
+        if (it == positions_.end() || position_key->shard >= it->second.size())
+            unknown_keys.emplace_back(key);
         else
-            it->second[part] = number;
-    }
-    mdb_cursor_close(cursor);
-    if (wrong_parts)
-        throw QueueError(config_.folder + ": holds samples in " + std::to_string(wrong_parts) +
-                         " parts: send them with that number, or take another folder");
-    store_->put_figure(txn, "parts", static_cast<std::uint64_t>(config_.shards));
-    for (const std::string& each : strangers) {
-        MDB_val k = value_of(each);
-        mdb_del(txn.txn, store_->places, &k, nullptr);
-    }
-    txn.commit();
+            it->second[position_key->shard] = *number;
+    });
+    const auto shards = static_cast<std::uint64_t>(config_.shards);
+    if (stored_shards != 0 && stored_shards != shards && !entries_.empty())
+        throw QueueError(config_.folder + ": holds samples in " + std::to_string(stored_shards) +
+                         " shards: start with that number of shards until they are sent, or set another folder");
+    put_number(transaction, metadata_key::shards, shards);
+    for (const std::string& key : unknown_keys) transaction.erase(LmdbTable::positions, key);
+}
+
+void DurableQueue::load_metadata(std::string_view key, std::uint64_t value, std::uint64_t& stored_shards) {
+    if (key == metadata_key::next_sequence) next_sequence_ = std::max(next_sequence_, value);
+    if (key == metadata_key::dropped_samples) dropped_samples_ = value;
+    if (key == metadata_key::newest_timestamp_ms) newest_timestamp_ms_ = static_cast<std::int64_t>(value);
+    if (key == metadata_key::shards) stored_shards = value;
 }
 
 DurableQueue::~DurableQueue() {
     try {
         if (damaged_) repair();
     } catch (const QueueError&) {
-        // The disk still fails: the next run may find a scrape that was not taken.
+        // The disk still fails: the next run may find a scrape whose append() failed.
     }
-    if (store_->env) mdb_env_sync(store_->env, 1);
+    store_->sync_before_close();
 }
 
+// ---------------------------------------------------------------- failed writes
+
 template <class Work>
-void DurableQueue::guarded(Work work) {
+void DurableQueue::write(Work work) {
     if (damaged_) repair();
     try {
         work();
@@ -233,155 +100,159 @@
     }
 }
 
-// After a sync that failed the kernel may count pages as clean that never reached the disk, and LMDB itself refuses all
-// work after a failed write of its meta page. So it is opened anew, brought in line with what is known here, and
-// written whole into a new file.
+// After a failed sync the kernel may count pages as clean that never reached the disk, and LMDB refuses all work after
+// a failed write of its meta page. So the environment is opened anew, brought in line with what is known in memory,
+// and written whole into a new file.
 void DurableQueue::repair() {
-    store_->open_again();
+    store_->reopen();
     {
-        Store::Txn txn(store_->env, 0);
-        MDB_cursor* cursor{};
-        MDB_val key, value;
-        std::vector<std::string> strangers;  // of a scrape that was not taken, or was let go of
-        check(mdb_cursor_open(txn.txn, store_->entries, &cursor), "the spool's entries");
-        while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == MDB_SUCCESS) {
-            const std::string_view k = text_of(key);
-            if (k.size() != 9 || !entries_.count(get_number(k, 0))) strangers.emplace_back(k);
-        }
-        mdb_cursor_close(cursor);
-        for (const std::string& each : strangers) {
-            MDB_val k = value_of(each);
-            mdb_del(txn.txn, store_->entries, &k, nullptr);
-        }
-        store_->put_figure(txn, "end", end_);
-        store_->put_figure(txn, "newest", static_cast<std::uint64_t>(newest_ms_));
-        store_->put_figure(txn, "dropped", dropped_);
-        for (const auto& [name, all] : positions_)
-            for (std::size_t part = 0; part < all.size(); ++part)
-                store_->put_place(txn, name, static_cast<int>(part), all[part]);
-        txn.commit();
+        LmdbTransaction transaction(*store_, LmdbAccess::read_write);
+        restore_known_state(transaction);
+        transaction.commit();
     }
-    store_->write_anew();
-    store_->open_again();
+    store_->rewrite();
+    store_->reopen();
     damaged_ = false;
 }
 
-void DurableQueue::append(std::int64_t at_ms, const std::vector<Shard>& parts) {
-    Entry scrape{at_ms, 0, std::vector<std::uint32_t>(static_cast<std::size_t>(config_.shards))};
-    std::vector<std::pair<std::string, std::string>> entries;
-    for (std::size_t part = 0; part < parts.size(); ++part) {
-        if (parts[part].samples == 0) continue;
-        std::string packed(ZSTD_compressBound(parts[part].bytes.size()), '\0');
-        packed.resize(
-            ZSTD_compress(packed.data(), packed.size(), parts[part].bytes.data(), parts[part].bytes.size(), 1));
-        std::string value;
-        put_number(value, static_cast<std::uint64_t>(at_ms));
-        put_number(value, parts[part].samples);
-        put_number(value, parts[part].bytes.size());
-        value += packed;
-        scrape.samples[part] = parts[part].samples;
-        scrape.bytes += value.size();
-        entries.emplace_back(key_of(end_, static_cast<int>(part)), std::move(value));
+void DurableQueue::restore_known_state(LmdbTransaction& transaction) {
+    std::vector<std::string> unknown_keys;  // of scrapes whose append() failed, or that were released
+    transaction.for_each(LmdbTable::entries, [&](std::string_view key_bytes, std::string_view) {
+        const auto key = queue_format::decode_entry_key(key_bytes);
+        if (!key || !entries_.contains(key->sequence)) unknown_keys.emplace_back(key_bytes);
+    });
+    for (const std::string& key : unknown_keys) transaction.erase(LmdbTable::entries, key);
+    put_number(transaction, metadata_key::next_sequence, next_sequence_);
+    put_number(transaction, metadata_key::newest_timestamp_ms, static_cast<std::uint64_t>(newest_timestamp_ms_));
+    put_number(transaction, metadata_key::dropped_samples, dropped_samples_);
+    for (const auto& [receiver, positions] : positions_)
+        for (std::size_t shard = 0; shard < positions.size(); ++shard)
+            put_position(transaction, receiver, shard, positions[shard]);
+}
+
+// ---------------------------------------------------------------- appending
+
+void DurableQueue::append(std::int64_t timestamp_ms, const std::vector<Shard>& shards) {
+    std::vector<EncodedShard> encoded;
+    Entry entry = make_entry(timestamp_ms, shards, encoded);
+    const std::uint64_t keep_from = first_to_keep(entry);
+    write([&] {
+        release_below(keep_from, ReleaseReason::limit_exceeded);
+        write_entry(timestamp_ms, encoded);
+    });
+    bytes_ += entry.bytes;
+    newest_timestamp_ms_ = timestamp_ms;
+    entries_.emplace(next_sequence_++, std::move(entry));
+}
+
+DurableQueue::Entry DurableQueue::make_entry(std::int64_t timestamp_ms, const std::vector<Shard>& shards,
+                                             std::vector<EncodedShard>& encoded) const {
+    Entry entry{timestamp_ms, 0, std::vector<std::uint32_t>(static_cast<std::size_t>(config_.shards))};
+    for (std::size_t shard = 0; shard < shards.size(); ++shard) {
+        if (shards[shard].samples == 0) continue;
+        std::string value = queue_format::encode_entry(timestamp_ms, shards[shard]);
+        entry.samples[shard] = shards[shard].samples;
+        entry.bytes += value.size();
+        encoded.push_back({queue_format::encode_entry_key({next_sequence_, shard}), std::move(value)});
     }
-    // Room first: the oldest go, whoever still wanted them.
-    std::uint64_t keep_from = end_;
-    std::size_t total = bytes_ + scrape.bytes;
-    for (const auto& [sequence, each] : entries_) {
-        if (total <= config_.max_bytes && each.at_ms + config_.max_age.count() >= at_ms) {
-            keep_from = sequence;
-            break;
-        }
-        total -= each.bytes;
+    return entry;
+}
+
+// The first entry that stays within the limits of size and age once `added` is there too.
+std::uint64_t DurableQueue::first_to_keep(const Entry& added) const {
+    std::size_t total = bytes_ + added.bytes;
+    for (const auto& [sequence, entry] : entries_) {
+        if (total <= config_.max_bytes && entry.timestamp_ms + config_.max_age.count() >= added.timestamp_ms)
+            return sequence;
+        total -= entry.bytes;
     }
-    guarded([&] {
-        release_below(keep_from, true);
-        write_entry(at_ms, entries);
-    });
-    bytes_ += scrape.bytes;
-    newest_ms_ = at_ms;
-    entries_.emplace(end_++, std::move(scrape));
+    return next_sequence_;
 }
 
-void DurableQueue::write_entry(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries) {
-    Store::Txn txn(store_->env, 0);
-    for (const auto& [key, value] : entries) store_->put(txn, store_->entries, key, value);
-    store_->put_figure(txn, "end", end_ + 1);
-    store_->put_figure(txn, "newest", static_cast<std::uint64_t>(at_ms));
-    txn.commit();
-    check(mdb_env_sync(store_->env, 1), "the spool is not on disk");
+void DurableQueue::write_entry(std::int64_t timestamp_ms, const std::vector<EncodedShard>& encoded) {
+    LmdbTransaction transaction(*store_, LmdbAccess::read_write);
+    for (const EncodedShard& shard : encoded) transaction.put(LmdbTable::entries, shard.key, shard.value);
+    put_number(transaction, metadata_key::next_sequence, next_sequence_ + 1);
+    put_number(transaction, metadata_key::newest_timestamp_ms, static_cast<std::uint64_t>(timestamp_ms));
+    transaction.commit();
+    store_->sync();
 }
 
-DurableQueue::Batch DurableQueue::read(const std::string& receiver, int part, std::size_t most) {
+// ---------------------------------------------------------------- reading and acknowledging
+
+DurableQueue::Batch DurableQueue::read(const std::string& receiver, int shard, std::size_t max_samples) {
+    const auto index = static_cast<std::size_t>(shard);
     Batch batch;
-    const auto index = static_cast<std::size_t>(part);
     batch.next = positions_.at(receiver)[index];
-    // What is known here to be kept can be read from a damaged file too: a disk that takes nothing stops no sending.
+    // Entries known in memory can be read from a damaged file too: a disk that refuses writes does not stop sending.
     if (damaged_ && !store_->can_read()) repair();
-    Store::Txn txn(store_->env, MDB_RDONLY);
+    LmdbTransaction transaction(*store_, LmdbAccess::read_only);
     for (auto it = entries_.lower_bound(batch.next); it != entries_.end(); ++it) {
-        const std::uint32_t samples = it->second.samples[index];
-        if (batch.samples > 0 && batch.samples + samples > most) break;
-        batch.next = it->first + 1;
+        const auto& [sequence, entry] = *it;
+        const std::uint32_t samples = entry.samples[index];
+        if (batch.samples > 0 && batch.samples + samples > max_samples) break;
+        batch.next = sequence + 1;
         if (samples == 0) continue;
-        const std::string key = key_of(it->first, part);
-        MDB_val k = value_of(key), v;
-        std::string raw;
-        const int rc = mdb_get(txn.txn, store_->entries, &k, &v);
-        if (rc != MDB_NOTFOUND) check(rc, "the spool can't be read");
-        if (rc == MDB_NOTFOUND || !unpack(text_of(v), raw)) {
-            dropped_ += samples;
+        const auto value = transaction.get(LmdbTable::entries, queue_format::encode_entry_key({sequence, index}));
+        const std::optional<std::string> bytes = value ? queue_format::decompress_entry(*value) : std::nullopt;
+        if (!bytes) {
+            dropped_samples_ += samples;
             continue;
         }
-        if (batch.samples == 0) batch.oldest_ms = it->second.at_ms;
-        batch.bytes += raw;
+        if (batch.samples == 0) batch.oldest_ms = entry.timestamp_ms;
+        batch.bytes += *bytes;
         batch.samples += samples;
     }
     return batch;
 }
 
-void DurableQueue::advance(const std::string& receiver, int part, std::uint64_t next) {
-    std::uint64_t& place = positions_.at(receiver)[static_cast<std::size_t>(part)];
-    if (next <= place) return;
-    place = next;
-    guarded([&] {
-        Store::Txn txn(store_->env, 0);
-        store_->put_place(txn, receiver, part, place);
-        txn.commit();
+void DurableQueue::advance(const std::string& receiver, int shard, std::uint64_t next) {
+    const auto index = static_cast<std::size_t>(shard);
+    std::uint64_t& position = positions_.at(receiver)[index];
+    if (next <= position) return;
+    position = next;
+    write([&] {
+        LmdbTransaction transaction(*store_, LmdbAccess::read_write);
+        put_position(transaction, receiver, index, position);
+        transaction.commit();
     });
-    std::uint64_t least = end_;
-    for (const auto& [name, all] : positions_)
-        for (const std::uint64_t each : all) least = std::min(least, each);
-    guarded([&] { release_below(least, false); });
+    std::uint64_t acknowledged_by_all = next_sequence_;
+    for (const auto& [name, positions] : positions_)
+        for (const std::uint64_t each : positions) acknowledged_by_all = std::min(acknowledged_by_all, each);
+    write([&] { release_below(acknowledged_by_all, ReleaseReason::acknowledged); });
 }
 
-void DurableQueue::release_below(std::uint64_t sequence, bool dropping) {
+void DurableQueue::release_below(std::uint64_t sequence, ReleaseReason reason) {
     if (entries_.empty() || entries_.begin()->first >= sequence) return;
-    Store::Txn txn(store_->env, 0);
+    LmdbTransaction transaction(*store_, LmdbAccess::read_write);
     while (!entries_.empty() && entries_.begin()->first < sequence) {
-        const auto& [number, scrape] = *entries_.begin();
-        for (std::size_t part = 0; part < scrape.samples.size(); ++part) {
-            if (scrape.samples[part] == 0) continue;
-            const std::string key = key_of(number, static_cast<int>(part));
-            MDB_val k = value_of(key);
-            mdb_del(txn.txn, store_->entries, &k, nullptr);
-            if (!dropping) continue;
-            for (const auto& [name, all] : positions_)  // once for each receiver that had not taken it
-                if (all[part] <= number) dropped_ += scrape.samples[part];
+        const auto& [oldest, entry] = *entries_.begin();
+        for (std::size_t shard = 0; shard < entry.samples.size(); ++shard) {
+            if (entry.samples[shard] == 0) continue;
+            transaction.erase(LmdbTable::entries, queue_format::encode_entry_key({oldest, shard}));
+            if (reason == ReleaseReason::limit_exceeded) count_dropped(oldest, shard, entry.samples[shard]);
         }
-        bytes_ -= scrape.bytes;
+        bytes_ -= entry.bytes;
         entries_.erase(entries_.begin());
     }
-    if (dropping) store_->put_figure(txn, "dropped", dropped_);
-    txn.commit();
+    if (reason == ReleaseReason::limit_exceeded)
+        put_number(transaction, metadata_key::dropped_samples, dropped_samples_);
+    transaction.commit();
+}
+
+// Counts the samples once for each receiver that had not acknowledged them.
+void DurableQueue::count_dropped(std::uint64_t sequence, std::size_t shard, std::uint32_t samples) {
+    for (const auto& [receiver, positions] : positions_)
+        if (positions[shard] <= sequence) dropped_samples_ += samples;
 }
 
 std::uint64_t DurableQueue::waiting(const std::string& receiver) const {
-    std::uint64_t sum = 0;
-    const auto& all = positions_.at(receiver);
-    for (const auto& [number, scrape] : entries_)
-        for (std::size_t part = 0; part < all.size(); ++part)
-            if (all[part] <= number) sum += scrape.samples[part];
-    return sum;
+    const std::vector<std::uint64_t>& positions = positions_.at(receiver);
+    std::uint64_t total = 0;
+    for (const auto& [sequence, entry] : entries_)
+        for (std::size_t shard = 0; shard < positions.size(); ++shard)
+            if (positions[shard] <= sequence) total += entry.samples[shard];
+    return total;
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/durable_queue.hpp
+++ b/src/remote_write/durable_queue.hpp
@@ -1,84 +1,104 @@
-// Samples on their way to receivers, on disk: a bounded queue that outlives the process (LMDB). What append() has
-// taken is there after kill -9; each receiver's place is kept for each part. One thread.
+/// A bounded queue of samples on disk, on their way to remote write receivers.
+///
+/// The queue outlives the process: what append() has accepted is there after SIGKILL. Each receiver has a position for
+/// each shard, and an entry is released once all receivers have acknowledged it. One thread only.
 #pragma once
 
 #include <chrono>
 #include <cstdint>
 #include <map>
 #include <memory>
-#include <stdexcept>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
-#include "remote_write/series.hpp"
+#include "remote_write/queue_error.hpp"
+#include "remote_write/series_encoder.hpp"
 
 namespace plumkeel::remote_write {
 
+class LmdbStore;
+class LmdbTransaction;
+
 struct QueueConfig {
     std::string folder;
-    std::size_t max_bytes = 256 * 1024 * 1024;  // of waiting samples, packed; then the oldest are dropped
-    std::chrono::milliseconds max_age = std::chrono::hours(6);  // and those older than this
+    std::size_t max_bytes = 256 * 1024 * 1024;  ///< of pending samples, compressed; beyond, the oldest are dropped
+    std::chrono::milliseconds max_age = std::chrono::hours(6);  ///< samples older than this are dropped
     int shards = 4;
 };
 
-struct QueueError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
 class DurableQueue {
 public:
-    // Throws SpoolFault where the folder can't be used, or holds samples in another number of parts: a series would
-    // change its part, and newer samples overtake older ones. Places of receivers not named are let go of.
-    DurableQueue(QueueConfig rules, const std::vector<std::string>& receivers);
+    /// Throws QueueError where the folder can't be used, or holds samples in another number of shards: a series would
+    /// change its shard, and newer samples overtake older ones. Forgets the positions of receivers not named here.
+    DurableQueue(QueueConfig config, const std::vector<std::string>& receivers);
     ~DurableQueue();
     DurableQueue(const DurableQueue&) = delete;
 
-    // One scrape; on disk when it returns. Throws SpoolFault where the disk does not take it: nothing of it is kept.
-    // After that the next call that writes, or the end, first writes all that is kept anew, into a new file; only if
-    // the process is killed before may the next run find the scrape all the same.
-    void append(std::int64_t at_ms, const std::vector<Shard>& parts);
+    /// Stores one scrape; it is on disk when this returns. Where the disk fails, throws QueueError and keeps nothing of
+    /// the scrape. The next call that writes, or the destructor, then rewrites the queue into a new file; only if the
+    /// process is killed before that may the next run find the failed scrape all the same.
+    void append(std::int64_t timestamp_ms, const std::vector<Shard>& shards);
 
     struct Batch {
-        std::string bytes;
+        std::string bytes;  ///< a serialized WriteRequest
         std::uint32_t samples{};
-        std::uint64_t next{};  // the receiver's place once it has taken these
+        std::uint64_t next{};  ///< the receiver's position once it has acknowledged the batch
         std::int64_t oldest_ms{};
     };
-    // From the receiver's place on, as many whole scrapes as fit into `most`, at least one; 0 samples: nothing waits.
-    // An entry that can't be read counts as dropped.
-    Batch read(const std::string& receiver, int part, std::size_t most);
-    // The place holds for this process even where it throws: the disk did not take it.
-    void advance(const std::string& receiver, int part, std::uint64_t next);
+    /// The next whole scrapes for the receiver, as many as fit into `max_samples` but at least one. A batch without
+    /// samples: nothing is pending. An entry that can't be read counts as dropped.
+    Batch read(const std::string& receiver, int shard, std::size_t max_samples);
+    /// Acknowledges what is before `next`. Throws QueueError where the disk does not store the position; this process
+    /// goes by the new position all the same.
+    void advance(const std::string& receiver, int shard, std::uint64_t next);
 
-    std::uint64_t waiting(const std::string& receiver) const;  // samples
+    /// Samples that the receiver has not acknowledged.
+    std::uint64_t waiting(const std::string& receiver) const;
     std::size_t bytes() const { return bytes_; }
-    std::uint64_t dropped() const { return dropped_; }  // samples, over restarts
-    std::uint64_t end() const { return end_; }
-    std::int64_t newest_ms() const { return newest_ms_; }  // of all that was ever appended
+    /// Samples dropped before a receiver had acknowledged them, over all runs.
+    std::uint64_t dropped() const { return dropped_samples_; }
+    /// The sequence number of the next scrape.
+    std::uint64_t end() const { return next_sequence_; }
+    /// The newest timestamp that was ever appended.
+    std::int64_t newest_ms() const { return newest_timestamp_ms_; }
 
 private:
-    void write_entry(std::int64_t at_ms, const std::vector<std::pair<std::string, std::string>>& entries);
-    void release_below(std::uint64_t sequence, bool dropped);
-    // Does the work; where the disk fails the spool is damaged from then on.
+    struct Entry {
+        std::int64_t timestamp_ms{};
+        std::size_t bytes{};
+        std::vector<std::uint32_t> samples;  // by shard
+    };
+    struct EncodedShard {
+        std::string key, value;
+    };
+    enum class ReleaseReason { acknowledged, limit_exceeded };
+
+    void load_entries(LmdbTransaction& transaction);
+    void load_positions(LmdbTransaction& transaction, const std::vector<std::string>& receivers);
+    void load_metadata(std::string_view key, std::uint64_t value, std::uint64_t& stored_shards);
+    Entry make_entry(std::int64_t timestamp_ms, const std::vector<Shard>& shards,
+                     std::vector<EncodedShard>& encoded) const;
+    std::uint64_t first_to_keep(const Entry& added) const;
+    void write_entry(std::int64_t timestamp_ms, const std::vector<EncodedShard>& encoded);
+    void release_below(std::uint64_t sequence, ReleaseReason reason);
+    void count_dropped(std::uint64_t sequence, std::size_t shard, std::uint32_t samples);
+    // Runs `work`; where it throws QueueError, the queue is damaged from then on.
     template <class Work>
-    void guarded(Work work);
+    void write(Work work);
     void repair();
+    void restore_known_state(LmdbTransaction& transaction);
 
     const QueueConfig config_;
-    struct Store;
-    std::unique_ptr<Store> store_;
-    struct Entry {
-        std::int64_t at_ms{};
-        std::size_t bytes{};
-        std::vector<std::uint32_t> samples;  // by part
-    };
-    std::map<std::uint64_t, Entry> entries_;  // what waits, by its number
-    std::map<std::string, std::vector<std::uint64_t>> positions_;
-    std::uint64_t end_{};
-    bool damaged_{};  // a write or a sync has failed: what the file holds is not known
+    std::unique_ptr<LmdbStore> store_;
+    std::map<std::uint64_t, Entry> entries_;                       // by sequence number
+    std::map<std::string, std::vector<std::uint64_t>> positions_;  // by receiver and shard
+    std::uint64_t next_sequence_{};
+    bool damaged_{};  // a write or a sync has failed, so that the contents of the file are not known
     std::size_t bytes_{};
-    std::uint64_t dropped_{};
-    std::int64_t newest_ms_{};
+    std::uint64_t dropped_samples_{};
+    std::int64_t newest_timestamp_ms_{};
 };
 
 }  // namespace plumkeel::remote_write
--- /dev/null
+++ b/src/remote_write/queue_error.hpp
@@ -0,0 +1,13 @@
+/// The error of the durable queue.
+#pragma once
+
+#include <stdexcept>
+
+namespace plumkeel::remote_write {
+
+/// The queue's files can't be read or written; what() names the operation or the file, and the cause.
+struct QueueError : std::runtime_error {
+    using std::runtime_error::runtime_error;
+};
+
+}  // namespace plumkeel::remote_write
--- /dev/null
+++ b/src/remote_write/sample.cpp
@@ -0,0 +1,63 @@
+#include "remote_write/sample.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <bit>
+#include <cmath>
+#include <cstdint>
+
+namespace plumkeel::remote_write {
+namespace {
+
+constexpr std::uint64_t stale_marker_bits = 0x7ff0000000000002;  // StaleNaN of Prometheus' model/value package
+
+Labels make_labels(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels) {
+    Labels result = {{"__name__", name}};
+    for (const auto& label : labels)
+        if (!label.value.empty()) result.emplace_back(label.name, label.value);  // an empty label equals a missing one
+    std::sort(result.begin(), result.end());
+    return result;
+}
+
+Labels make_bucket_labels(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels,
+                          double upper_bound) {
+    Labels result = make_labels(name, labels);
+    result.emplace_back("le", std::isinf(upper_bound) ? "+Inf" : fmt::format("{:g}", upper_bound));
+    std::sort(result.begin(), result.end());
+    return result;
+}
+
+void append_histogram(std::vector<Sample>& samples, const std::string& name, const prometheus::ClientMetric& metric) {
+    const auto& histogram = metric.histogram;
+    for (const auto& bucket : histogram.bucket)
+        samples.push_back({make_bucket_labels(name + "_bucket", metric.label, bucket.upper_bound),
+                           static_cast<double>(bucket.cumulative_count)});
+    samples.push_back({make_labels(name + "_sum", metric.label), histogram.sample_sum});
+    samples.push_back({make_labels(name + "_count", metric.label), static_cast<double>(histogram.sample_count)});
+}
+
+}  // namespace
+
+std::vector<Sample> flatten(const std::vector<prometheus::MetricFamily>& families) {
+    std::vector<Sample> samples;
+    for (const auto& family : families)
+        for (const auto& metric : family.metric) {
+            if (family.type == prometheus::MetricType::Counter)
+                samples.push_back({make_labels(family.name, metric.label), metric.counter.value});
+            if (family.type == prometheus::MetricType::Gauge)
+                samples.push_back({make_labels(family.name, metric.label), metric.gauge.value});
+            if (family.type == prometheus::MetricType::Histogram) append_histogram(samples, family.name, metric);
+        }
+    return samples;
+}
+
+double stale_marker() {
+    return std::bit_cast<double>(stale_marker_bits);
+}
+
+bool is_stale_marker(double value) {
+    return std::bit_cast<std::uint64_t>(value) == stale_marker_bits;
+}
+
+}  // namespace plumkeel::remote_write
--- /dev/null
+++ b/src/remote_write/sample_clock.cpp
@@ -0,0 +1,17 @@
+#include "remote_write/sample_clock.hpp"
+
+namespace plumkeel::remote_write {
+namespace {
+
+constexpr Time max_wall_clock_lead = std::chrono::seconds(5);
+constexpr int microseconds_per_ms = 1000;
+
+}  // namespace
+
+std::int64_t SampleClock::ms(Time wall, Time now) {
+    if (wall - (offset_ + now) > max_wall_clock_lead) offset_ = wall - now;
+    last_ms_ = std::max<std::int64_t>(last_ms_ + 1, (offset_ + now).count() / microseconds_per_ms);
+    return last_ms_;
+}
+
+}  // namespace plumkeel::remote_write
--- a/src/remote_write/send_controller.cpp
+++ b/src/remote_write/send_controller.cpp
@@ -5,60 +5,73 @@
 namespace plumkeel::remote_write {
 namespace {
 
-double in_seconds(Time t) {
-    return static_cast<double>(t.count()) / 1e6;
+constexpr Time min_token_wait = std::chrono::milliseconds(1);
+constexpr int max_retry_after_ratio = 10;  // a Retry-After header counts up to this multiple of the longest backoff
+constexpr double min_jitter = 0.5;         // a backoff is drawn from 0.5 up to 1.5 of its nominal length
+
+double to_seconds(Time duration) {
+    return static_cast<double>(duration.count()) / 1e6;
 }
-Time span_of(double seconds) {
+
+Time from_seconds(double seconds) {
     return Time(static_cast<Time::rep>(std::max(0.0, seconds) * 1e6));
 }
 
 }  // namespace
 
-SendController::SendController(SendControlConfig rules, std::uint64_t seed)
-    : rules_(rules),
+SendController::SendController(SendControlConfig config, std::uint64_t seed)
+    : config_(config),
       random_(seed),
-      batch_(static_cast<double>(rules.min_batch)),
-      tokens_(static_cast<double>(rules.max_batch)) {}
+      batch_limit_(static_cast<double>(config.min_batch)),
+      tokens_(static_cast<double>(config.max_batch)) {}
 
 SendController::Permit SendController::request(Time now, double inflow) {
-    if (now < not_before_) return {0, not_before_};
-    if (busy_ >= concurrency()) return {0, Time::max()};
-    const double rate = std::max(rules_.min_rate, rules_.catch_up_ratio * inflow);
-    // At most what a second lets in, or one batch, is saved up.
-    const double saved = std::max(rate, static_cast<double>(rules_.max_batch));
-    tokens_ = std::min(saved, tokens_ + rate * in_seconds(now - filled_));
-    filled_ = now;
-    const double least = std::min(batch_, static_cast<double>(rules_.min_batch));
-    if (tokens_ < least) return {0, now + std::max(span_of((least - tokens_) / rate), Time(1000))};
-    return {static_cast<std::size_t>(std::min(batch_, tokens_)), {}};
+    if (now < backoff_until_) return {0, backoff_until_};
+    if (batches_in_flight_ >= concurrency()) return {0, Time::max()};
+    const double rate = std::max(config_.min_rate, config_.catch_up_ratio * inflow);
+    // The bucket holds the tokens of one second or of one full batch, whichever is more.
+    const double bucket_size = std::max(rate, static_cast<double>(config_.max_batch));
+    tokens_ = std::min(bucket_size, tokens_ + rate * to_seconds(now - tokens_refilled_at_));
+    tokens_refilled_at_ = now;
+    const double required = std::min(batch_limit_, static_cast<double>(config_.min_batch));
+    if (tokens_ < required) return {0, now + std::max(from_seconds((required - tokens_) / rate), min_token_wait)};
+    return {static_cast<std::size_t>(std::min(batch_limit_, tokens_)), {}};
 }
 
 void SendController::on_sent(Time, std::size_t samples) {
-    ++busy_;
+    ++batches_in_flight_;
     tokens_ -= static_cast<double>(samples);
 }
 
-void SendController::on_result(Time now, SendResult heard, Time took, std::optional<Time> retry_after) {
-    busy_ = std::max(0, busy_ - 1);
-    if (heard == SendResult::accepted || heard == SendResult::rejected) {
-        failures_ = 0;
-        backoff_ = {};
-        batch_ = std::min(static_cast<double>(rules_.max_batch), batch_ * 2);
-        concurrency_ = took > rules_.slow_response
-                           ? std::max(1.0, concurrency_ / 2)
-                           : std::min<double>(rules_.max_concurrency, concurrency_ + 1 / concurrency_);
-        return;
-    }
-    // Answers to what was sent before the trouble was known make it no greater.
-    if (now < not_before_ && !retry_after) return;
-    ++failures_;
+void SendController::on_result(Time now, SendResult result, Time duration, std::optional<Time> retry_after) {
+    batches_in_flight_ = std::max(0, batches_in_flight_ - 1);
+    if (result == SendResult::accepted || result == SendResult::rejected)
+        record_response(duration);
+    else
+        record_failure(now, retry_after);
+}
+
+void SendController::record_response(Time duration) {
+    consecutive_failures_ = 0;
+    backoff_ = {};
+    batch_limit_ = std::min(static_cast<double>(config_.max_batch), batch_limit_ * 2);
+    if (duration > config_.slow_response)
+        concurrency_ = std::max(1.0, concurrency_ / 2);
+    else
+        concurrency_ = std::min<double>(config_.max_concurrency, concurrency_ + 1 / concurrency_);
+}
+
+void SendController::record_failure(Time now, std::optional<Time> retry_after) {
+    // Batches sent before the backoff began say nothing new when they fail within it.
+    if (now < backoff_until_ && !retry_after) return;
+    ++consecutive_failures_;
     concurrency_ = 1;
-    batch_ = static_cast<double>(rules_.min_batch);
-    tokens_ = std::min(tokens_, batch_);
-    backoff_ = backoff_ == Time{} ? rules_.initial_backoff : std::min(rules_.max_backoff, backoff_ * 2);
-    const Time jittered = span_of(in_seconds(backoff_) * (0.5 + random_.next()));
-    not_before_ = std::max(not_before_,
-                           now + std::max(jittered, std::min(retry_after.value_or(Time{}), rules_.max_backoff * 10)));
+    batch_limit_ = static_cast<double>(config_.min_batch);
+    tokens_ = std::min(tokens_, batch_limit_);
+    backoff_ = backoff_ == Time{} ? config_.initial_backoff : std::min(config_.max_backoff, backoff_ * 2);
+    const Time jittered = from_seconds(to_seconds(backoff_) * (min_jitter + random_.next()));
+    const Time requested = std::min(retry_after.value_or(Time{}), config_.max_backoff * max_retry_after_ratio);
+    backoff_until_ = std::max(backoff_until_, now + std::max(jittered, requested));
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/sender.cpp
+++ b/src/remote_write/sender.cpp
@@ -8,19 +8,47 @@
 #include "http/exchange.hpp"
 
 namespace plumkeel::remote_write {
+namespace {
 
-Sender::Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed,
-               Notice notice)
+constexpr std::size_t max_response_bytes = 64 * 1024;
+constexpr std::size_t max_reported_response_bytes = 200;
+constexpr Time min_sleep{1};
+constexpr unsigned too_many_requests = 429;
+
+SendResult classify(unsigned status) {
+    if (status / 100 == 2) return SendResult::accepted;
+    if (status / 100 == 5 || status == too_many_requests) return SendResult::retryable;
+    return SendResult::rejected;
+}
+
+ExportEvent to_event(SendResult result) {
+    switch (result) {
+        case SendResult::accepted:
+            return ExportEvent::receiver_accepting;
+        case SendResult::retryable:
+            return ExportEvent::receiver_unavailable;
+        case SendResult::rejected:
+            return ExportEvent::receiver_rejecting;
+        case SendResult::unknown:
+            break;
+    }
+    return ExportEvent::receiver_unresponsive;
+}
+
+}  // namespace
+
+Sender::Sender(net::EventLoop& loop, ReceiverConfig config, DurableQueue& queue, int shards, std::uint64_t seed,
+               ExportListener listener)
     : loop_(loop),
-      config_(std::move(rules)),
-      queue_(spool),
-      shards_(parts),
+      config_(std::move(config)),
+      queue_(queue),
+      shards_(shards),
       send_controller_(config_.send_control, seed),
-      notice_(std::move(notice)),
+      listener_(std::move(listener)),
       samples_available_(loop) {}
 
 void Sender::start() {
-    for (int part = 0; part < shards_; ++part) loop_.spawn(run_shard(part));
+    for (int shard = 0; shard < shards_; ++shard) loop_.spawn(run_shard(shard));
 }
 
 void Sender::notify(double inflow) {
@@ -28,75 +56,80 @@
     samples_available_.notify();
 }
 
-net::Task<> Sender::run_shard(int part) {
+net::Task<> Sender::run_shard(int shard) {
     for (;;) {
-        const SendController::Permit leave = send_controller_.request(loop_.now(), inflow_);
-        if (leave.samples == 0 && leave.retry_at != Time::max()) {
-            co_await loop_.sleep(std::max(leave.retry_at - loop_.now(), Time(1)));
+        const SendController::Permit permit = send_controller_.request(loop_.now(), inflow_);
+        if (permit.samples == 0 && permit.retry_at != Time::max()) {
+            co_await loop_.sleep(std::max(permit.retry_at - loop_.now(), min_sleep));
             continue;
         }
         DurableQueue::Batch batch;
-        if (leave.samples > 0) batch = next(part, leave.samples);
-        if (batch.samples == 0) {  // nothing waits, or other lanes are busy enough
+        if (permit.samples > 0) batch = next_batch(shard, permit.samples);
+        if (batch.samples == 0) {  // nothing is pending, or enough other shards are sending
             co_await samples_available_.wait();
             continue;
         }
-        send_controller_.on_sent(loop_.now(), batch.samples);
-        ++counts_.batches;
-        const Time began = loop_.now();
-        std::optional<Time> retry_after;
-        const SendResult heard = co_await send(batch, retry_after);
-        send_controller_.on_result(loop_.now(), heard, loop_.now() - began, retry_after);
-        switch (heard) {
-            case SendResult::accepted:
-                counts_.accepted += batch.samples;
-                advance(part, batch.next);
-                break;
-            case SendResult::rejected:  // sent again it would meet the same, and hold up what comes behind it
-                counts_.rejected += batch.samples;
-                advance(part, batch.next);
-                break;
-            case SendResult::retryable:
-            case SendResult::unknown:
-                counts_.resent += batch.samples;
-                ++counts_.failures;
-                break;
-        }
+        co_await send_batch(shard, batch);
         samples_available_.notify();
     }
 }
 
-// Scrapes that hold nothing of this part are passed over: else they would wait for it for ever.
-DurableQueue::Batch Sender::next(int part, std::size_t most) {
+net::Task<> Sender::send_batch(int shard, const DurableQueue::Batch& batch) {
+    send_controller_.on_sent(loop_.now(), batch.samples);
+    ++counters_.batches;
+    const Time sent_at = loop_.now();
+    std::optional<Time> retry_after;
+    const SendResult result = co_await post(batch, retry_after);
+    send_controller_.on_result(loop_.now(), result, loop_.now() - sent_at, retry_after);
+    record_result(result, shard, batch);
+}
+
+void Sender::record_result(SendResult result, int shard, const DurableQueue::Batch& batch) {
+    switch (result) {
+        case SendResult::accepted:
+            counters_.accepted += batch.samples;
+            advance(shard, batch.next);
+            break;
+        case SendResult::rejected:  // a retry would be rejected too, and delay all samples behind it
+            counters_.rejected += batch.samples;
+            advance(shard, batch.next);
+            break;
+        case SendResult::retryable:
+        case SendResult::unknown:
+            counters_.resent += batch.samples;
+            ++counters_.failures;
+            break;
+    }
+}
+
+DurableQueue::Batch Sender::next_batch(int shard, std::size_t max_samples) {
     try {
-        DurableQueue::Batch batch = queue_.read(config_.name, part, most);
-        if (batch.samples == 0) advance(part, batch.next);
+        DurableQueue::Batch batch = queue_.read(config_.name, shard, max_samples);
+        // Scrapes without samples of this shard need its acknowledgement too before the queue releases them.
+        if (batch.samples == 0) advance(shard, batch.next);
         return batch;
-    } catch (const QueueError& fault) {
-        on_queue_error(fault);
+    } catch (const QueueError& error) {
+        on_queue_error(error);
         return {};
     }
 }
 
-// A full or broken disk may keep a place from being written. It is known all the same until the process ends; after
-// that some samples are sent once more, just as they were.
-void Sender::advance(int part, std::uint64_t place) {
+// A full or broken disk may refuse to store a position. The queue goes by it until the process ends; after a restart
+// some samples are then sent again, unchanged.
+void Sender::advance(int shard, std::uint64_t position) {
     try {
-        queue_.advance(config_.name, part, place);
+        queue_.advance(config_.name, shard, position);
         queue_failed_ = false;
-    } catch (const QueueError& fault) {
-        on_queue_error(fault);
+    } catch (const QueueError& error) {
+        on_queue_error(error);
     }
 }
 
-void Sender::on_queue_error(const QueueError& fault) {
-    if (!std::exchange(queue_failed_, true)) notice_("spool_broken", fault.what());
+void Sender::on_queue_error(const QueueError& error) {
+    if (!std::exchange(queue_failed_, true)) listener_(ExportEvent::queue_failed, error.what());
 }
 
-net::Task<SendResult> Sender::send(const DurableQueue::Batch& batch, std::optional<Time>& retry_after) {
-    std::string body;
-    snappy::Compress(batch.bytes.data(), batch.bytes.size(), &body);
-    counts_.wire_bytes += body.size();
+std::string Sender::request_head(std::size_t body_bytes) const {
     http::HeadWriter head("POST " + config_.path + " HTTP/1.1");
     head.add("Host", config_.address)
         .add("User-Agent", "plumkeel")
@@ -104,34 +137,38 @@
         .add("Content-Type", "application/x-protobuf")
         .add("X-Prometheus-Remote-Write-Version", "0.1.0")
         .add("Connection", "close")
-        .add("Content-Length", static_cast<std::int64_t>(body.size()));
+        .add("Content-Length", static_cast<std::int64_t>(body_bytes));
     if (!config_.bearer.empty()) head.add("Authorization", "Bearer " + config_.bearer);
-    std::string text = head.done();
-    net::Address to = *net::Address::parse(config_.address);
-    auto exchanged =
-        co_await http::exchange(loop_, std::move(to), std::move(text), std::move(body), config_.timeout, 64 * 1024);
+    return head.done();
+}
+
+net::Task<SendResult> Sender::post(const DurableQueue::Batch& batch, std::optional<Time>& retry_after) {
+    std::string body;
+    snappy::Compress(batch.bytes.data(), batch.bytes.size(), &body);
+    counters_.wire_bytes += body.size();
+    std::string head = request_head(body.size());
+    net::Address address = *net::Address::parse(config_.address);
+    const auto exchanged = co_await http::exchange(loop_, std::move(address), std::move(head), std::move(body),
+                                                   config_.timeout, max_response_bytes);
     if (exchanged.error) {
-        log_result(SendResult::unknown, exchanged.error.message());
+        report(SendResult::unknown, exchanged.error.message());
         co_return SendResult::unknown;
     }
-    const unsigned status = exchanged.answer.result_int();
-    if (const auto seconds = http::number<std::uint32_t>(http::field(exchanged.answer, "Retry-After")))
+    const auto& response = exchanged.answer;
+    const unsigned status = response.result_int();
+    if (const auto seconds = http::number<std::uint32_t>(http::field(response, "Retry-After")))
         retry_after = std::chrono::seconds(*seconds);
-    const SendResult heard = status / 100 == 2                    ? SendResult::accepted
-                             : status / 100 == 5 || status == 429 ? SendResult::retryable
-                                                                  : SendResult::rejected;
-    log_result(heard, fmt::format("{} {}", status, exchanged.answer.body().substr(0, 200)));
-    co_return heard;
+    const SendResult result = classify(status);
+    report(result, fmt::format("{} {}", status, response.body().substr(0, max_reported_response_bytes)));
+    co_return result;
 }
 
-// A receiver that says the same again and again is told of once.
-void Sender::log_result(SendResult heard, const std::string& what) {
-    const std::string trouble = heard == SendResult::accepted ? "" : what;
-    if (trouble == last_failure_) return;
-    last_failure_ = trouble;
-    static constexpr const char* kinds[] = {"receiver_takes", "receiver_in_trouble", "receiver_turns_down",
-                                            "receiver_silent"};
-    notice_(kinds[static_cast<int>(heard)], config_.name + (what.empty() ? "" : ": " + what));
+// The same failure is reported once, however often it repeats.
+void Sender::report(SendResult result, const std::string& detail) {
+    const std::string failure = result == SendResult::accepted ? "" : detail;
+    if (failure == last_failure_) return;
+    last_failure_ = failure;
+    listener_(to_event(result), config_.name + (detail.empty() ? "" : ": " + detail));
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/sender.hpp
+++ b/src/remote_write/sender.hpp
@@ -1,63 +1,69 @@
-// Sends what the spool holds to one receiver by the remote write protocol 1.0: a lane a part of the series, at
-// most one batch of a part on its way, so that every series arrives in order. When and how much is the Pacer's.
+/// Sends the queue's samples to one receiver by the remote write protocol 1.0.
+///
+/// One coroutine for each shard, with at most one batch of the shard in flight, so that every series arrives in order.
+/// SendController decides when a batch is sent and how large it is.
 #pragma once
 
-#include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 
 #include "net/event_loop.hpp"
 #include "remote_write/durable_queue.hpp"
+#include "remote_write/export_event.hpp"
 #include "remote_write/send_controller.hpp"
 
 namespace plumkeel::remote_write {
 
 struct ReceiverConfig {
-    std::string name;  // under which its place is kept
+    std::string name;  ///< the queue keeps the receiver's positions under it
     std::string address, path = "/api/v1/write";
-    std::string bearer;                       // sent as its token; empty: none
-    Time timeout = std::chrono::seconds(10);  // for a whole answer
+    std::string bearer;                       ///< token of the Authorization header; empty: no such header
+    Time timeout = std::chrono::seconds(10);  ///< for a whole request and its response
     SendControlConfig send_control;
 };
 
 struct SenderCounters {
-    std::uint64_t accepted{}, rejected{},
-        resent{};  // samples; again: sent once more, since it was not taken or not known
-    std::uint64_t batches{}, failures{};
-    std::uint64_t wire_bytes{};  // bodies sent, packed
+    std::uint64_t accepted{}, rejected{};  ///< samples
+    std::uint64_t resent{};                ///< samples of batches that failed and are sent again
+    std::uint64_t batches{};               ///< sent, whatever the result
+    std::uint64_t failures{};              ///< batches that were not accepted but may be sent again
+    std::uint64_t wire_bytes{};            ///< compressed bodies sent
 };
 
+/// Its coroutines refer to it and end with the event loop: destroy it only when the loop runs no more.
 class Sender {
 public:
-    // `notice` is told in words what a person should know, once for each turn of events.
-    using Notice = std::function<void(const std::string& kind, const std::string& what)>;
-    Sender(net::EventLoop& loop, ReceiverConfig rules, DurableQueue& spool, int parts, std::uint64_t seed,
-           Notice notice);
+    Sender(net::EventLoop& loop, ReceiverConfig config, DurableQueue& queue, int shards, std::uint64_t seed,
+           ExportListener listener);
 
     void start();
-    // Samples were appended; `inflow` is what comes in a second.
+    /// Samples were appended to the queue; `inflow` is the rate of new samples per second.
     void notify(double inflow);
-    const SenderCounters& counts() const { return counts_; }
+    const SenderCounters& counts() const { return counters_; }
     const std::string& name() const { return config_.name; }
 
 private:
-    net::Task<> run_shard(int part);
-    DurableQueue::Batch next(int part, std::size_t most);
-    void advance(int part, std::uint64_t place);
-    void on_queue_error(const QueueError& fault);
-    net::Task<SendResult> send(const DurableQueue::Batch& batch, std::optional<Time>& retry_after);
-    void log_result(SendResult heard, const std::string& what);
+    net::Task<> run_shard(int shard);
+    net::Task<> send_batch(int shard, const DurableQueue::Batch& batch);
+    DurableQueue::Batch next_batch(int shard, std::size_t max_samples);
+    void advance(int shard, std::uint64_t position);
+    void record_result(SendResult result, int shard, const DurableQueue::Batch& batch);
+    void on_queue_error(const QueueError& error);
+    net::Task<SendResult> post(const DurableQueue::Batch& batch, std::optional<Time>& retry_after);
+    std::string request_head(std::size_t body_bytes) const;
+    void report(SendResult result, const std::string& detail);
 
     net::EventLoop& loop_;
     const ReceiverConfig config_;
     DurableQueue& queue_;
     const int shards_;
     SendController send_controller_;
-    Notice notice_;
+    const ExportListener listener_;
     net::Notification samples_available_;
     double inflow_{};
-    SenderCounters counts_;
-    std::string last_failure_;
+    SenderCounters counters_;
+    std::string last_failure_;  // as reported; empty while the receiver accepts
     bool queue_failed_{};
 };
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -132,7 +132,7 @@
     receiver.name = "store";
     receiver.address = address.text();
     receiver.bearer = "token-1";
-    remote_write::Sender sender(loop, receiver, spool, 1, 1, [](const std::string&, const std::string&) {});
+    remote_write::Sender sender(loop, receiver, spool, 1, 1, [](remote_write::ExportEvent, const std::string&) {});
     sender.start();
     sender.notify(100);
     loop.run(2s);
