--- a/src/metrics/heavy_hitters.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -5,29 +5,20 @@
 namespace plumkeel::metrics {
 namespace {
 
-constexpr double fading = 0.8;              // of a count from review to review
-constexpr double clearly = 1.3;             // times as heavy as the one whose place it takes
-constexpr double least_told = 3;            // sure counts, at the least
-constexpr std::size_t places_a_review = 8;  // one in so many changes hands
+constexpr double decay_factor = 0.8;            // of all counts, at each review
+constexpr double replacement_ratio = 1.3;       // by which a new name must exceed the reported name that it replaces
+constexpr double min_reported_count = 3;        // lower bound of a reported name's count
+constexpr std::size_t replacement_divisor = 8;  // a review replaces at most one in so many reported names
 
 }  // namespace
 
-HeavyHitters::HeavyHitters(std::size_t told, std::size_t counted)
-    : max_reported_(told), max_counted_(std::max(told, counted)) {}
+HeavyHitters::HeavyHitters(std::size_t max_reported, std::size_t max_counted)
+    : max_reported_(max_reported), max_counted_(std::max(max_reported, max_counted)) {}
 
 bool HeavyHitters::add(std::string_view name) {
     auto it = counts_.find(name);
     if (it == counts_.end()) {
-        Count count;
-        if (counts_.size() >= max_counted_) {
-            // Seldom but in a flood of new names; of equals the first by name, so that chance of hashing decides
-            // nothing.
-            const auto least = std::min_element(counts_.begin(), counts_.end(), [](const auto& a, const auto& b) {
-                return a.second.count < b.second.count || (a.second.count == b.second.count && a.first < b.first);
-            });
-            count.count = count.error = least->second.count;
-            counts_.erase(least);
-        }
+        const Count count = counts_.size() >= max_counted_ ? replace_least_frequent() : Count{};
         it = counts_.emplace(std::string(name), count).first;
         it->second.reported = is_reported(name);
     }
@@ -35,37 +26,58 @@
     return it->second.reported;
 }
 
-HeavyHitters::Turnover HeavyHitters::review() {
-    Turnover out;
-    std::vector<std::pair<double, std::string_view>> strangers, residents;
+// A linear search, but only a flood of new names makes it frequent. Among equal counts the first by name is replaced,
+// so that the order of hashing has no effect.
+HeavyHitters::Count HeavyHitters::replace_least_frequent() {
+    const auto least = std::min_element(counts_.begin(), counts_.end(), [](const auto& a, const auto& b) {
+        return a.second.count < b.second.count || (a.second.count == b.second.count && a.first < b.first);
+    });
+    Count count;
+    count.count = count.error = least->second.count;
+    counts_.erase(least);
+    return count;
+}
+
+HeavyHitters::Ranking HeavyHitters::rank(bool reported) const {
+    Ranking ranking;
     for (const auto& [name, count] : counts_)
-        (is_reported(name) ? residents : strangers).emplace_back(count.lower_bound(), name);
-    for (const std::string& name : reported_)
-        if (!counts_.contains(name)) residents.emplace_back(0.0, name);
-    const auto heavier = [](const auto& a, const auto& b) {
+        if (is_reported(name) == reported) ranking.emplace_back(count.lower_bound(), name);
+    if (reported)
+        for (const std::string& name : reported_)
+            if (!counts_.contains(name)) ranking.emplace_back(0.0, name);
+    std::sort(ranking.begin(), ranking.end(), [](const auto& a, const auto& b) {
         return a.first > b.first || (a.first == b.first && a.second < b.second);
-    };
-    std::sort(strangers.begin(), strangers.end(), heavier);
-    std::sort(residents.begin(), residents.end(), heavier);
-    std::size_t changes = std::max<std::size_t>(1, max_reported_ / places_a_review);
-    for (const auto& [count, name] : strangers) {
-        if (count < least_told) break;
+    });
+    return ranking;
+}
+
+HeavyHitters::Turnover HeavyHitters::review() {
+    const Ranking candidates = rank(false);
+    Ranking current = rank(true);
+    std::size_t replacements = std::max<std::size_t>(1, max_reported_ / replacement_divisor);
+    Turnover turnover;
+    for (const auto& [count, name] : candidates) {
+        if (count < min_reported_count) break;
         if (reported_.size() >= max_reported_) {
-            if (changes == 0 || residents.empty() || count < clearly * residents.back().first) break;
-            --changes;
-            out.ended.emplace_back(residents.back().second);
-            residents.pop_back();
-            reported_.erase(reported_.find(out.ended.back()));
+            if (replacements == 0 || current.empty() || count < replacement_ratio * current.back().first) break;
+            --replacements;
+            turnover.removed.emplace_back(current.back().second);
+            current.pop_back();
+            reported_.erase(turnover.removed.back());
         }
         reported_.emplace(name);
-        out.begun.emplace_back(name);
+        turnover.added.emplace_back(name);
     }
+    decay();
+    return turnover;
+}
+
+void HeavyHitters::decay() {
     for (auto& [name, count] : counts_) {
-        count.count *= fading;
-        count.error *= fading;
+        count.count *= decay_factor;
+        count.error *= decay_factor;
         count.reported = is_reported(name);
     }
-    return out;
 }
 
 }  // namespace plumkeel::metrics
--- a/src/metrics/metrics_config.hpp
+++ b/src/metrics/metrics_config.hpp
@@ -1,4 +1,4 @@
-// Bounds of what a controller measures of itself.
+/// Settings of the gateway's metrics.
 #pragma once
 
 #include <chrono>
@@ -7,8 +7,9 @@
 namespace plumkeel::metrics {
 
 struct MetricsConfig {
-    std::size_t max_tenants = 20, max_functions = 50;              // told by themselves; the others count as "(others)"
-    std::chrono::microseconds interval = std::chrono::seconds(1);  // between two looks at all levels
+    /// Tenants and functions with series of their own; all others count under HeavyHitters::others.
+    std::size_t max_tenants = 20, max_functions = 50;
+    std::chrono::microseconds interval = std::chrono::seconds(1);  ///< between two updates of the gauges
 };
 
 }  // namespace plumkeel::metrics
