--- /dev/null
+++ b/emulator/promql/binary_operation.hpp
@@ -0,0 +1,64 @@
+/// Arithmetic, comparison and set operators.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "emulator/promql/expression.hpp"
+
+namespace plumkeel::promql {
+
+enum class BinaryOperator {
+    logical_or,
+    logical_and,
+    logical_unless,
+    greater,
+    less,
+    greater_or_equal,
+    less_or_equal,
+    equal,
+    not_equal,
+    add,
+    subtract,
+    multiply,
+    divide
+};
+
+/// Empty where the text is not an operator.
+std::optional<BinaryOperator> find_operator(std::string_view text);
+std::string_view to_string(BinaryOperator op);
+/// An operator of greater precedence binds tighter; at least 1. All associate to the left.
+int precedence(BinaryOperator op);
+
+/// Which labels the two sides of an operator are matched by.
+struct VectorMatching {
+    enum class Type { on, ignoring };
+    Type type = Type::ignoring;
+    std::vector<std::string> labels;
+
+    Labels key(const Labels& labels_of_element) const;
+};
+
+class BinaryOperation : public Expression {
+public:
+    BinaryOperation(BinaryOperator op, ExpressionPtr left, ExpressionPtr right, VectorMatching matching = {})
+        : operator_(op), left_(std::move(left)), right_(std::move(right)), matching_(std::move(matching)) {}
+    Vector evaluate(const Database& data, std::int64_t ms) const override;
+    bool is_scalar() const override { return left_->is_scalar() && right_->is_scalar(); }
+
+private:
+    Vector evaluate_set(Vector left, Vector right) const;
+    Vector evaluate_union(Vector left, Vector right) const;
+    double evaluate_scalars(double left, double right) const;
+    Vector evaluate_with_scalar(Vector vector, double scalar) const;
+    Vector evaluate_vectors(Vector left, const Vector& right) const;
+
+    const BinaryOperator operator_;
+    const ExpressionPtr left_, right_;
+    const VectorMatching matching_;
+};
+
+}  // namespace plumkeel::promql
--- /dev/null
+++ b/emulator/promql/selector.cpp
@@ -0,0 +1,79 @@
+#include "emulator/promql/selector.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "emulator/promql/error.hpp"
+
+namespace plumkeel::promql {
+namespace {
+
+constexpr std::int64_t lookback_ms = 5 * 60 * 1000;  // Prometheus' default lookback delta
+
+}  // namespace
+
+LabelMatcher::LabelMatcher(std::string label, Type type, std::string value)
+    : label_(std::move(label)), type_(type), value_(std::move(value)) {
+    if (type_ != Type::regex_match && type_ != Type::regex_no_match) return;
+    try {
+        pattern_ = std::regex(value_);
+    } catch (const std::regex_error&) {
+        throw Error("'" + value_ + "' is not a regular expression");
+    }
+}
+
+bool LabelMatcher::matches(const Labels& labels) const {
+    static const std::string missing;  // a missing label equals an empty one
+    const auto it = labels.find(label_);
+    const std::string& actual = it == labels.end() ? missing : it->second;
+    switch (type_) {
+        case Type::equal:
+            return actual == value_;
+        case Type::not_equal:
+            return actual != value_;
+        case Type::regex_match:
+            return std::regex_match(actual, pattern_);
+        case Type::regex_no_match:
+            break;
+    }
+    return !std::regex_match(actual, pattern_);
+}
+
+VectorSelector::VectorSelector(std::string metric_name, std::vector<LabelMatcher> matchers, std::int64_t range_ms)
+    : metric_name_(std::move(metric_name)), matchers_(std::move(matchers)), range_ms_(range_ms) {}
+
+bool VectorSelector::matches(const Series& series) const {
+    return std::all_of(matchers_.begin(), matchers_.end(),
+                       [&](const LabelMatcher& matcher) { return matcher.matches(series.labels); });
+}
+
+Vector VectorSelector::evaluate(const Database& data, std::int64_t ms) const {
+    if (range_ms_) throw Error(metric_name_ + ": a range vector stands where an instant vector is expected");
+    Vector result;
+    for (const Series& series : data.named(metric_name_)) {
+        if (!matches(series)) continue;
+        const auto end = std::upper_bound(series.samples.begin(), series.samples.end(), ms,
+                                          [](std::int64_t time, const Sample& sample) { return time < sample.ms; });
+        if (end == series.samples.begin()) continue;
+        const Sample& newest = *(end - 1);
+        if (newest.ms > ms - lookback_ms && !is_stale_marker(newest.value))
+            result.push_back({series.labels, newest.value});
+    }
+    return result;
+}
+
+std::vector<RangeElement> VectorSelector::evaluate_range(const Database& data, std::int64_t ms) const {
+    std::vector<RangeElement> result;
+    for (const Series& series : data.named(metric_name_)) {
+        if (!matches(series)) continue;
+        std::vector<Sample> samples;
+        auto it = std::lower_bound(series.samples.begin(), series.samples.end(), ms - range_ms_,
+                                   [](const Sample& sample, std::int64_t time) { return sample.ms < time; });
+        for (; it != series.samples.end() && it->ms <= ms; ++it)
+            if (!is_stale_marker(it->value)) samples.push_back(*it);
+        if (!samples.empty()) result.push_back({series.labels, std::move(samples)});
+    }
+    return result;
+}
+
+}  // namespace plumkeel::promql
--- a/src/cli/alerts.cpp
+++ b/src/cli/alerts.cpp
@@ -3,31 +3,45 @@
 #include <fmt/format.h>
 #include <yaml-cpp/yaml.h>
 
-#include <bit>
 #include <boost/json.hpp>
 #include <fstream>
 #include <iostream>
+#include <memory>
 #include <sstream>
+#include <stdexcept>
 
 #include "config/jsonnet_reader.hpp"
-#include "emulator/promql.hpp"
+#include "emulator/promql/alert_rules.hpp"
 
 namespace plumkeel::cli {
 namespace {
 
 namespace json = boost::json;
 
-void emit(YAML::Emitter& out, const json::value& value) {
+/// A file of rules or samples that can't be used; what() names it.
+struct FileError : std::runtime_error {
+    using std::runtime_error::runtime_error;
+};
+
+std::ifstream open_file(const std::string& path) {
+    std::ifstream file(path);
+    if (!file) throw FileError(path + ": can't be read");
+    return file;
+}
+
+// ---------------------------------------------------------------- rule files
+
+void emit_yaml(YAML::Emitter& out, const json::value& value) {
     if (const auto* object = value.if_object()) {
         out << YAML::BeginMap;
-        for (const auto& [key, each] : *object) {
+        for (const auto& [key, member] : *object) {
             out << YAML::Key << std::string(key) << YAML::Value;
-            emit(out, each);
+            emit_yaml(out, member);
         }
         out << YAML::EndMap;
     } else if (const auto* array = value.if_array()) {
         out << YAML::BeginSeq;
-        for (const json::value& each : *array) emit(out, each);
+        for (const json::value& element : *array) emit_yaml(out, element);
         out << YAML::EndSeq;
     } else if (const auto* text = value.if_string()) {
         out << std::string(*text);
@@ -36,97 +50,111 @@
     }
 }
 
-// A template's figures are for itself; only its groups make the rule file.
-std::string rules_text(const std::string& file) {
-    if (!file.ends_with(".jsonnet")) {
-        std::ifstream in(file);
-        if (!in) throw promql::Fault(file + ": can't be read");
-        std::ostringstream text;
-        text << in.rdbuf();
-        return text.str();
-    }
-    const json::value value = evaluate_jsonnet(file);
-    if (!value.is_object() || !value.as_object().contains("groups")) throw promql::Fault(file + ": has no groups");
+// A template may have other members, for its own use; only its groups make the rule file.
+std::string expand_template(const std::string& path) {
+    const json::value value = evaluate_jsonnet(path);
+    if (!value.is_object() || !value.as_object().contains("groups"))
+        throw FileError(path + ": must be an object with the member 'groups'");
     YAML::Emitter out;
-    emit(out, json::object{{"groups", value.at("groups")}});
+    emit_yaml(out, json::object{{"groups", value.at("groups")}});
     return std::string(out.c_str()) + "\n";
 }
 
-// What a strict receiver wrote: a line a series.
-promql::Database samples_of(const std::string& file) {
-    std::ifstream in(file);
-    if (!in) throw promql::Fault(file + ": can't be read");
+std::string read_rule_text(const std::string& path) {
+    if (path.ends_with(".jsonnet")) return expand_template(path);
+    std::ostringstream text;
+    text << open_file(path).rdbuf();
+    return text.str();
+}
+
+// ---------------------------------------------------------------- recorded samples
+
+promql::Series read_series(const json::object& record, const std::string& position) {
+    promql::Series series;
+    for (const auto& [label, text] : record.at("labels").as_object())
+        series.labels[std::string(label)] = std::string(text.as_string());
+    const json::array& timestamps = record.at("ms").as_array();
+    const json::array& values = record.at("values").as_array();
+    if (timestamps.size() != values.size()) throw FileError(position + ": 'ms' and 'values' differ in length");
+    for (std::size_t i = 0; i < timestamps.size(); ++i) {
+        // JSON has no NaN: null is a staleness marker.
+        const double value = values[i].is_null() ? promql::stale_marker() : values[i].to_number<double>();
+        series.samples.push_back({timestamps[i].as_int64(), value});
+    }
+    return series;
+}
+
+// The file of a remote write receiver of the emulator: one JSON object a line, those with labels are series.
+promql::Database read_samples(const std::string& path) {
+    std::ifstream file = open_file(path);
     promql::Database data;
-    int number = 0;
-    for (std::string line; std::getline(in, line);) {
-        ++number;
+    int line_number = 0;
+    for (std::string line; std::getline(file, line);) {
+        const std::string position = fmt::format("{}:{}", path, ++line_number);
         boost::system::error_code error;
-        const auto value = json::parse(line, error);
-        if (error || !value.is_object()) throw promql::Fault(fmt::format("{}:{}: is no JSON object", file, number));
-        const auto& object = value.as_object();
-        if (!object.contains("labels")) continue;
-        promql::Series series;
-        for (const auto& [label, text] : object.at("labels").as_object())
-            series.labels[std::string(label)] = std::string(text.as_string());
-        const auto& moments = object.at("ms").as_array();
-        const auto& values = object.at("values").as_array();
-        if (moments.size() != values.size())
-            throw promql::Fault(fmt::format("{}:{}: moments and values differ in number", file, number));
-        for (std::size_t i = 0; i < moments.size(); ++i)
-            series.points.push_back(
-                {moments[i].as_int64(), values[i].is_null() ? std::bit_cast<double>(std::uint64_t{0x7ff0000000000002})
-                                                            : values[i].to_number<double>()});
-        data.add(std::move(series));
+        const json::value record = json::parse(line, error);
+        if (error || !record.is_object()) throw FileError(position + ": is not a JSON object");
+        if (record.as_object().contains("labels")) data.add(read_series(record.as_object(), position));
     }
+    if (data.last_ms() < data.first_ms()) throw FileError(path + ": has no samples");
     return data;
 }
 
-int test(const std::string& rules, const std::vector<std::string>& samples, bool quiet) {
-    const promql::RuleFile file = promql::read_rules(rules_text(rules));
+// ---------------------------------------------------------------- commands
+
+void print_transition(const promql::AlertTransition& transition, std::int64_t start_ms) {
+    std::string labels;
+    for (const auto& [name, value] : transition.labels)
+        labels += fmt::format("{}{}={}", labels.empty() ? " " : ",", name, value);
+    fmt::print("{:8.1f} s  {:<9} {}{}", static_cast<double>(transition.ms - start_ms) / 1e3,
+               promql::to_string(transition.state), transition.rule, labels);
+    const bool has_value = transition.state != promql::AlertState::resolved;
+    fmt::print("{}\n", has_value ? fmt::format("  ({:.3g})", transition.value) : "");
+}
+
+int test_rules(const std::string& rules_path, const std::vector<std::string>& sample_paths, bool quiet) {
+    const promql::RuleFile file = promql::read_rules(read_rule_text(rules_path));
     int fired = 0;
-    for (const std::string& each : samples) {
-        const promql::Database data = samples_of(each);
-        if (data.last_ms() < data.first_ms()) throw promql::Fault(each + ": holds no samples");
-        static constexpr const char* words[] = {"pending", "firing", "resolved"};
-        for (const promql::Turn& turn : promql::play(file, data)) {
-            fired += turn.to == promql::Turn::To::firing;
-            if (quiet && turn.to != promql::Turn::To::firing) continue;
-            std::string labels;
-            for (const auto& [name, value] : turn.labels)
-                labels += fmt::format("{}{}={}", labels.empty() ? " " : ",", name, value);
-            fmt::print("{:8.1f} s  {:<9} {}{}", static_cast<double>(turn.ms - data.first_ms()) / 1e3,
-                       words[static_cast<int>(turn.to)], turn.rule, labels);
-            fmt::print("{}\n", turn.to == promql::Turn::To::resolved ? "" : fmt::format("  ({:.3g})", turn.value));
+    for (const std::string& path : sample_paths) {
+        const promql::Database data = read_samples(path);
+        for (const promql::AlertTransition& transition : promql::evaluate_rules(file, data)) {
+            const bool firing = transition.state == promql::AlertState::firing;
+            fired += firing;
+            if (firing || !quiet) print_transition(transition, data.first_ms());
         }
     }
     fmt::print("{} rules, {} alerts fired\n", file.rules.size(), fired);
     return 0;
 }
 
+int write_rules(const std::string& path) {
+    const std::string text = read_rule_text(path);
+    promql::read_rules(text);  // throws where the rules are not valid: then nothing is written
+    std::cout << text;
+    return 0;
+}
+
 }  // namespace
 
 std::function<int()> add_alerts(CLI::App& app) {
-    struct Given {
+    struct Options {
         std::string rules;
         std::vector<std::string> samples;
         bool quiet{};
     };
-    const auto given = std::make_shared<Given>();
+    const auto options = std::make_shared<Options>();
     CLI::App* alerts = app.add_subcommand("alerts", "alert rules");
     alerts->require_subcommand(1);
-    CLI::App* write = alerts->add_subcommand("rules", "write the rule file that a template makes");
-    CLI::App* try_out =
-        alerts->add_subcommand("test", "play samples against rules: when would each be pending, fire, be resolved");
-    for (CLI::App* command : {write, try_out})
-        command->add_option("rules", given->rules, "a rule file, or a template of one")->required();
-    try_out->add_option("samples", given->samples, "as plumkeel-stand receiver records them")->required();
-    try_out->add_flag("--quiet", given->quiet, "only what fires");
-    return [given, write] {
-        if (!*write) return test(given->rules, given->samples, given->quiet);
-        const std::string text = rules_text(given->rules);
-        promql::read_rules(text);  // what would not be understood is not written
-        std::cout << text;
-        return 0;
+    CLI::App* rules = alerts->add_subcommand("rules", "write the rule file that a template makes");
+    CLI::App* test =
+        alerts->add_subcommand("test", "evaluate rules over samples: when each alert is pending, firing and resolved");
+    for (CLI::App* command : {rules, test})
+        command->add_option("rules", options->rules, "a rule file, or a template of one")->required();
+    test->add_option("samples", options->samples, "as plumkeel-stand receiver records them")->required();
+    test->add_flag("--quiet", options->quiet, "only alerts that fire");
+    return [options, rules] {
+        if (*rules) return write_rules(options->rules);
+        return test_rules(options->rules, options->samples, options->quiet);
     };
 }
 
