--- /dev/null
+++ b/src/admission/rejection.hpp
@@ -0,0 +1,42 @@
+/// Why the gateway rejects a connection or a request before the scheduler sees it, and what its client is sent then.
+#pragma once
+
+#include <string_view>
+
+namespace plumkeel {
+
+enum class RejectionReason {
+    none,  ///< admitted
+    malformed,
+    head_too_big,
+    head_too_slow,
+    no_such_path,
+    no_such_request_class,
+    bad_function,
+    bad_field,
+    idempotency_key_missing,
+    remaining_missing,
+    remaining_invalid,
+    no_time_remaining,
+    body_too_big,
+    body_too_slow,
+    too_many_requests,
+    no_memory,
+    too_many_connections,
+    no_descriptors,
+    unread_answer,  ///< the client did not read its response
+    closing,
+    count_,
+};
+
+/// A rejection as the client is sent it.
+struct RejectionResponse {
+    int status;             ///< HTTP status code
+    std::string_view word;  ///< the reason, for programs: in a header, in status, in metrics and in the log
+    std::string_view text;  ///< the reason, for people
+    bool is_retryable;      ///< a later attempt may be admitted: the response has a Retry-After
+};
+
+const RejectionResponse& response_for(RejectionReason reason);
+
+}  // namespace plumkeel
--- a/src/fastcgi/connection.hpp
+++ b/src/fastcgi/connection.hpp
@@ -8,6 +8,7 @@
 #include "fastcgi/write_stall_detector.hpp"
 #include "gateway/gateway.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/write_queue.hpp"
 
 namespace plumkeel::fastcgi {
 
--- a/src/fastcgi/connection_timeouts.cpp
+++ b/src/fastcgi/connection_timeouts.cpp
@@ -101,7 +101,7 @@
 }
 
 void Connection::on_closing() {
-    gateway_.invariants().check(open_requests_.empty(), Invariant::closed_with_requests, [&] {
+    gateway_.invariants().check(open_requests_.empty(), Invariant::connection_closed_with_requests, [&] {
         return gateway::Invariants::Fields{
             {"connection", id_}, {"open_requests", open_requests_.size()}, {"draining", draining_}};
     });
--- /dev/null
+++ b/src/gateway/metrics_collector.cpp
@@ -0,0 +1,30 @@
+#include "gateway/metrics_collector.hpp"
+
+#include <algorithm>
+
+namespace plumkeel::gateway {
+
+namespace {
+
+/// Rounds between two reviews of which tenants and functions have series of their own.
+constexpr std::uint64_t review_interval = 5;
+
+}  // namespace
+
+void MetricsCollector::start() {
+    due_at_ = loop_.now();
+    collect();
+}
+
+void MetricsCollector::collect() {
+    metrics::Levels levels = status_.levels();
+    // How late this timer runs shows for how long the thread did nothing else.
+    levels.lag_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
+    if (extra_levels_) extra_levels_(levels);
+    metrics_.set_levels(levels);
+    if (++rounds_ % review_interval == 0) metrics_.review();
+    due_at_ = loop_.now() + metrics_.config().interval;
+    timer_ = loop_.call_at(due_at_, [this] { collect(); });
+}
+
+}  // namespace plumkeel::gateway
--- /dev/null
+++ b/src/gateway/metrics_collector.hpp
@@ -0,0 +1,42 @@
+/// Brings the levels of the gateway's metrics up to date at regular intervals.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+
+#include "config/gateway_config.hpp"
+#include "gateway/status.hpp"
+#include "metrics/gateway_metrics.hpp"
+#include "net/event_loop.hpp"
+
+namespace plumkeel::gateway {
+
+/// Owns the timer, which runs from start() until the collector is destroyed.
+class MetricsCollector {
+public:
+    MetricsCollector(net::EventLoop& loop, metrics::GatewayMetrics& metrics, const StatusReader& status)
+        : loop_(loop), metrics_(metrics), status_(status) {}
+    ~MetricsCollector() { loop_.cancel(timer_); }
+    MetricsCollector(const MetricsCollector&) = delete;
+    MetricsCollector& operator=(const MetricsCollector&) = delete;
+
+    void start();
+    /// Called with the levels of each round, for what others measure.
+    void set_extra_levels(std::function<void(metrics::Levels&)> extra_levels) {
+        extra_levels_ = std::move(extra_levels);
+    }
+
+private:
+    void collect();
+
+    net::EventLoop& loop_;
+    metrics::GatewayMetrics& metrics_;
+    const StatusReader& status_;
+    std::function<void(metrics::Levels&)> extra_levels_;
+    net::EventLoop::TimerKey timer_{};
+    Time due_at_{};
+    std::uint64_t rounds_{};
+};
+
+}  // namespace plumkeel::gateway
--- a/src/gateway/start_clock.cpp
+++ b/src/gateway/start_clock.cpp
@@ -6,26 +6,32 @@
 
 using namespace std::chrono_literals;
 
-constexpr StartClock::Time least_step = 100ms;  // less is drift: 500 ppm, the most that time services slew, over 200 s
-constexpr std::size_t most_offsets = 8;         // kept; of more steps the oldest are forgotten
+namespace {
 
-void StartClock::look(Time now, Time wall) {
+/// A smaller change is drift: time services slew by 500 ppm at the most, which makes this in 200 s.
+constexpr StartClock::Time min_step = 100ms;
+/// Offsets that are kept; the oldest ones are forgotten.
+constexpr std::size_t max_offsets = 8;
+
+}  // namespace
+
+void StartClock::compare(Time now, Time wall) {
     const Time offset = wall - now;
-    const auto alike = [&](Time other) { return std::chrono::abs(offset - other) < least_step; };
-    if (!offsets_.empty() && alike(offsets_.back())) {
+    const auto is_close = [&](Time other) { return std::chrono::abs(offset - other) < min_step; };
+    if (!offsets_.empty() && is_close(offsets_.back())) {
         offsets_.back() = offset;
         return;
     }
-    if (!offsets_.empty()) ++steps_;
-    std::erase_if(offsets_, alike);
+    if (!offsets_.empty()) ++step_count_;
+    std::erase_if(offsets_, is_close);
     offsets_.push_back(offset);
-    if (offsets_.size() > most_offsets) offsets_.pop_front();
+    if (offsets_.size() > max_offsets) offsets_.pop_front();
 }
 
-StartClock::Time StartClock::moment_of(Time started, Time now) const {
+StartClock::Time StartClock::monotonic_time_of(Time started, Time now) const {
     Time latest = Time::min();
     for (const Time offset : offsets_)
-        if (const Time moment = started - offset; moment <= now) latest = std::max(latest, moment);
+        if (const Time candidate = started - offset; candidate <= now) latest = std::max(latest, candidate);
     return latest == Time::min() ? now : latest;
 }
 
--- a/src/gateway/start_clock.hpp
+++ b/src/gateway/start_clock.hpp
@@ -1,5 +1,5 @@
-// Turns the Unix times at which invokers started into moments of the world's monotonic clock, which wall clocks that
-// step can't move. Free of I/O and clocks: whoever owns it reads both.
+/// Converts the Unix times at which invokers started to times of the event loop's monotonic clock, so that a step of a
+/// wall clock doesn't move them. Free of I/O and clocks: its owner reads both.
 #pragma once
 
 #include <chrono>
@@ -11,19 +11,20 @@
 public:
     using Time = std::chrono::microseconds;
 
-    // Compares the clocks: to be called now and then, so that a slow drift is followed and a step is noticed as one.
-    void look(Time now, Time wall);
+    /// Compares both clocks. Call it regularly, so that a slow drift is followed and a step is recognised as one.
+    void compare(Time now, Time wall);
 
-    // The moment at which something started by the Unix time `started`. Whoever told it may have a clock that stepped
-    // when ours did, or not: of the moments that are possible, none after `now`, the latest counts, for a server in
-    // slow start is never taken for warm. Where none is possible it has started just now.
-    Time moment_of(Time started, Time now) const;
+    /// The monotonic time of the Unix time `started`. The wall clock that announced it may have stepped together with
+    /// ours, or not: of all times that are possible and not after `now` the latest one counts, because an invoker in
+    /// slow start must never be taken for warm. Where none is possible, it started just now.
+    Time monotonic_time_of(Time started, Time now) const;
 
-    std::size_t steps() const { return steps_; }
+    /// Steps of the wall clock that were recognised.
+    std::size_t step_count() const { return step_count_; }
 
 private:
-    std::deque<Time> offsets_;  // of the wall clock from the monotonic one, the one in force last
-    std::size_t steps_{};
+    std::deque<Time> offsets_;  // wall clock minus monotonic clock, the current one last
+    std::size_t step_count_{};
 };
 
 }  // namespace plumkeel::gateway
--- /dev/null
+++ b/src/gateway/status.cpp
@@ -0,0 +1,195 @@
+#include "gateway/status.hpp"
+
+#include <algorithm>
+#include <string_view>
+#include <vector>
+
+namespace plumkeel::gateway {
+
+namespace {
+
+double seconds(Time time) {
+    return std::chrono::duration<double>(time).count();
+}
+
+double round_to_tenths(double value) {
+    return static_cast<double>(static_cast<long>(value * 10 + 0.5)) / 10;
+}
+
+/// How much slower than the average invoker of the fleet it is, as learned.
+double total_slowdown(const Invoker& invoker) {
+    return invoker.type ? invoker.type->slowdown_factor * invoker.slowdown_factor : invoker.slowdown_factor;
+}
+
+/// As the status document and the label `standing` of plumkeel_invokers call it.
+std::string_view status_word(const InvokerEndpoint& endpoint) {
+    static constexpr std::string_view words[] = {"trusted", "suspect", "aside", "easing"};
+    return endpoint.accepts_attempts() ? words[static_cast<std::size_t>(endpoint.health)] : "not_ready";
+}
+
+/// As the log calls it.
+std::string_view health_name(const InvokerEndpoint& endpoint) {
+    static constexpr std::string_view names[] = {"healthy", "suspect", "ejected", "recovering"};
+    return endpoint.accepts_attempts() ? names[static_cast<std::size_t>(endpoint.health)] : "not_ready";
+}
+
+/// Calls back with the word and the count of each reason that occurred.
+template <class Callback>
+void for_each_rejection(const Admission& admission, Callback callback) {
+    for (int i = 1; i < static_cast<int>(RejectionReason::count_); ++i) {
+        const auto reason = static_cast<RejectionReason>(i);
+        if (const std::uint64_t count = admission.counted(reason)) callback(response_for(reason).word, count);
+    }
+}
+
+template <class Callback>
+void for_each_invariant(Callback callback) {
+    for (int i = 0; i < static_cast<int>(Invariant::count_); ++i) callback(static_cast<Invariant>(i));
+}
+
+}  // namespace
+
+boost::json::object StatusReader::status() const {
+    const RequestCounters& counters = sources_.counters;
+    const std::optional<double> list_age = list_age_s();
+    return {{"controller", incarnation_},
+            {"up_s", static_cast<double>(sources_.loop.now().count()) / 1e6},
+            {"closing", sources_.admission.closing()},
+            {"jobs", request_counts()},
+            {"hops", counters.attempts},
+            {"probes", counters.health_checks},
+            {"orders", counters.preloads},
+            {"door", admission_counts()},
+            {"lines", connection_counts()},
+            {"functions", sources_.requests.function_count()},
+            {"invokers", endpoint_counts()},
+            {"list_age_s", list_age ? boost::json::value(*list_age) : boost::json::value(nullptr)},
+            {"invariants_broken", invariant_counts()},
+            {"wall_clock_steps", sources_.endpoints.wall_clock_steps()},
+            {"log_lost", sources_.log.dropped_lines()}};
+}
+
+boost::json::object StatusReader::request_counts() const {
+    const RequestCounters& counters = sources_.counters;
+    return {{"taken", counters.received},
+            {"honoured", counters.succeeded},
+            {"bounced", counters.rejected},
+            {"written_off", counters.failed},
+            {"client_left", counters.cancelled},
+            {"open", sources_.admission.open_requests()},
+            {"parked", sources_.scheduler.parked_count()},
+            {"streamed", counters.streamed},
+            {"late_answers", counters.late_responses}};
+}
+
+boost::json::object StatusReader::admission_counts() const {
+    boost::json::object rejections;
+    for_each_rejection(sources_.admission,
+                       [&](std::string_view word, std::uint64_t count) { rejections[word] = count; });
+    return {{"connections", sources_.admission.connections()},
+            {"held_bytes", sources_.admission.reserved_bytes()},
+            {"turned_back", std::move(rejections)}};
+}
+
+boost::json::object StatusReader::connection_counts() const {
+    std::size_t open = 0;
+    for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) open += endpoint->pool->connection_count();
+    const ConnectionCounts& counts = sources_.endpoints.connection_counts();
+    return {{"open", open},
+            {"opened", counts.opened},
+            {"reused", counts.reused},
+            {"unreachable", counts.unreachable},
+            {"late", counts.late_responses},
+            {"spoilt", counts.malformed}};
+}
+
+boost::json::object StatusReader::endpoint_counts() const {
+    boost::json::object result{{"trusted", 0}, {"suspect", 0}, {"aside", 0}, {"easing", 0}, {"not_ready", 0}};
+    for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) {
+        boost::json::value& count = result[status_word(*endpoint)];
+        count = count.as_int64() + 1;
+    }
+    return result;
+}
+
+boost::json::object StatusReader::invariant_counts() const {
+    boost::json::object result;
+    for_each_invariant([&](Invariant invariant) {
+        if (const std::uint64_t count = sources_.invariants.violations(invariant)) result[name_of(invariant)] = count;
+    });
+    return result;
+}
+
+boost::json::array StatusReader::estimates() const {
+    boost::json::array rows;
+    for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) {
+        const ConnectionPool& pool = *endpoint->pool;
+        if (!endpoint->is_listed && endpoint->in_flight.empty() && pool.connection_count() == 0) continue;
+        boost::json::object row{{"invoker", name},
+                                {"health", health_name(*endpoint)},
+                                {"in_flight", endpoint->in_flight.size()},
+                                {"sent", pool.in_flight_count()},
+                                {"queued", pool.queued_count()},
+                                {"connections", pool.connection_count()},
+                                {"slowdown", round_to_tenths(total_slowdown(*endpoint))}};
+        if (endpoint->reported_load) row["reported_load"] = round_to_tenths(*endpoint->reported_load);
+        if (endpoint->slow_start_since) row["slow_start"] = true;
+        rows.push_back(std::move(row));
+    }
+    return rows;
+}
+
+metrics::Levels StatusReader::levels() const {
+    const Admission& admission = sources_.admission;
+    metrics::Levels levels;
+    levels.open_requests = static_cast<double>(admission.open_requests());
+    levels.reserved_bytes = static_cast<double>(admission.reserved_bytes());
+    levels.connections = static_cast<double>(admission.connections());
+    levels.functions = static_cast<double>(sources_.requests.function_count());
+    levels.parked = static_cast<double>(sources_.scheduler.parked_count());
+    add_endpoint_levels(levels);
+    levels.list_age_s = list_age_s().value_or(levels.list_age_s);
+    for_each_invariant([&](Invariant invariant) {
+        levels.invariants_broken[std::string(name_of(invariant))] =
+            static_cast<double>(sources_.invariants.violations(invariant));
+    });
+    levels.log_dropped = static_cast<double>(sources_.log.dropped_lines());
+    levels.unreachable = static_cast<double>(sources_.endpoints.connection_counts().unreachable);
+    for_each_rejection(admission, [&](std::string_view word, std::uint64_t count) {
+        levels.refused[std::string(word)] = static_cast<double>(count);
+    });
+    return levels;
+}
+
+void StatusReader::add_endpoint_levels(metrics::Levels& levels) const {
+    std::vector<double> slowdowns;
+    for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) {
+        levels.connections_open += static_cast<double>(endpoint->pool->connection_count());
+        if (endpoint->draining_since && !endpoint->in_flight.empty())
+            levels.longest_drain_s =
+                std::max(levels.longest_drain_s, seconds(sources_.loop.now() - *endpoint->draining_since));
+        if (!endpoint->accepts_attempts()) {
+            ++levels.not_ready;
+            continue;
+        }
+        levels.slow_start += endpoint->slow_start_since.has_value();
+        slowdowns.push_back(endpoint->slowdown_factor * endpoint->contention_factor);
+        double* const by_health[] = {&levels.healthy, &levels.suspect, &levels.ejected, &levels.recovering};
+        ++*by_health[static_cast<std::size_t>(endpoint->health)];
+        if (endpoint->health == HealthState::suspect || endpoint->health == HealthState::ejected)
+            levels.in_flight_at_unhealthy += static_cast<double>(endpoint->in_flight.size());
+    }
+    if (slowdowns.empty()) return;
+    const auto middle = slowdowns.begin() + static_cast<std::ptrdiff_t>(slowdowns.size() / 2);
+    std::nth_element(slowdowns.begin(), middle, slowdowns.end());
+    levels.slowdown_median = *middle;
+    levels.slowdown_worst = *std::max_element(slowdowns.begin(), slowdowns.end());
+}
+
+std::optional<double> StatusReader::list_age_s() const {
+    const std::optional<Time> confirmed_at = list_confirmed_at_ ? list_confirmed_at_() : std::nullopt;
+    if (!confirmed_at) return std::nullopt;
+    return seconds(sources_.loop.now() - *confirmed_at);
+}
+
+}  // namespace plumkeel::gateway
--- a/src/invoker_protocol/connection_pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -6,6 +6,7 @@
 #include "gateway/gateway.hpp"
 #include "invoker_protocol/codec.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/write_queue.hpp"
 
 namespace plumkeel::invoker_protocol {
 
--- a/src/web/connection.hpp
+++ b/src/web/connection.hpp
@@ -2,9 +2,11 @@
 // answers.
 #pragma once
 
+#include "admission/memory_reservation.hpp"
 #include "gateway/gateway.hpp"
 #include "http/http.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/write_queue.hpp"
 
 namespace plumkeel::web {
 
--- /dev/null
+++ b/tests/gateway_fixture.hpp
@@ -0,0 +1,310 @@
+/// Runs the real gateway with its HTTP edges in virtual time over streams in memory, against scripted invokers and
+/// clients.
+#pragma once
+
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "http/http.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "net/write_queue.hpp"
+#include "web/server.hpp"
+
+namespace plumkeel::gateway {
+
+using namespace std::chrono_literals;
+using net::Task;
+
+inline void write_text(const std::shared_ptr<net::Stream>& stream, const std::string& text) {
+    const net::asio::const_buffer bytes = net::asio::buffer(text);
+    stream->write_now({&bytes, 1});
+}
+
+using RequestParser = http::bh::request_parser<http::bh::string_body>;
+
+/// Reads one HTTP request whole, or until the connection ends.
+inline Task<net::Error> read_request(http::Inbox& inbox, RequestParser& parser) {
+    net::Error error;
+    while (!parser.is_done() && !error) {
+        error = co_await inbox.more();
+        if (!error) error = inbox.feed(parser);
+    }
+    co_return error;
+}
+
+/// An invoker that treats its nth attempt as its script says.
+struct ScriptedInvoker {
+    enum class Behaviour {
+        responds,
+        hangs,
+        resets_unread,
+        resets,
+        sends_half_head,
+        sends_half_body,
+        rejects,
+        sends_bare_503,
+        sends_large,
+        truncates_large
+    };
+    net::SimulatedEventLoop& loop;
+    std::string name;
+    std::shared_ptr<net::Listener> listener;
+    std::vector<Behaviour> script;  ///< the last one holds for all further attempts
+    Time response_time = 10ms;
+    std::optional<Time> closes_after;   ///< an idle connection, after its response
+    std::vector<std::string> attempts;  ///< "request/attempt" in the order of arrival
+    std::vector<Time> arrivals;
+    int connections{};
+    int cancelled{};  ///< connections that ended while an attempt hung
+
+    ScriptedInvoker(net::SimulatedEventLoop& event_loop, std::string invoker_name, std::vector<Behaviour> behaviours)
+        : loop(event_loop),
+          name(std::move(invoker_name)),
+          listener(event_loop.listen({name, 1}).listener),
+          script(std::move(behaviours)) {
+        loop.spawn(accept());
+    }
+
+    Task<> accept() {
+        for (;;) {
+            auto accepted = co_await listener->accept();
+            if (accepted.error) co_return;
+            ++connections;
+            loop.spawn(serve(accepted.stream));
+        }
+    }
+
+    Task<> serve(std::shared_ptr<net::Stream> stream) {
+        http::Inbox inbox(stream);
+        for (;;) {
+            RequestParser parser;
+            parser.eager(true);
+            const net::Error error = co_await read_request(inbox, parser);
+            if (error) co_return;
+            if (http::path_of(http::view(parser.get().target()))[1] == "load") {
+                write_text(stream,
+                           "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: "
+                           "0\r\n\r\n");
+                continue;
+            }
+            const Behaviour behaviour = script[std::min(attempts.size(), script.size() - 1)];
+            attempts.push_back(std::string(http::field(parser.get(), "plumkeel-job")) + "/" +
+                               std::string(http::field(parser.get(), "plumkeel-hop")));
+            arrivals.push_back(loop.now());
+            if (behaviour == Behaviour::hangs) {
+                const net::Error end = co_await inbox.more();
+                if (end) ++cancelled;
+                co_return;
+            }
+            co_await loop.sleep(response_time);
+            const bool keep_open = co_await respond(stream, behaviour);
+            if (!keep_open) co_return;
+            if (closes_after) {
+                co_await loop.sleep(*closes_after);
+                stream->close();
+                co_return;
+            }
+        }
+    }
+
+    /// False: the connection was reset.
+    Task<bool> respond(std::shared_ptr<net::Stream> stream, Behaviour behaviour) {
+        const std::string response = "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nContent-Length: 4\r\n\r\nwell";
+        switch (behaviour) {
+            case Behaviour::responds:
+                write_text(stream, response);
+                break;
+            case Behaviour::resets:
+            case Behaviour::resets_unread:
+                stream->reset();
+                co_return false;
+            case Behaviour::sends_half_head:
+            case Behaviour::sends_half_body:
+                write_text(stream,
+                           response.substr(0, behaviour == Behaviour::sends_half_head ? 20 : response.size() - 2));
+                co_await loop.sleep(1ms);
+                stream->reset();
+                co_return false;
+            case Behaviour::rejects:
+                write_text(stream, "HTTP/1.1 503 Busy\r\nplumkeel-never-ran: turned-away\r\nContent-Length: 0\r\n\r\n");
+                break;
+            case Behaviour::sends_bare_503:
+                write_text(stream, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                break;
+            case Behaviour::sends_large:
+            case Behaviour::truncates_large: {
+                const bool whole = co_await send_large(stream, behaviour == Behaviour::sends_large);
+                if (!whole) co_return false;
+                break;
+            }
+            case Behaviour::hangs:
+                break;
+        }
+        co_return true;
+    }
+
+    /// Sends 400 kB, or half of that and then resets. Returns whether it was whole.
+    Task<bool> send_large(std::shared_ptr<net::Stream> stream, bool whole) {
+        const std::size_t size = 400'000;
+        const std::string head = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", size);
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+        write_queue->send(head, std::make_shared<const std::string>(std::string(whole ? size : size / 2, 'x')));
+        co_await write_queue->wait_below(0);
+        if (!whole) {
+            co_await loop.sleep(1s);
+            stream->reset();
+        }
+        co_return whole;
+    }
+};
+using Behaviour = ScriptedInvoker::Behaviour;
+
+/// A client that sends a text and reads until the other side ends the connection, or for as long as it stays.
+struct ScriptedClient {
+    net::SimulatedEventLoop& loop;
+    std::string received;
+    Time last_received_at{}, ended_at{};
+    bool was_reset{}, has_ended{};
+
+    ScriptedClient(net::SimulatedEventLoop& event_loop, Time connects_at, std::string text, Time stays = 1min,
+                   bool reads = true)
+        : loop(event_loop) {
+        loop.spawn(run(connects_at, std::move(text), stays, reads));
+    }
+
+    Task<> run(Time connects_at, std::string text, Time stays, bool reads) {
+        co_await loop.sleep(connects_at - loop.now());
+        const net::Address gateway_address{"gateway", 1};  // this compiler frees a braced temporary of an await twice
+        auto connected = co_await loop.connect(gateway_address, 1s);
+        if (connected.error) {
+            has_ended = true;
+            co_return;
+        }
+        const auto stream = connected.stream;
+        loop.call_at(loop.now() + stays, [stream] { stream->close(); });
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+        write_queue->send(std::move(text));
+        std::vector<char> buffer(4096);
+        while (reads) {
+            const auto result = co_await stream->read(net::asio::buffer(buffer));
+            if (result.bytes) last_received_at = loop.now();
+            received.append(buffer.data(), result.bytes);
+            if (!result.error) continue;
+            was_reset = result.error == net::asio::error::connection_reset;
+            break;
+        }
+        if (!reads) co_await loop.sleep(stays);
+        ended_at = loop.now();
+        has_ended = true;
+    }
+
+    /// How often the text stands in what was received.
+    int count(const std::string& text) const {
+        int n = 0;
+        for (auto at = received.find(text); at != std::string::npos; at = received.find(text, at + 1)) ++n;
+        return n;
+    }
+};
+
+/// A gateway with the request classes "p" (idempotent), "r" (deduplicated) and "s" (at most once). Each test ends by
+/// replaying its trace: the same calls into a fresh scheduler must give the same answers.
+class GatewayTest : public testing::Test {
+protected:
+    GatewayTest() {
+        config.listen = "gateway:1";
+        config.log.file = "/dev/null";
+        config.safety_rules.slow_start_duration = 10s;
+        config.safety_rules.slow_start_initial_share = 0.2;
+        config.safety_rules.slow_start_rate_multiple = 2;
+        config.safety_rules.slow_start_window = 2s;
+        config.capabilities.cancellation = config.capabilities.health_checks = config.capabilities.hedging = true;
+        config.capabilities.retry_after = config.capabilities.on_demand_loading = config.capabilities.stable_capacity =
+            true;
+        config.capabilities.max_attempts = 5;
+        config.capabilities.controller_count = 1;
+        config.capabilities.max_retry_after = 2s;
+        config.capabilities.keep_alive = 10s;
+        config.capabilities.clock_resolution = 5ms;
+        add_request_class("p", Idempotency::idempotent);
+        add_request_class("r", Idempotency::deduplicated);
+        add_request_class("s", Idempotency::at_most_once);
+    }
+
+    void add_request_class(const std::string& name, Idempotency idempotency) {
+        NamedRequestClass& request_class = config.request_classes[name];
+        request_class.name = name;
+        request_class.latency_target = 1500ms;
+        request_class.idempotency = idempotency;
+        request_class.deduplication_window = 5s;
+    }
+
+    /// Before start_gateway() it is on the fixed list of invokers.
+    ScriptedInvoker& add_invoker(std::vector<Behaviour> script) {
+        const std::string name = "i" + std::to_string(invokers.size() + 1);
+        config.endpoint_source.fixed.push_back({name, name + ":1", "a", "k", 1, 0});
+        return *invokers.emplace_back(std::make_unique<ScriptedInvoker>(loop, name, std::move(script)));
+    }
+
+    ScriptedClient& add_client(Time connects_at, std::string text, Time stays = 1min, bool reads = true) {
+        return *clients.emplace_back(
+            std::make_unique<ScriptedClient>(loop, connects_at, std::move(text), stays, reads));
+    }
+
+    void start_gateway() {
+        log = std::make_unique<Log>(loop, config.log);
+        gateway = std::make_unique<web::Server>(loop, config, *log, 7,
+                                                [this](const trace::Record& record) { trace.push_back(record); });
+        ASSERT_FALSE(gateway->open());
+    }
+
+    static std::string request(const std::string& request_class, const std::string& more = "Connection: close\r\n",
+                               const std::string& body = "work", int remaining_ms = 4000) {
+        return fmt::format(
+            "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: {}\r\nplumkeel-time-left: {}\r\n"
+            "plumkeel-mark: m\r\nContent-Length: {}\r\n{}\r\n{}",
+            request_class, remaining_ms, body.size(), more, body);
+    }
+
+    std::int64_t status_count(const char* part, const char* key) {
+        const auto status = gateway->status();
+        return (key ? status.at(part).at(key) : status.at(part)).to_number<std::int64_t>();
+    }
+
+    std::int64_t rejection_count(const char* word) {
+        const auto status = gateway->status();
+        const auto* count = status.at("door").at("turned_back").as_object().if_contains(word);
+        return count ? count->to_number<std::int64_t>() : 0;
+    }
+
+    std::size_t attempt_count() const {
+        std::size_t n = 0;
+        for (const auto& invoker : invokers) n += invoker->attempts.size();
+        return n;
+    }
+
+    void TearDown() override {
+        trace::Replayer replayer;
+        for (const trace::Record& record : trace) replayer.feed(record);
+        const trace::Comparison comparison = replayer.compare();
+        EXPECT_GT(comparison.calls, 0u);
+        EXPECT_EQ(comparison.different_calls, 0u) << comparison.first->recorded << "\n" << comparison.first->replayed;
+    }
+
+    std::vector<trace::Record> trace;
+    net::SimulatedEventLoop loop;
+    GatewayConfig config;
+    std::unique_ptr<Log> log;
+    std::unique_ptr<web::Server> gateway;
+    std::vector<std::unique_ptr<ScriptedInvoker>> invokers;
+    std::vector<std::unique_ptr<ScriptedClient>> clients;
+};
+
+}  // namespace plumkeel::gateway
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -1,4 +1,4 @@
-// The checks at run time: what they count, what they tell, and which repeats and promises they let pass.
+/// Invariants: what they count and describe, and which retries and rejections they allow.
 #include "gateway/invariants.hpp"
 
 #include <gtest/gtest.h>
@@ -10,71 +10,71 @@
 
 using namespace std::chrono_literals;
 
-TEST(Invariants, CountEachBreakAndDescribeOnlyBreaks) {
+TEST(Invariants, CountEachViolationAndDescribeOnlyViolations) {
     net::SimulatedEventLoop loop;
-    LogConfig rules;
-    rules.file = "/dev/null";
-    Log log(loop, rules);
+    LogConfig config;
+    config.file = "/dev/null";
+    Log log(loop, config);
     Invariants invariants(log);
     int described = 0;
     const auto fields = [&] {
         ++described;
         return Invariants::Fields{{"request", "r"}};
     };
-    invariants.check(true, Invariant::unsafe_repeat, fields);
-    EXPECT_EQ(invariants.broken(), 0u);
+    invariants.check(true, Invariant::unsafe_retry, fields);
+    EXPECT_EQ(invariants.violations(), 0u);
     EXPECT_EQ(described, 0);
-    invariants.check(false, Invariant::unsafe_repeat, fields);
-    invariants.check(false, Invariant::unsafe_repeat, fields);
-    invariants.check(false, Invariant::answered_late, fields);
-    EXPECT_EQ(invariants.broken(Invariant::unsafe_repeat), 2u);
-    EXPECT_EQ(invariants.broken(Invariant::answered_late), 1u);
-    EXPECT_EQ(invariants.broken(), 3u);
+    invariants.check(false, Invariant::unsafe_retry, fields);
+    invariants.check(false, Invariant::unsafe_retry, fields);
+    invariants.check(false, Invariant::late_response, fields);
+    EXPECT_EQ(invariants.violations(Invariant::unsafe_retry), 2u);
+    EXPECT_EQ(invariants.violations(Invariant::late_response), 1u);
+    EXPECT_EQ(invariants.violations(), 3u);
     EXPECT_EQ(described, 3);
-    EXPECT_EQ(word_of(Invariant::refused_what_may_have_run), "refused_what_may_have_run");
+    EXPECT_EQ(name_of(Invariant::unproven_rejection), "refused_what_may_have_run");
 }
 
-class RepeatTest : public testing::Test {
+class RetryRuleTest : public testing::Test {
 protected:
-    RepeatTest() {
-        here.zone = same_cell.zone = same_zone.zone = "a";
+    RetryRuleTest() {
+        first.zone = same_cell.zone = same_zone.zone = "a";
         elsewhere.zone = "b";
-        here.cell = same_cell.cell = 1;
+        first.cell = same_cell.cell = 1;
         same_zone.cell = 2;
         elsewhere.cell = 3;
-        use.deduplication_window = 5s;
+        request_class.deduplication_window = 5s;
     }
-    bool may(const Invoker& to, Time now) const { return may_repeat(use, here, 1s, to, now); }
-    RequestClass use;
-    Invoker here, same_cell, same_zone, elsewhere;
+    bool may_retry(const Invoker& next, Time now) const { return may_retry_on(request_class, first, 1s, next, now); }
+    RequestClass request_class;
+    Invoker first, same_cell, same_zone, elsewhere;
 };
 
-TEST_F(RepeatTest, WhatMayRunAgainMayAnywhere) {
-    use.idempotency = Idempotency::idempotent;
-    EXPECT_TRUE(may(elsewhere, 60s));
-    EXPECT_TRUE(may_promise_no_effect(use, 1s, 60s));
+TEST_F(RetryRuleTest, IdempotentRequestsMayRetryAnywhere) {
+    request_class.idempotency = Idempotency::idempotent;
+    EXPECT_TRUE(may_retry(elsewhere, 60s));
+    EXPECT_TRUE(may_report_no_effect(request_class, 1s, 60s));
 }
 
-TEST_F(RepeatTest, WhatMayRunButOnceNeverMay) {
-    use.idempotency = Idempotency::at_most_once;
-    EXPECT_FALSE(may(here, 1s));
-    EXPECT_FALSE(may_promise_no_effect(use, 1s, 1s));
+TEST_F(RetryRuleTest, AtMostOnceRequestsNeverRetry) {
+    request_class.idempotency = Idempotency::at_most_once;
+    EXPECT_FALSE(may_retry(first, 1s));
+    EXPECT_FALSE(may_report_no_effect(request_class, 1s, 1s));
 }
 
-TEST_F(RepeatTest, ByItsKeyItMayWhereAndWhileTheKeyIsKnown) {
-    use.idempotency = Idempotency::deduplicated;
-    use.deduplication_scope = DeduplicationScope::global;
-    EXPECT_TRUE(may(elsewhere, 6s));
-    EXPECT_FALSE(may(elsewhere, 6001ms));
-    EXPECT_TRUE(may_promise_no_effect(use, 1s, 6s));
-    EXPECT_FALSE(may_promise_no_effect(use, 1s, 6001ms));
-    use.deduplication_scope = DeduplicationScope::zone;
-    EXPECT_TRUE(may(same_zone, 2s));
-    EXPECT_FALSE(may(elsewhere, 2s));
-    EXPECT_FALSE(may_promise_no_effect(use, 1s, 2s));
-    use.deduplication_scope = DeduplicationScope::cell;
-    EXPECT_TRUE(may(same_cell, 2s));
-    EXPECT_FALSE(may(same_zone, 2s));
+TEST_F(RetryRuleTest, DeduplicatedRequestsRetryWhereAndWhileTheirKeyIsKnown) {
+    request_class.idempotency = Idempotency::deduplicated;
+    request_class.deduplication_scope = DeduplicationScope::global;
+    EXPECT_TRUE(may_retry(elsewhere, 6s));
+    EXPECT_FALSE(may_retry(elsewhere, 6001ms));
+    EXPECT_TRUE(may_report_no_effect(request_class, 1s, 6s));
+    EXPECT_FALSE(may_report_no_effect(request_class, 1s, 6001ms));
+    request_class.deduplication_scope = DeduplicationScope::zone;
+    EXPECT_TRUE(may_retry(same_zone, 2s));
+    EXPECT_FALSE(may_retry(elsewhere, 2s));
+    EXPECT_FALSE(may_report_no_effect(request_class, 1s, 2s));
+    request_class.deduplication_scope = DeduplicationScope::cell;
+    EXPECT_TRUE(may_retry(same_cell, 2s));
+    EXPECT_FALSE(may_retry(same_zone, 2s));
 }
 
 }  // namespace
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -11,6 +11,7 @@
 
 #include "emulator/platform_bytes.hpp"
 #include "net/simulated_event_loop.hpp"
+#include "net/write_queue.hpp"
 #include "platform/platform_server.hpp"
 #include "platform_settings/fields.hpp"
 
--- a/tests/rare_events_test.cpp
+++ b/tests/rare_events_test.cpp
@@ -143,7 +143,7 @@
     loop.call_at(400ms, [&] { fail({}); });
     for (std::uint64_t i = 21; i <= 60; ++i) add_request(1s + 50ms * static_cast<int>(i), i, hex16(i));
     loop.run(2s);
-    for (const auto& row : server->gateway().estimates()) EXPECT_FALSE(row.as_object().contains("cold"));
+    for (const auto& row : server->gateway().estimates()) EXPECT_FALSE(row.as_object().contains("slow_start"));
     loop.run(10s);
     EXPECT_GE(succeeded_requests(), 40u);
 }
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -17,7 +17,7 @@
     }
     boost::json::object believed(const char* name) const {
         for (const auto& row : server->gateway().estimates())
-            if (row.at("i").as_string() == name) return row.as_object();
+            if (row.at("invoker").as_string() == name) return row.as_object();
         return {};
     }
     static std::string slow_ramp() {
@@ -37,11 +37,11 @@
     loop.call_at(20s, [&] { board.send(frame(board.last_event = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
     for (std::uint64_t i = 1; i <= 600; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
     loop.run(21s);
-    EXPECT_TRUE(believed("s-00000002").contains("cold"));
+    EXPECT_TRUE(believed("s-00000002").contains("slow_start"));
     loop.run(30s);
-    EXPECT_TRUE(believed("s-00000002").contains("cold"));
+    EXPECT_TRUE(believed("s-00000002").contains("slow_start"));
     loop.run(45s);
-    EXPECT_FALSE(believed("s-00000002").contains("cold"));
+    EXPECT_FALSE(believed("s-00000002").contains("slow_start"));
     loop.run(62s);
 }
 
@@ -55,15 +55,15 @@
         replaced(default_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
     for (std::uint64_t i = 1; i <= 60; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
     loop.run(5s);
-    ASSERT_TRUE(believed("s-00000001").contains("told"));
+    ASSERT_TRUE(believed("s-00000001").contains("reported_load"));
     loop.step_wall_clock(GetParam().by);
     loop.call_at(5001ms, [&] {
         board.send(
             frame(board.last_event = 2, 2, {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
     });
     loop.run(5002ms);
-    EXPECT_TRUE(believed("s-00000001").contains("told"));
-    EXPECT_FALSE(believed("s-00000001").contains("cold"));
+    EXPECT_TRUE(believed("s-00000001").contains("reported_load"));
+    EXPECT_FALSE(believed("s-00000001").contains("slow_start"));
     loop.run(8s);
 }
 
