--- /dev/null
+++ b/emulator/audit/check_answers.cpp
@@ -0,0 +1,111 @@
+#include <fmt/format.h>
+
+#include "emulator/audit/audit_context.hpp"
+#include "emulator/record_schema.hpp"
+
+namespace plumkeel::emulator {
+namespace {
+
+/// One try of a client.
+struct ClientTry {
+    const RecordedEvent* sent{};
+    std::vector<const RecordedEvent*> answers;
+};
+
+std::map<std::pair<std::string, std::int64_t>, ClientTry> collect_tries(const RecordIndex& records) {
+    std::map<std::pair<std::string, std::int64_t>, ClientTry> tries;  // by process and id
+    for (const RecordedEvent& event : records.events()) {
+        if (event.source != source::client || !event.has(key::id)) continue;
+        ClientTry& client_try = tries[{event.process, event.integer(key::id)}];
+        if (event.name == event::sent) client_try.sent = &event;
+        if (event.name == event::answer) client_try.answers.push_back(&event);
+    }
+    return tries;
+}
+
+class AnswerCheck {
+public:
+    explicit AnswerCheck(const AuditContext& context) : context_(context), verdict_(context.verdict) {}
+
+    void check_try(const ClientTry& client_try) {
+        if (!client_try.sent) return;
+        const RecordedEvent& sent = *client_try.sent;
+        ++verdict_.requests;
+        const std::string request = sent.text(key::origin) + " try " + std::to_string(sent.integer(key::try_number));
+        if (client_try.answers.empty()) return report(request, sent.time_us, "no end of it was seen at all");
+        if (client_try.answers.size() > 1) report(request, client_try.answers[1]->time_us, "it was answered twice");
+        check_answer(request, sent, *client_try.answers.front());
+    }
+
+    // After the final answer nothing more is sent for a request. An invoker records an attempt when it reads it.
+    void check_attempts_after_answer(const std::string& name, const RecordedRequest& request) {
+        if (!request.answer) return;
+        for (const RecordedAttempt& attempt : request.attempts) {
+            const std::int64_t slack = context_.rules.slack_us +
+                                       context_.records.lag_near(source::invoker, attempt.invoker, attempt.received_us);
+            if (attempt.received_us > request.answer->time_us + slack &&
+                attempt.number >= request.answer->integer(key::attempts))
+                report(name, attempt.received_us,
+                       fmt::format("attempt {} reached {} after the final answer", attempt.number, attempt.invoker));
+        }
+    }
+
+private:
+    void check_answer(const std::string& request, const RecordedEvent& sent, const RecordedEvent& answer) {
+        const std::string controller = sent.text(key::to);
+        const std::int64_t deadline = sent.time_us + sent.integer(key::remaining_us);
+        const std::int64_t frozen = context_.records.frozen_past(controller, deadline);
+        const bool died = context_.records.controller_died(controller, sent.time_us, answer.time_us);
+        const bool is_final = count_outcome(sent, answer);
+        if (!is_final && !is_excused(answer.text(key::outcome))) {
+            if (died || frozen > 0)
+                ++verdict_.lost_with_controller;
+            else
+                report(request, answer.time_us,
+                       "its end was '" + answer.text(key::outcome) + "' and its controller lived");
+        }
+        const std::int64_t slack = context_.rules.slack_us +
+                                   context_.records.lag_near(source::client, answer.process, answer.time_us) + frozen;
+        if (is_final && answer.time_us > deadline + slack && !died)
+            report(request, answer.time_us,
+                   fmt::format("answered {} ms after its deadline", (answer.time_us - deadline) / 1000));
+    }
+
+    // Whether the controller gave its final answer.
+    bool count_outcome(const RecordedEvent& sent, const RecordedEvent& answer) {
+        const std::string outcome = answer.text(key::outcome);
+        if (outcome == client_outcome::succeeded) {
+            ++verdict_.succeeded;
+            if (answer.time_us > sent.time_us + sent.integer(key::latency_target_us)) ++verdict_.late;
+            return true;
+        }
+        verdict_.rejected += outcome == client_outcome::rejected;
+        verdict_.failed += outcome == client_outcome::failed;
+        verdict_.abandoned += outcome == client_outcome::abandoned;
+        verdict_.not_accepted += outcome == client_outcome::unreachable || outcome == client_outcome::malformed;
+        return outcome == client_outcome::rejected || outcome == client_outcome::failed;
+    }
+
+    // Whether no final answer is required.
+    static bool is_excused(std::string_view outcome) {
+        return outcome == client_outcome::abandoned || outcome == client_outcome::unreachable ||
+               outcome == client_outcome::malformed;
+    }
+
+    void report(const std::string& request, std::int64_t time_us, std::string description) {
+        context_.report(Rule::every_request_answered, request, time_us, std::move(description));
+    }
+
+    const AuditContext& context_;
+    Verdict& verdict_;
+};
+
+}  // namespace
+
+void check_answers(const AuditContext& context) {
+    AnswerCheck check(context);
+    for (const auto& [id, client_try] : collect_tries(context.records)) check.check_try(client_try);
+    for (const auto& [name, request] : context.records.requests()) check.check_attempts_after_answer(name, request);
+}
+
+}  // namespace plumkeel::emulator
--- /dev/null
+++ b/emulator/client_load.cpp
@@ -0,0 +1,251 @@
+#include "emulator/client_load.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cmath>
+
+#include "config/jsonnet_reader.hpp"
+#include "emulator/processes.hpp"
+#include "emulator/record_schema.hpp"
+#include "web/protocol.hpp"
+
+namespace plumkeel::emulator {
+namespace {
+
+namespace field = protocol::field;
+
+constexpr Time shortest_try = 50ms;
+constexpr Time response_slack = 300ms;  // a client waits so much longer than the time that it told the controller
+constexpr std::size_t large_response_bytes = 200'000;
+
+Time scaled(Time duration, double factor) {
+    return Time(static_cast<Time::rep>(static_cast<double>(duration.count()) * factor));
+}
+
+}  // namespace
+
+ClientLoad::ClientLoad(const std::string& settings_file, const std::string& record_file)
+    : log_(record_file), random_(1) {
+    read_settings(settings_file);
+    double sum = 0;
+    for (std::size_t rank = 1; rank <= functions_; ++rank)
+        cumulative_popularity_.push_back(sum += std::pow(static_cast<double>(rank), -zipf_exponent_));
+    read_commands(loop_, [this](const Command& command) { execute(command); });
+    record_lag(loop_, log_);
+}
+
+void ClientLoad::read_settings(const std::string& settings_file) {
+    const auto settings = evaluate_jsonnet(settings_file);
+    JsonnetReader reader(settings, settings_file);
+    std::size_t seed = 1;
+    reader.read("seed", seed);
+    reader.require("rate", requests_per_second_);
+    reader.read("functions", functions_, 1);
+    reader.read("zipf", zipf_exponent_);
+    reader.read("retries", retry_limit_);
+    reader.read("again_after", retry_delay_);
+    reader.read("impatient", early_leaver_share_);
+    reader.read("try_share", try_share_);
+    reader.read("large_share", large_response_share_);
+    reader.read("work_sigma", run_time_sigma_);
+    if (const auto* addresses = reader.raw("controllers"))
+        for (const auto& address : addresses->as_array())
+            controllers_.push_back(*net::Address::parse(std::string(address.as_string())));
+    reader.read_members("use_cases", [this](const std::string& name, JsonnetReader& member) {
+        RequestClass request_class;
+        request_class.name = name;
+        member.read("repeat", request_class.idempotency);
+        member.read("share", request_class.share);
+        member.read("work_ms", request_class.run_time_ms);
+        member.read("load_ms", request_class.load_time_ms);
+        member.read("expiry", request_class.deadline);
+        member.read("promised", request_class.latency_target);
+        member.read("lanes", request_class.concurrency);
+        member.read("memory", request_class.memory_mb);
+        request_classes_.push_back(request_class);
+    });
+    reader.read_members("tenants", [this](const std::string& name, JsonnetReader& member) {
+        Tenant tenant{name};
+        member.read("share", tenant.share);
+        tenants_.push_back(tenant);
+    });
+    reader.reject_unknown_fields();
+    random_ = RandomSource(seed);
+}
+
+// start ; stop ; rate factor= ; tenant NAME factor= ; favourite share= count= ; scan share= ;
+// heavy share= factor= ; at_once on|off (retries without a wait)
+void ClientLoad::execute(const Command& command) {
+    const std::string& verb = command.verb();
+    if (verb == "start" && !std::exchange(sending_, true)) loop_.spawn(send_arrivals());
+    if (verb == "stop") sending_ = false;
+    if (verb == "rate") rate_factor_ = command.number("factor", 1);
+    if (verb == "tenant") set_tenant_rate(command.words.at(1), command.number("factor", 1));
+    if (verb == "favourite") {
+        popular_share_ = command.number("share", 0);
+        popular_functions_ = std::max(1.0, command.number("count", 1));
+        ++popularity_changes_;
+    }
+    if (verb == "scan") scan_share_ = command.number("share", 0);
+    if (verb == "heavy") {
+        long_share_ = command.number("share", 0);
+        long_factor_ = command.number("factor", 10);
+    }
+    if (verb == "at_once") retry_immediately_ = command.words.at(1) == "on";
+}
+
+void ClientLoad::set_tenant_rate(const std::string& name, double factor) {
+    for (Tenant& tenant : tenants_)
+        if (tenant.name == name) tenant.rate_factor = factor;
+}
+
+net::Task<> ClientLoad::send_arrivals() {
+    Time next = loop_.now();
+    while (sending_) {
+        next += Time(static_cast<Time::rep>(1e6 * random_.exponential(1 / arrivals_per_second())));
+        if (next > loop_.now()) co_await loop_.sleep(next - loop_.now());
+        if (sending_) create_request();
+    }
+}
+
+double ClientLoad::arrivals_per_second() const {
+    double weighted = 0, whole = 0;
+    for (const Tenant& tenant : tenants_) {
+        weighted += tenant.share * tenant.rate_factor;
+        whole += tenant.share;
+    }
+    return requests_per_second_ * rate_factor_ * (whole > 0 ? weighted / whole : 1);
+}
+
+template <class Items, class Weight>
+auto& ClientLoad::draw_weighted(Items& items, Weight weight) {
+    double sum = 0;
+    for (auto& item : items) sum += weight(item);
+    double point = random_.next() * sum;
+    for (auto& item : items)
+        if ((point -= weight(item)) < 0) return item;
+    return items.back();
+}
+
+void ClientLoad::create_request() {
+    auto request = std::make_shared<ClientRequest>();
+    request->request_class = &draw_weighted(request_classes_, [](const RequestClass& each) { return each.share; });
+    if (!tenants_.empty())
+        request->tenant =
+            draw_weighted(tenants_, [](const Tenant& tenant) { return tenant.share * tenant.rate_factor; }).name;
+    request->function = draw_function(*request->request_class);
+    request->run_time_ms = random_.lognormal(request->request_class->run_time_ms, run_time_sigma_);
+    if (random_.next() < long_share_) request->run_time_ms *= long_factor_;
+    if (random_.next() < large_response_share_) request->response_bytes = large_response_bytes;
+    request->origin = fmt::format("o{}", ++origins_);
+    request->created_at = loop_.now();
+    loop_.spawn(run_request(request));
+}
+
+std::string ClientLoad::draw_function(const RequestClass& request_class) {
+    const double draw = random_.next();
+    if (draw < scan_share_) return fmt::format("{}-once-{}", request_class.name, ++scanned_functions_);
+    if (draw < scan_share_ + popular_share_)
+        return fmt::format("{}-new-{}-{}", request_class.name, popularity_changes_,
+                           static_cast<int>(random_.next() * popular_functions_));
+    const auto drawn = std::lower_bound(cumulative_popularity_.begin(), cumulative_popularity_.end(),
+                                        random_.next() * cumulative_popularity_.back());
+    return fmt::format("{}-f{}", request_class.name, drawn - cumulative_popularity_.begin());
+}
+
+Time ClientLoad::try_timeout(const ClientRequest& request) const {
+    const Time deadline = request.request_class->deadline;
+    return std::min(request.created_at + deadline - loop_.now(), scaled(deadline, try_share_));
+}
+
+net::Task<> ClientLoad::run_request(std::shared_ptr<ClientRequest> request) {
+    ++open_requests_;
+    for (;;) {
+        const Time remaining = try_timeout(*request);
+        if (remaining < shortest_try) break;
+        const TryResult result = co_await send_try(*request, remaining);
+        ++request->tries;
+        if (result.outcome == client_outcome::succeeded || request->tries > retry_limit_) break;
+        const bool has_no_effect =
+            result.outcome == client_outcome::rejected || result.outcome == client_outcome::unreachable;
+        if (!has_no_effect && request->request_class->idempotency != "replayable") break;
+        Time delay = retry_delay_;
+        if (has_no_effect) delay = std::max(delay, result.retry_after);
+        if (!retry_immediately_) co_await loop_.sleep(delay);
+    }
+    if (--open_requests_ == 0 && !sending_) log_.write(event::idle, {});
+}
+
+std::string ClientLoad::request_head(const ClientRequest& request, net::Address controller, Time remaining,
+                                     std::size_t body_bytes) const {
+    const RequestClass& request_class = *request.request_class;
+    http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
+    head.add("Host", controller.text()).add("Connection", "close").add(field::request_class, request_class.name);
+    head.add(field::time_left, remaining / 1ms).add(field::lanes, std::int64_t{request_class.concurrency});
+    head.add(field::memory, std::int64_t{request_class.memory_mb});
+    if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
+    if (request_class.idempotency == "referenced") head.add(field::mark, request.origin);
+    if (request.tries > 0) head.add(field::again, "1");
+    head.add("Content-Length", static_cast<std::int64_t>(body_bytes));
+    return head.done();
+}
+
+net::Task<ClientLoad::TryResult> ClientLoad::send_try(const ClientRequest& request, Time remaining) {
+    const std::uint64_t id = ++tries_;
+    const auto chosen = static_cast<std::size_t>(random_.next() * static_cast<double>(controllers_.size()));
+    const net::Address controller = controllers_[chosen];
+    std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", request.origin, request.run_time_ms,
+                                   request.request_class->load_time_ms, request.response_bytes);
+    std::string head = request_head(request, controller, remaining, body.size());
+    Time timeout = remaining + response_slack;
+    const bool leaves_early = random_.next() < early_leaver_share_;
+    if (leaves_early) timeout = scaled(remaining, random_.next());
+    log_.write(event::sent, {{key::id, id},
+                             {key::origin, request.origin},
+                             {key::try_number, request.tries},
+                             {key::to, controller.text()},
+                             {key::request_class, request.request_class->name},
+                             {key::function, request.function},
+                             {key::tenant, request.tenant},
+                             {key::remaining_us, remaining.count()},
+                             {key::latency_target_us, request.request_class->latency_target.count()}});
+    const auto exchanged = co_await http::exchange(loop_, controller, std::move(head), std::move(body), timeout);
+    co_return record_answer(id, request, exchanged, leaves_early);
+}
+
+ClientLoad::TryResult ClientLoad::record_answer(std::uint64_t id, const ClientRequest& request,
+                                                const http::Exchanged& exchanged, bool leaves_early) {
+    TryResult result;
+    boost::json::object line{{key::id, id}, {key::origin, request.origin}};
+    if (!exchanged.error) {
+        result.outcome = http::field(exchanged.answer, field::outcome);
+        if (const auto reason = http::field(exchanged.answer, field::objection); !reason.empty()) {
+            line[key::rejection_reason] = reason;
+            if (result.outcome.empty()) result.outcome = client_outcome::malformed;
+        }
+        line[key::status] = exchanged.answer.result_int();
+        line[key::controller] = http::field(exchanged.answer, field::controller);
+        line[key::request] = http::field(exchanged.answer, field::request);
+        line[key::attempts] = http::field(exchanged.answer, field::attempts);
+        if (const auto ms = http::number<int>(http::field(exchanged.answer, field::retry_after_ms)))
+            result.retry_after = std::chrono::milliseconds(*ms);
+    } else if (exchanged.error == net::asio::error::connection_refused) {
+        result.outcome = client_outcome::unreachable;
+    } else if (exchanged.error == net::asio::error::timed_out) {
+        result.outcome = leaves_early ? client_outcome::abandoned : client_outcome::no_response;
+    } else {
+        result.outcome = client_outcome::connection_lost;
+        line[key::error] = exchanged.error.message();
+    }
+    line[key::outcome] = result.outcome;
+    log_.write(event::answer, std::move(line));
+    return result;
+}
+
+int run_client_load(const std::string& settings_file, const std::string& record_file) {
+    ClientLoad(settings_file, record_file).run();
+    return 0;
+}
+
+}  // namespace plumkeel::emulator
--- /dev/null
+++ b/emulator/remote_write_receiver.cpp
@@ -0,0 +1,127 @@
+#include "emulator/remote_write_receiver.hpp"
+
+#include <fmt/format.h>
+#include <snappy.h>
+
+#include <algorithm>
+#include <bit>
+#include <cmath>
+
+#include "write.pb.h"
+
+namespace plumkeel::emulator {
+namespace {
+
+constexpr std::size_t violation_limit = 100;
+constexpr std::string_view truncated_response = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
+constexpr std::size_t truncated_bytes = 10;
+
+bool same_bits(double a, double b) {
+    return std::bit_cast<std::uint64_t>(a) == std::bit_cast<std::uint64_t>(b);
+}
+
+}  // namespace
+
+RemoteWriteReceiver::RemoteWriteReceiver(net::EventLoop& loop, std::shared_ptr<net::Listener> listener) : loop_(loop) {
+    handler_ = {[this](const auto& connection, auto request) { handle_request(connection, request); },
+                [this](const auto&) { --concurrent_; }};
+    accept_connections(loop_, std::move(listener), handler_);
+}
+
+void RemoteWriteReceiver::set_mode(Mode mode, unsigned status, std::string retry_after) {
+    mode_ = mode;
+    status_ = status;
+    retry_after_ = std::move(retry_after);
+}
+
+void RemoteWriteReceiver::add_violation(std::string description) {
+    if (violations_.size() < violation_limit) violations_.push_back(std::move(description));
+}
+
+void RemoteWriteReceiver::handle_request(const std::shared_ptr<HttpConnection>& connection,
+                                         const HttpConnection::Request& request) {
+    ++requests_;
+    most_concurrent_ = std::max(most_concurrent_, ++concurrent_);
+    if (mode_ == Mode::stall) return;
+    if (mode_ == Mode::respond_status) return reply(connection, status_);
+    if (mode_ == Mode::reset) {
+        --concurrent_;
+        return connection->reply_truncated(std::string(truncated_response), truncated_bytes);
+    }
+    if (failing_share_ > 0 && random_.next() < failing_share_) return reply(connection, failing_status_);
+    if (!accept(request)) return reply(connection, 400);
+    if (mode_ == Mode::accept_without_response) return;
+    if (response_delay_ == Time{}) return reply(connection, 204);
+    loop_.call_at(loop_.now() + response_delay_, [this, connection] {
+        if (connection->is_request_pending()) reply(connection, 204);
+    });
+}
+
+void RemoteWriteReceiver::reply(const std::shared_ptr<HttpConnection>& connection, unsigned status) {
+    --concurrent_;
+    http::HeadWriter head(http::status_line(status));
+    if (!retry_after_.empty()) head.add("Retry-After", retry_after_);
+    connection->reply(head.add("Content-Length", "0").done(), "");
+}
+
+// Whether the message could be read; where it breaks another rule, it is taken all the same.
+bool RemoteWriteReceiver::accept(const HttpConnection::Request& request) {
+    check_headers(request);
+    std::string uncompressed;
+    if (!snappy::Uncompress(request.body().data(), request.body().size(), &uncompressed)) {
+        add_violation("the body is no snappy block");
+        return false;
+    }
+    remote_write::wire::WriteRequest message;
+    if (!message.ParseFromString(uncompressed)) {
+        add_violation("the body is no WriteRequest");
+        return false;
+    }
+    for (const auto& time_series : message.timeseries()) {
+        remote_write::Labels labels;
+        for (const auto& label : time_series.labels()) labels.emplace_back(label.name(), label.value());
+        check_labels(labels);
+        Samples& samples = series_[labels];
+        for (const auto& sample : time_series.samples())
+            accept_sample(samples, labels, sample.timestamp(), sample.value());
+    }
+    return true;
+}
+
+void RemoteWriteReceiver::check_headers(const HttpConnection::Request& request) {
+    const std::pair<const char*, const char*> expected[] = {{"Content-Encoding", "snappy"},
+                                                            {"Content-Type", "application/x-protobuf"},
+                                                            {"X-Prometheus-Remote-Write-Version", "0.1.0"}};
+    for (const auto& [name, value] : expected)
+        if (http::field(request, name) != value) add_violation(fmt::format("{} is not {}", name, value));
+    if (http::field(request, "User-Agent").empty()) add_violation("no User-Agent");
+}
+
+void RemoteWriteReceiver::check_labels(const remote_write::Labels& labels) {
+    if (!std::is_sorted(labels.begin(), labels.end())) add_violation("labels are not sorted");
+    const auto same_name = [](const auto& a, const auto& b) { return a.first == b.first; };
+    if (std::adjacent_find(labels.begin(), labels.end(), same_name) != labels.end())
+        add_violation("a label comes twice");
+    const auto is_metric_name = [](const auto& label) { return label.first == "__name__" && !label.second.empty(); };
+    if (std::none_of(labels.begin(), labels.end(), is_metric_name)) add_violation("a series has no name");
+    const auto has_no_value = [](const auto& label) { return label.second.empty(); };
+    if (std::any_of(labels.begin(), labels.end(), has_no_value)) add_violation("a label is empty");
+}
+
+void RemoteWriteReceiver::accept_sample(Samples& samples, const remote_write::Labels& labels, std::int64_t timestamp,
+                                        double value) {
+    if (samples.empty() || timestamp > samples.back().first) {
+        samples.emplace_back(timestamp, value);
+        ++samples_;
+        ++samples_by_second_[loop_.now() / 1s];
+        return;
+    }
+    // A sender that had no answer sends the same sample again.
+    const auto known = std::lower_bound(samples.begin(), samples.end(), std::pair(timestamp, -HUGE_VAL));
+    if (known != samples.end() && known->first == timestamp && same_bits(known->second, value))
+        ++repeated_;
+    else
+        add_violation(fmt::format("a sample of {} is out of order", labels.front().second));
+}
+
+}  // namespace plumkeel::emulator
--- a/scale/hollow_peers.cpp
+++ b/scale/hollow_peers.cpp
@@ -4,7 +4,7 @@
 
 #include <array>
 
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "random/pcg.hpp"
 
 namespace plumkeel::scale {
--- a/scale/platform_run.cpp
+++ b/scale/platform_run.cpp
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "net/socket_event_loop.hpp"
 #include "scale/hollow_peers.hpp"
 #include "scale/popularity.hpp"
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "soak/lines.hpp"
 
 namespace plumkeel::soak {
--- a/soak/run.cpp
+++ b/soak/run.cpp
@@ -12,7 +12,7 @@
 
 #include "emulator/faults/fault_plan.hpp"
 #include "emulator/faults/process.hpp"
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "scale/hollow_peers.hpp"
 #include "soak/clients.hpp"
 #include "soak/control.hpp"
--- a/src/cli/alerts.cpp
+++ b/src/cli/alerts.cpp
@@ -119,7 +119,7 @@
         alerts->add_subcommand("test", "play samples against rules: when would each be pending, fire, be resolved");
     for (CLI::App* command : {write, try_out})
         command->add_option("rules", given->rules, "a rule file, or a template of one")->required();
-    try_out->add_option("samples", given->samples, "as plumkeel-stand receiver records them")->required();
+    try_out->add_option("samples", given->samples, "as plumkeel-emulator receiver records them")->required();
     try_out->add_flag("--quiet", given->quiet, "only what fires");
     return [given, write] {
         if (!*write) return test(given->rules, given->samples, given->quiet);
--- a/tests/auditor_test.cpp
+++ b/tests/auditor_test.cpp
@@ -1,5 +1,5 @@
-// Doctored records: each kind of breach is named, and a clean day is not.
-#include "emulator/auditor.hpp"
+/// The auditor against records made by hand: each kind of violation is found, and a clean scenario has none.
+#include "emulator/audit/auditor.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,261 +8,292 @@
 
 namespace json = boost::json;
 
-class Doctored : public testing::Test {
+class AuditorTest : public testing::Test {
 protected:
-    Doctored() {
-        stated.attempts = 2;
-        stated.request_classes["p"] = {"replayable", "everywhere", 0};
-        stated.request_classes["r"] = {"referenced", "zone", 5'000'000};
-        stated.request_classes["s"] = {"single_use", "everywhere", 0};
-        stated.places = {{"i1", {"a", 0}}, {"i2", {"a", 0}}, {"i3", {"b", 1}}};
+    // The request classes are called after their idempotency.
+    AuditorTest() {
+        rules.max_attempts = 2;
+        rules.request_classes["idempotent"] = {Idempotency::idempotent, DeduplicationScope::global, 0};
+        rules.request_classes["deduplicated"] = {Idempotency::deduplicated, DeduplicationScope::zone, 5'000'000};
+        rules.request_classes["at_most_once"] = {Idempotency::at_most_once, DeduplicationScope::global, 0};
+        rules.locations = {{"i1", {"a", 0}}, {"i2", {"a", 0}}, {"i3", {"b", 1}}};
     }
 
-    void line(const std::string& kind, const std::string& name, const std::string& text) {
-        lines.emplace_back(kind, name, json::parse(text).as_object());
+    void add_record(const std::string& source, const std::string& process, const std::string& line) {
+        records.emplace_back(source, process, json::parse(line).as_object());
     }
-    void sent(int id, std::int64_t ms, const std::string& use, const std::string& origin) {
-        line("clients", "c",
-             json::serialize(json::object{{"t", ms * 1000},
-                                          {"e", "sent"},
-                                          {"id", id},
-                                          {"origin", origin},
-                                          {"try", 0},
-                                          {"to", "A"},
-                                          {"use", use},
-                                          {"left_us", 4'000'000},
-                                          {"promised_us", 1'500'000}}));
+
+    void add_sent(int id, std::int64_t ms, const std::string& request_class) {
+        add_record("clients", "c",
+                   json::serialize(json::object{{"t", ms * 1000},
+                                                {"e", "sent"},
+                                                {"id", id},
+                                                {"origin", "o" + std::to_string(id)},
+                                                {"try", 0},
+                                                {"to", "A"},
+                                                {"use", request_class},
+                                                {"left_us", 4'000'000},
+                                                {"promised_us", 1'500'000}}));
     }
-    void answer(int id, std::int64_t ms, const std::string& outcome, const std::string& origin,
-                const std::string& request, int attempts) {
-        line("clients", "c",
-             json::serialize(json::object{{"t", ms * 1000},
-                                          {"e", "answer"},
-                                          {"id", id},
-                                          {"origin", origin},
-                                          {"outcome", outcome},
-                                          {"controller", "k/1"},
-                                          {"job", request},
-                                          {"hops", std::to_string(attempts)}}));
+
+    // Of the request that add_sent() sent; an empty `request` is one that no controller numbered.
+    void add_answer(int id, std::int64_t ms, const std::string& outcome, const std::string& request, int attempts) {
+        add_record("clients", "c",
+                   json::serialize(json::object{{"t", ms * 1000},
+                                                {"e", "answer"},
+                                                {"id", id},
+                                                {"origin", "o" + std::to_string(id)},
+                                                {"outcome", outcome},
+                                                {"controller", "k/1"},
+                                                {"job", request},
+                                                {"hops", std::to_string(attempts)}}));
     }
-    void at(const std::string& invoker, std::int64_t ms, const std::string& event, const std::string& use,
-            const std::string& origin, const std::string& request, int attempt, const std::string& word = "") {
-        json::object o{
-            {"t", ms * 1000},  {"e", event}, {"controller", "k/1"}, {"job", request}, {"hop", std::to_string(attempt)},
-            {"function", "f"}, {"use", use}, {"origin", origin}};
-        if (!word.empty()) o["word"] = word;
-        line("invoker", invoker, json::serialize(o));
+
+    /// What an invoker records of an attempt.
+    struct InvokerRecord {
+        std::string invoker;
+        std::int64_t ms{};
+        std::string event, request_class;
+        int attempt{};
+        std::string result = "", request = "1", origin = "o1";
+    };
+    void add_attempt(const InvokerRecord& record) {
+        json::object line{{"t", record.ms * 1000},
+                          {"e", record.event},
+                          {"controller", "k/1"},
+                          {"job", record.request},
+                          {"hop", std::to_string(record.attempt)},
+                          {"function", "f"},
+                          {"use", record.request_class},
+                          {"origin", record.origin}};
+        if (!record.result.empty()) line["word"] = record.result;
+        add_record("invoker", record.invoker, json::serialize(line));
     }
-    // One job, honoured in one hop.
-    void honoured(int id, std::int64_t ms, const std::string& use = "p") {
-        const std::string origin = "o" + std::to_string(id), request = std::to_string(id);
-        sent(id, ms, use, origin);
-        at("i1", ms + 1, "hop", use, origin, request, 0);
-        at("i1", ms + 2, "run", use, origin, request, 0);
-        at("i1", ms + 100, "answer", use, origin, request, 0, "honoured");
-        answer(id, ms + 101, "honoured", origin, request, 1);
+
+    // A request that succeeds at the first attempt, at invoker i1.
+    void add_success(int id, std::int64_t ms, const std::string& request_class = "idempotent") {
+        const std::string request = std::to_string(id), origin = "o" + request;
+        add_sent(id, ms, request_class);
+        add_attempt({"i1", ms + 1, "hop", request_class, 0, "", request, origin});
+        add_attempt({"i1", ms + 2, "run", request_class, 0, "", request, origin});
+        add_attempt({"i1", ms + 100, "answer", request_class, 0, "honoured", request, origin});
+        add_answer(id, ms + 101, "honoured", request, 1);
+    }
+
+    // A first attempt at i1 that ended without an answer, by an event of the record, after 50 ms.
+    void add_unanswered_attempt(const std::string& request_class, const std::string& event) {
+        add_sent(1, 0, request_class);
+        add_attempt({"i1", 1, "hop", request_class, 0});
+        add_attempt({"i1", 50, event, request_class, 0});
+    }
+
+    void add_endpoints(std::int64_t ms, const std::string& endpoints) {
+        add_record("list", "l",
+                   R"({"t":)" + std::to_string(ms * 1000) + R"(,"e":"told","to":"k/1","list":)" + endpoints + "}");
+    }
+
+    void add_preload(std::int64_t ms, const std::string& function) {
+        add_record("invoker", "i1",
+                   R"({"t":)" + std::to_string(ms * 1000) + R"(,"e":"order","controller":"k/1","function":")" +
+                       function + R"(","copies":1})");
+    }
+
+    void add_cold_start() {
+        add_record("invoker", "i1",
+                   R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
+                   R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
     }
 
     Verdict judge() {
-        Auditor auditor(stated);
-        for (const auto& [kind, name, object] : lines) auditor.read(kind, name, object);
+        Auditor auditor(rules);
+        for (const auto& [source, process, line] : records) auditor.read(source, process, line);
         return auditor.judge();
     }
-    void names(const std::string& rule, const std::string& words) {
+
+    void expect_violation(Rule rule, const std::string& description) {
         const Verdict verdict = judge();
-        ASSERT_FALSE(verdict.breaches.empty()) << "nothing named";
-        for (const Breach& each : verdict.breaches)
-            if (each.rule == rule && each.what.find(words) != std::string::npos) return;
-        FAIL() << "named instead: " << verdict.breaches[0].rule << ": " << verdict.breaches[0].what;
+        ASSERT_FALSE(verdict.violations.empty()) << "no violation";
+        for (const Violation& each : verdict.violations)
+            if (each.rule == rule && each.description.find(description) != std::string::npos) return;
+        FAIL() << "found instead: " << rule_name(verdict.violations[0].rule) << ": "
+               << verdict.violations[0].description;
     }
 
-    Stated stated;
-    std::vector<std::tuple<std::string, std::string, json::object>> lines;
+    DeploymentRules rules;
+    std::vector<std::tuple<std::string, std::string, json::object>> records;
 };
 
-TEST_F(Doctored, AGoodDayIsKept) {
-    honoured(1, 0);
-    honoured(2, 10, "r");
-    honoured(3, 20, "s");
+TEST_F(AuditorTest, CleanScenarioHasNoViolation) {
+    add_success(1, 0);
+    add_success(2, 10, "deduplicated");
+    add_success(3, 20, "at_most_once");
     const Verdict verdict = judge();
-    EXPECT_EQ(verdict.line(), "verdict: rules kept; jobs 3, honoured 3, bounced 0, written off 0, late 0");
+    EXPECT_EQ(verdict.summary(), "verdict: rules kept; requests 3, succeeded 3, rejected 0, failed 0, late 0");
 }
 
-TEST_F(Doctored, AnAnswerThatNeverCame) {
-    sent(1, 0, "p", "o1");
-    names("no job lost", "no end of it");
+TEST_F(AuditorTest, FindsMissingAnswer) {
+    add_sent(1, 0, "idempotent");
+    expect_violation(Rule::every_request_answered, "no end of it");
 }
 
-TEST_F(Doctored, AJobCutThoughItsControllerLived) {
-    sent(1, 0, "p", "o1");
-    answer(1, 50, "cut", "o1", "", 0);
-    names("no job lost", "its controller lived");
+TEST_F(AuditorTest, FindsConnectionCutByRunningController) {
+    add_sent(1, 0, "idempotent");
+    add_answer(1, 50, "cut", "", 0);
+    expect_violation(Rule::every_request_answered, "its controller lived");
 }
 
-TEST_F(Doctored, AJobCutWithItsControllerIsNoBreach) {
-    sent(1, 0, "p", "o1");
-    line("day", "day", R"({"t":40000,"e":"controller_killed","address":"A","us":5000})");
-    answer(1, 50, "cut", "o1", "", 0);
-    EXPECT_TRUE(judge().breaches.empty());
+TEST_F(AuditorTest, ExcusesConnectionCutByKilledController) {
+    add_sent(1, 0, "idempotent");
+    add_record("scenario", "scenario", R"({"t":40000,"e":"controller_killed","address":"A","us":5000})");
+    add_answer(1, 50, "cut", "", 0);
+    EXPECT_TRUE(judge().violations.empty());
 }
 
-TEST_F(Doctored, TwoAnswers) {
-    honoured(1, 0);
-    answer(1, 150, "bounced", "o1", "1", 1);
-    names("no job lost", "answered twice");
+TEST_F(AuditorTest, FindsSecondAnswer) {
+    add_success(1, 0);
+    add_answer(1, 150, "bounced", "1", 1);
+    expect_violation(Rule::every_request_answered, "answered twice");
 }
 
-TEST_F(Doctored, AnAnswerAfterTheExpiry) {
-    sent(1, 0, "p", "o1");
-    answer(1, 4200, "bounced", "o1", "1", 0);
-    names("no job lost", "after its expiry");
+TEST_F(AuditorTest, FindsAnswerAfterDeadline) {
+    add_sent(1, 0, "idempotent");
+    add_answer(1, 4200, "bounced", "1", 0);
+    expect_violation(Rule::every_request_answered, "after its deadline");
 }
 
-TEST_F(Doctored, AHopAfterTheFinalAnswer) {
-    honoured(1, 0);
-    at("i2", 400, "hop", "p", "o1", "1", 1);
-    names("no job lost", "after the final answer");
+TEST_F(AuditorTest, FindsAttemptAfterFinalAnswer) {
+    add_success(1, 0);
+    add_attempt({"i2", 400, "hop", "idempotent", 1});
+    expect_violation(Rule::every_request_answered, "after the final answer");
 }
 
-TEST_F(Doctored, AFrozenControllerMayAnswerOnceItRuns) {
-    sent(1, 0, "p", "o1");
-    answer(1, 4290, "bounced", "o1", "1", 0);
-    line("day", "day", R"({"t":4300000,"e":"controller_frozen","address":"A","us":400000})");
-    EXPECT_TRUE(judge().breaches.empty());
+TEST_F(AuditorTest, FrozenControllerMayAnswerAfterItResumes) {
+    add_sent(1, 0, "idempotent");
+    add_answer(1, 4290, "bounced", "1", 0);
+    add_record("scenario", "scenario", R"({"t":4300000,"e":"controller_frozen","address":"A","us":400000})");
+    EXPECT_TRUE(judge().violations.empty());
 }
 
-TEST_F(Doctored, ASingleUseEffectTwice) {
-    honoured(1, 0, "s");
-    at("i2", 500, "run", "s", "o1", "9", 0);
-    names("no effect twice", "single-use o1 ran at i1 and again at i2");
+TEST_F(AuditorTest, FindsSecondRunOfAtMostOnceRequest) {
+    add_success(1, 0, "at_most_once");
+    add_attempt({"i2", 500, "run", "at_most_once", 0, "", "9"});
+    expect_violation(Rule::no_duplicate_effect, "at-most-once o1 ran at i1 and again at i2");
 }
 
-TEST_F(Doctored, ASingleUseHopThoughAnEarlierMayHaveRun) {
-    sent(1, 0, "s", "o1");
-    at("i1", 1, "hop", "s", "o1", "1", 0);
-    at("i1", 50, "cut", "s", "o1", "1", 0);
-    at("i2", 150, "hop", "s", "o1", "1", 1);
-    answer(1, 200, "written-off", "o1", "1", 2);
-    names("no effect twice", "may have run");
+TEST_F(AuditorTest, FindsAtMostOnceAttemptAfterOneThatMayHaveRun) {
+    add_unanswered_attempt("at_most_once", "cut");
+    add_attempt({"i2", 150, "hop", "at_most_once", 1});
+    add_answer(1, 200, "written-off", "1", 2);
+    expect_violation(Rule::no_duplicate_effect, "may have run");
 }
 
-TEST_F(Doctored, ASingleUseHopAfterOneTurnedAwayIsKept) {
-    sent(1, 0, "s", "o1");
-    at("i1", 1, "hop", "s", "o1", "1", 0);
-    at("i1", 2, "answer", "s", "o1", "1", 0, "turned-away");
-    at("i2", 150, "hop", "s", "o1", "1", 1);
-    at("i2", 151, "run", "s", "o1", "1", 1);
-    at("i2", 180, "answer", "s", "o1", "1", 1, "honoured");
-    answer(1, 200, "honoured", "o1", "1", 2);
-    EXPECT_TRUE(judge().breaches.empty());
+TEST_F(AuditorTest, AllowsAtMostOnceAttemptAfterRejectedOne) {
+    add_sent(1, 0, "at_most_once");
+    add_attempt({"i1", 1, "hop", "at_most_once", 0});
+    add_attempt({"i1", 2, "answer", "at_most_once", 0, "turned-away"});
+    add_attempt({"i2", 150, "hop", "at_most_once", 1});
+    add_attempt({"i2", 151, "run", "at_most_once", 1});
+    add_attempt({"i2", 180, "answer", "at_most_once", 1, "honoured"});
+    add_answer(1, 200, "honoured", "1", 2);
+    EXPECT_TRUE(judge().violations.empty());
 }
 
-TEST_F(Doctored, ASingleUseBounceThoughItMayHaveRun) {
-    sent(1, 0, "s", "o1");
-    at("i1", 1, "hop", "s", "o1", "1", 0);
-    at("i1", 50, "gone", "s", "o1", "1", 0);
-    answer(1, 200, "bounced", "o1", "1", 1);
-    names("no effect twice", "bounced though");
+TEST_F(AuditorTest, FindsRejectionOfRequestThatMayHaveRun) {
+    add_unanswered_attempt("at_most_once", "gone");
+    add_answer(1, 200, "bounced", "1", 1);
+    expect_violation(Rule::no_duplicate_effect, "rejected though");
 }
 
-TEST_F(Doctored, AReferencedHopOutsideItsGroup) {
-    sent(1, 0, "r", "o1");
-    at("i1", 1, "hop", "r", "o1", "1", 0);
-    at("i1", 50, "cut", "r", "o1", "1", 0);
-    at("i3", 150, "hop", "r", "o1", "1", 1);
-    answer(1, 200, "honoured", "o1", "1", 2);
-    names("no effect twice", "left the group");
+TEST_F(AuditorTest, FindsDeduplicatedAttemptOutsideScope) {
+    add_unanswered_attempt("deduplicated", "cut");
+    add_attempt({"i3", 150, "hop", "deduplicated", 1});
+    add_answer(1, 200, "honoured", "1", 2);
+    expect_violation(Rule::no_duplicate_effect, "left the scope");
 }
 
-TEST_F(Doctored, AReferencedHopAfterItsMarkWasForgotten) {
-    stated.request_classes["r"].remembered = 100'000;
-    sent(1, 0, "r", "o1");
-    at("i1", 1, "hop", "r", "o1", "1", 0);
-    at("i1", 50, "cut", "r", "o1", "1", 0);
-    at("i2", 350, "hop", "r", "o1", "1", 1);
-    answer(1, 400, "honoured", "o1", "1", 2);
-    names("no effect twice", "forgotten");
+TEST_F(AuditorTest, FindsDeduplicatedAttemptAfterKeyExpired) {
+    rules.request_classes["deduplicated"].deduplication_window_us = 100'000;
+    add_unanswered_attempt("deduplicated", "cut");
+    add_attempt({"i2", 350, "hop", "deduplicated", 1});
+    add_answer(1, 400, "honoured", "1", 2);
+    expect_violation(Rule::no_duplicate_effect, "expired");
 }
 
-TEST_F(Doctored, AReferencedEffectOutsideItsGroup) {
-    honoured(1, 0, "r");
-    at("i3", 900, "run", "r", "o1", "7", 0);
-    names("no effect twice", "outside its group");
+TEST_F(AuditorTest, FindsDeduplicatedRunOutsideScope) {
+    add_success(1, 0, "deduplicated");
+    add_attempt({"i3", 900, "run", "deduplicated", 0, "", "7"});
+    expect_violation(Rule::no_duplicate_effect, "outside its scope");
 }
 
-TEST_F(Doctored, MoreHopsThanAllowed) {
-    sent(1, 0, "p", "o1");
-    for (int i = 0; i < 3; ++i) at("i1", 10 * i, "hop", "p", "o1", "1", i);
-    answer(1, 100, "honoured", "o1", "1", 3);
-    names("hops", "3 hops");
+TEST_F(AuditorTest, FindsTooManyAttempts) {
+    add_sent(1, 0, "idempotent");
+    for (int attempt = 0; attempt < 3; ++attempt) add_attempt({"i1", 10 * attempt, "hop", "idempotent", attempt});
+    add_answer(1, 100, "honoured", "1", 3);
+    expect_violation(Rule::attempt_limits, "3 attempts");
 }
 
-TEST_F(Doctored, TwoHopsAtOnceWhereForbidden) {
-    stated.second_copies = false;
-    sent(1, 0, "p", "o1");
-    at("i1", 1, "hop", "p", "o1", "1", 0);
-    at("i2", 200, "hop", "p", "o1", "1", 1);
-    at("i1", 500, "gone", "p", "o1", "1", 0);
-    answer(1, 600, "honoured", "o1", "1", 2);
-    names("hops", "beside hop 0");
+TEST_F(AuditorTest, FindsConcurrentAttemptsWithoutHedging) {
+    rules.hedging = false;
+    add_sent(1, 0, "idempotent");
+    add_attempt({"i1", 1, "hop", "idempotent", 0});
+    add_attempt({"i2", 200, "hop", "idempotent", 1});
+    add_attempt({"i1", 500, "gone", "idempotent", 0});
+    add_answer(1, 600, "honoured", "1", 2);
+    expect_violation(Rule::attempt_limits, "beside attempt 0");
 }
 
-TEST_F(Doctored, AHopAfterADrainsGrace) {
-    line("list", "l", R"({"t":0,"e":"told","to":"k/1","list":[["i1","ready",0]]})");
-    line("list", "l", R"({"t":1000,"e":"told","to":"k/1","list":[["i1","drains",0]]})");
-    honoured(1, 2500);
-    names("drains kept", "after the grace");
+TEST_F(AuditorTest, FindsAttemptAfterDrainGrace) {
+    add_endpoints(0, R"([["i1","ready",0]])");
+    add_endpoints(1, R"([["i1","drains",0]])");
+    add_success(1, 2500);
+    expect_violation(Rule::drain_grace, "after the grace");
 }
 
-TEST_F(Doctored, AHopToWhatTheListNoLongerNames) {
-    line("list", "l", R"({"t":0,"e":"told","to":"k/1","list":[["i1","ready",0]]})");
-    line("list", "l", R"({"t":1000,"e":"told","to":"k/1","list":[]})");
-    honoured(1, 2500);
-    names("drains kept", "after the grace");
+TEST_F(AuditorTest, FindsAttemptAtInvokerNoLongerListed) {
+    add_endpoints(0, R"([["i1","ready",0]])");
+    add_endpoints(1, "[]");
+    add_success(1, 2500);
+    expect_violation(Rule::drain_grace, "after the grace");
 }
 
-TEST_F(Doctored, AnOrderAfterADrainsGrace) {
-    line("list", "l", R"({"t":0,"e":"told","to":"k/1","list":[["i1","drains",0]]})");
-    line("invoker", "i1", R"({"t":2500000,"e":"order","controller":"k/1","function":"f","copies":1})");
-    names("drains kept", "an order");
+TEST_F(AuditorTest, FindsPreloadAfterDrainGrace) {
+    add_endpoints(0, R"([["i1","drains",0]])");
+    add_preload(2500, "f");
+    expect_violation(Rule::drain_grace, "a preload");
 }
 
-TEST_F(Doctored, AHopWithinTheGraceOrAfterTheReturnIsKept) {
-    line("list", "l", R"({"t":0,"e":"told","to":"k/1","list":[["i1","drains",0]]})");
-    honoured(1, 1500);
-    line("list", "l", R"({"t":3000000,"e":"told","to":"k/1","list":[["i1","ready",5]]})");
-    honoured(2, 3500);
-    EXPECT_TRUE(judge().breaches.empty());
+TEST_F(AuditorTest, AllowsAttemptsWithinDrainGraceAndAfterReturn) {
+    add_endpoints(0, R"([["i1","drains",0]])");
+    add_success(1, 1500);
+    add_endpoints(3000, R"([["i1","ready",5]])");
+    add_success(2, 3500);
+    EXPECT_TRUE(judge().violations.empty());
 }
 
-TEST_F(Doctored, AColdInvokerPushedOver) {
-    line("invoker", "i1",
-         R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
-         R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
-    for (int i = 0; i < 20; ++i) honoured(i, 100 + i);
-    names("no cold invoker pushed over", "of its budget");
+TEST_F(AuditorTest, FindsOverloadOfStartingInvoker) {
+    add_cold_start();
+    for (int i = 0; i < 20; ++i) add_success(i, 100 + i);
+    expect_violation(Rule::slow_start, "of its budget");
 }
 
-TEST_F(Doctored, AnInvokerThatFell) {
-    line("invoker", "i1",
-         R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
-         R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
-    line("invoker", "i1", R"({"t":1000,"e":"fell"})");
-    names("no cold invoker pushed over", "fell over");
+TEST_F(AuditorTest, FindsInvokerThatFailedUnderLoad) {
+    add_cold_start();
+    add_record("invoker", "i1", R"({"t":1000,"e":"fell"})");
+    expect_violation(Rule::slow_start, "failed under its load");
 }
 
-TEST_F(Doctored, MoreOrdersThanTheRation) {
-    stated.load_span = 5'000'000;
-    stated.free_loads = 1;
-    stated.loads_per_job = 0.5;
-    line("day", "day", R"({"t":0,"e":"controller_started","name":"k","address":"A"})");
-    honoured(1, 0);
-    honoured(2, 10);
-    line("invoker", "i1", R"({"t":1000000,"e":"order","controller":"k/1","function":"f","copies":1})");
-    line("invoker", "i1", R"({"t":1100000,"e":"order","controller":"k/1","function":"g","copies":1})");
-    EXPECT_TRUE(judge().breaches.empty());
-    line("invoker", "i1", R"({"t":1200000,"e":"order","controller":"k/1","function":"h","copies":1})");
-    names("loads rationed", "3 orders, 2.0 allowed");
+TEST_F(AuditorTest, FindsPreloadsBeyondLoadBudget) {
+    rules.load_window_us = 5'000'000;
+    rules.free_loads = 1;
+    rules.loads_per_request = 0.5;
+    add_record("scenario", "scenario", R"({"t":0,"e":"controller_started","name":"k","address":"A"})");
+    add_success(1, 0);
+    add_success(2, 10);
+    add_preload(1000, "f");
+    add_preload(1100, "g");
+    EXPECT_TRUE(judge().violations.empty());
+    add_preload(1200, "h");
+    expect_violation(Rule::load_budget, "3 preloads, 2.0 allowed");
 }
 
 }  // namespace
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 
 #include "discovery/frame_decoder.hpp"
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "fastcgi/records.hpp"
 #include "invoker_protocol/codec.hpp"
 #include "random/pcg.hpp"
--- a/tests/platform_signals_test.cpp
+++ b/tests/platform_signals_test.cpp
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <thread>
 
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "platform/serve.hpp"
 
 namespace plumkeel::platform {
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -6,7 +6,7 @@
 
 #include <fstream>
 
-#include "emulator/platform_bytes.hpp"
+#include "emulator/protocol_bytes.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "platform/platform_server.hpp"
 #include "platform_settings/fields.hpp"
--- a/tests/remote_test.cpp
+++ b/tests/remote_test.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <limits>
 
-#include "emulator/receiver.hpp"
+#include "emulator/remote_write_receiver.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "net/socket_event_loop.hpp"
 #include "remote_write/sender.hpp"
@@ -297,7 +297,7 @@
     }
     void expect_all() {
         loop.run(loop.now() + 3s);  // the last scrape
-        for (const std::string& each : receiver.breaches()) ADD_FAILURE() << each;
+        for (const std::string& each : receiver.violations()) ADD_FAILURE() << each;
         ASSERT_EQ(receiver.series().size(), static_cast<std::size_t>(series));
         for (const auto& [labels, points] : receiver.series()) {
             ASSERT_EQ(points.size(), static_cast<std::size_t>(scraped)) << labels.back().second;
@@ -307,7 +307,7 @@
     }
 
     net::SimulatedEventLoop loop;
-    emulator::WriteReceiver receiver;
+    emulator::RemoteWriteReceiver receiver;
     ReceiverConfig wanted;
     SeriesEncoder scraper{parts};
     std::unique_ptr<DurableQueue> spool;
@@ -316,7 +316,7 @@
     std::int64_t scraped = 0;
 };
 
-using Mood = emulator::WriteReceiver::Mood;
+using Mode = emulator::RemoteWriteReceiver::Mode;
 
 TEST_F(SenderTest, EverySampleArrivesInOrder) {
     begin();
@@ -330,9 +330,9 @@
 // A disk that takes nothing more must not end the process, nor hold up what waits on it already.
 TEST_F(SenderTest, ADiskThatTakesNothingMoreStopsNoSending) {
     begin();
-    receiver.be(Mood::status, 503);
+    receiver.set_mode(Mode::respond_status, 503);
     scrape_for(5);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
     ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &before), 0);
@@ -346,7 +346,7 @@
     EXPECT_EQ(receiver.repeated(), 0u);
     EXPECT_GE(notices["spool_broken"], 1);
     EXPECT_NO_THROW(spool->append(100'000, scraper.encode({sample("m", 0, 2)}, 100'000)));  // and it works again
-    EXPECT_TRUE(receiver.breaches().empty());
+    EXPECT_TRUE(receiver.violations().empty());
 }
 
 // One series falls into one part; the scrapes must not wait for the parts that hold nothing.
@@ -365,14 +365,14 @@
 TEST_F(SenderTest, AfterAStallOfAMinuteAllArrivesAtABoundedRate) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::stalls);
+    receiver.set_mode(Mode::stall);
     scrape_for(60);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     const Time back = loop.now();
     scrape_for(90);
     expect_all();
     // The rate while catching up is 4 times the inflow, give or take what was saved up.
-    for (const auto& [second, samples] : receiver.by_second())
+    for (const auto& [second, samples] : receiver.samples_by_second())
         if (second > back / 1s) {
             EXPECT_LE(samples, 4u * series + 2000u) << second;
         }
@@ -382,9 +382,9 @@
 
 TEST_F(SenderTest, ErrorsToSomePartsOnlyHoldUpNoOrder) {
     begin();
-    receiver.be_for_part(0.4, 503);
+    receiver.fail_share(0.4, 503);
     scrape_for(40);
-    receiver.be_for_part(0, 503);
+    receiver.fail_share(0, 503);
     scrape_for(40);
     expect_all();
 }
@@ -393,9 +393,9 @@
 TEST_F(SenderTest, AnswersThatComeTooLateCauseRepeatsAndNothingElse) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::late);
+    receiver.set_mode(Mode::accept_without_response);
     scrape_for(10);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     scrape_for(20);
     expect_all();
     EXPECT_GT(receiver.repeated(), 0u);
@@ -403,7 +403,7 @@
 
 TEST_F(SenderTest, WhatWillNeverBeTakenIsNotSentAgain) {
     begin();
-    receiver.be(Mood::status, 400);
+    receiver.set_mode(Mode::respond_status, 400);
     scrape_for(10);
     loop.run(loop.now() + 5s);
     EXPECT_EQ(sender->counts().rejected, 10u * series);
@@ -414,23 +414,23 @@
 
 TEST_F(SenderTest, TooManyIsWaitedOutAsToldByRetryAfter) {
     begin();
-    receiver.be(Mood::status, 429, "7");
+    receiver.set_mode(Mode::respond_status, 429, "7");
     scrape_for(1);
     loop.run(loop.now() + 1s);
-    const auto before = receiver.questions();
+    const auto before = receiver.requests();
     EXPECT_LE(before, 4u);
     loop.run(loop.now() + 5s);
-    EXPECT_EQ(receiver.questions(), before);
-    receiver.be(Mood::takes);
+    EXPECT_EQ(receiver.requests(), before);
+    receiver.set_mode(Mode::accept);
     loop.run(loop.now() + 10s);
     expect_all();
 }
 
 TEST_F(SenderTest, AnswersCutOffAreTroubleAndNothingIsLost) {
     begin();
-    receiver.be(Mood::cuts);
+    receiver.set_mode(Mode::reset);
     scrape_for(10);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     scrape_for(30);
     expect_all();
 }
@@ -438,14 +438,14 @@
 TEST_F(SenderTest, ARestartInMidBacklogGoesOnWhereItStood) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::status, 503);
+    receiver.set_mode(Mode::respond_status, 503);
     scrape_for(20);
     const std::uint64_t waiting = spool->waiting("r");
     EXPECT_GE(waiting, 20u * series);
     sender.reset();  // its coroutines wait in a world that is not run any more
     spool.reset();
     net::SimulatedEventLoop second;
-    emulator::WriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
+    emulator::RemoteWriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
     DurableQueue reopened(rules, {"r"});
     EXPECT_EQ(reopened.waiting("r"), waiting);
     Sender next(second, wanted, reopened, parts, 4, [](const std::string&, const std::string&) {});
@@ -453,7 +453,7 @@
     next.notify(series);
     second.run(second.now() + 60s);
     EXPECT_EQ(again.samples(), waiting);
-    EXPECT_TRUE(again.breaches().empty());
+    EXPECT_TRUE(again.violations().empty());
 }
 
 // On sockets: a process that appends and sends is killed ten times in a backlog, at some moment each.
@@ -462,12 +462,13 @@
     const auto listened = loop.listen({"127.0.0.1", 0});
     ASSERT_FALSE(listened.error);
     const std::string address = listened.listener->address().text();
-    emulator::WriteReceiver receiver(loop, listened.listener);
+    emulator::RemoteWriteReceiver receiver(loop, listened.listener);
     std::uint64_t dice = 5, told = 0;
     for (int round = 0; round < 11; ++round) {
         int ends[2];
         ASSERT_EQ(::pipe2(ends, O_NONBLOCK), 0);
-        receiver.be(round < 3 ? emulator::WriteReceiver::Mood::status : emulator::WriteReceiver::Mood::takes);
+        receiver.set_mode(round < 3 ? emulator::RemoteWriteReceiver::Mode::respond_status
+                                    : emulator::RemoteWriteReceiver::Mode::accept);
         const pid_t child = ::fork();
         if (child == 0) {
             net::SocketEventLoop own;
@@ -516,7 +517,7 @@
         ::close(ends[0]);
     }
     EXPECT_GT(told, 100u);
-    EXPECT_TRUE(receiver.breaches().empty());
+    EXPECT_TRUE(receiver.violations().empty());
     ASSERT_EQ(receiver.series().size(), 10u);
     for (const auto& [labels, points] : receiver.series()) {
         ASSERT_GE(points.size(), told);
