--- a/emulator/remote_write_receiver.hpp
+++ b/emulator/remote_write_receiver.hpp
@@ -11,7 +11,7 @@
 
 #include "emulator/http_server.hpp"
 #include "emulator/random_source.hpp"
-#include "remote_write/series.hpp"
+#include "remote_write/sample.hpp"
 
 namespace plumkeel::emulator {
 
