--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -90,7 +90,7 @@
 namespace {
 
 double pace_told(const Invoker& invoker) {
-    return invoker.type ? invoker.type->slowdown_factor * invoker.slowdown_factor : invoker.slowdown_factor;
+    return invoker.type ? invoker.type->slowdown_factor * invoker.load.slowdown_factor : invoker.load.slowdown_factor;
 }
 
 trace::Start start_of(const GatewayConfig& config, std::uint64_t seed) {
@@ -598,11 +598,11 @@
             ++out.not_ready;
             continue;
         }
-        out.slow_start += post->slow_start_since.has_value();
-        paces.push_back(post->slowdown_factor * post->contention_factor);
+        out.slow_start += post->slow_start.since.has_value();
+        paces.push_back(post->load.slowdown_factor * post->load.contention_factor);
         double* const by_standing[] = {&out.healthy, &out.suspect, &out.ejected, &out.recovering};
-        ++*by_standing[static_cast<int>(post->health)];
-        if (post->health == HealthState::suspect || post->health == HealthState::ejected)
+        ++*by_standing[static_cast<int>(post->health.state)];
+        if (post->health.state == HealthState::suspect || post->health.state == HealthState::ejected)
             out.in_flight_at_unhealthy += static_cast<double>(post->in_flight.size());
     }
     if (!paces.empty()) {
@@ -633,14 +633,14 @@
         if (!post->is_listed && post->in_flight.empty() && post->pool->connection_count() == 0) continue;
         boost::json::object row{
             {"i", name},
-            {"s", post->ready && post->is_listed ? words[static_cast<int>(post->health)] : "not_ready"},
+            {"s", post->ready && post->is_listed ? words[static_cast<int>(post->health.state)] : "not_ready"},
             {"out", post->in_flight.size()},
             {"lines_out", post->pool->in_flight_count()},
             {"queued", post->pool->queued_count()},
             {"lines", post->pool->connection_count()},
             {"pace", tenths(pace_told(*post))}};
-        if (post->reported_load) row["told"] = tenths(*post->reported_load);
-        if (post->slow_start_since) row["cold"] = true;
+        if (post->load.reported_load) row["told"] = tenths(*post->load.reported_load);
+        if (post->slow_start.since) row["cold"] = true;
         out.push_back(std::move(row));
     }
     return out;
@@ -657,7 +657,7 @@
     static constexpr const char* words[] = {"trusted", "suspect", "aside", "easing"};
     for (const auto& [name, post] : endpoints_) {
         open_connections += post->pool->connection_count();
-        auto& slot = standings[post->ready && post->is_listed ? words[static_cast<int>(post->health)] : "not_ready"];
+        auto& slot = standings[post->ready && post->is_listed ? words[static_cast<int>(post->health.state)] : "not_ready"];
         slot = slot.as_int64() + 1;
     }
     const auto told_at = list_confirmed_at();
--- a/src/random/pcg.hpp
+++ b/src/random/pcg.hpp
@@ -1,5 +1,4 @@
-// Chance from a seed: a permuted congruential generator (XSH-RR 64/32). The decision module has its own, since it
-// stands alone.
+/// Seeded pseudo-random numbers: a permuted congruential generator (PCG XSH-RR 64/32, O'Neill 2014).
 #pragma once
 
 #include <cstdint>
@@ -8,18 +7,30 @@
 
 class Pcg {
 public:
-    explicit Pcg(std::uint64_t seed) : state_(seed * 6364136223846793005ULL + 1442695040888963407ULL) { next(); }
+    explicit Pcg(std::uint64_t seed) : state_(seed * multiplier + increment) { next(); }
 
-    double next() {  // from 0 up to 1
+    /// Continues from a raw state, without the scrambling of a seed.
+    static Pcg from_state(std::uint64_t state) {
+        Pcg out;
+        out.state_ = state;
+        return out;
+    }
+
+    /// From 0 up to, but not including, 1.
+    double next() {
         const std::uint64_t old = state_;
-        state_ = old * 6364136223846793005ULL + 1442695040888963407ULL;
+        state_ = old * multiplier + increment;
         const auto shifted = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
-        const auto turn = static_cast<std::uint32_t>(old >> 59);
-        return ((shifted >> turn) | (shifted << ((32 - turn) & 31))) * 0x1p-32;
+        const auto rotation = static_cast<std::uint32_t>(old >> 59);
+        return ((shifted >> rotation) | (shifted << ((32 - rotation) & 31))) * 0x1p-32;
     }
 
 private:
-    std::uint64_t state_;
+    static constexpr std::uint64_t multiplier = 6364136223846793005ULL, increment = 1442695040888963407ULL;
+
+    Pcg() = default;
+
+    std::uint64_t state_{};
 };
 
 }  // namespace plumkeel
--- /dev/null
+++ b/src/scheduler/retry_policy.hpp
@@ -0,0 +1,23 @@
+/// Whether a request may run again, and whether its client may be told that nothing took effect (safety rule 2).
+#pragma once
+
+#include "scheduler/types.hpp"
+
+namespace plumkeel {
+
+/// Whether the outcome proves that the function did not run.
+constexpr bool never_ran(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::unreachable ||
+           outcome == AttemptOutcome::never_sent || outcome == AttemptOutcome::load_failed;
+}
+
+/// Whether the request may be sent (again) to this invoker now, by its class, the attempt limit and its deadline.
+bool may_attempt(const Request& request, const Invoker& invoker, Time now, const Capabilities& capabilities);
+
+/// Whether a rejection, which promises that the request had no effect, is true whatever its attempts did.
+bool may_reject(const Request& request, Time now, const Capabilities& capabilities);
+
+/// Whether an attempt of the request failed with an error at this invoker.
+bool failed_at(const Request& request, const Invoker& invoker);
+
+}  // namespace plumkeel
