--- a/src/gateway/status.cpp
+++ b/src/gateway/status.cpp
@@ -18,19 +18,19 @@
 
 /// How much slower than the average invoker of the fleet it is, as learned.
 double total_slowdown(const Invoker& invoker) {
-    return invoker.type ? invoker.type->slowdown_factor * invoker.slowdown_factor : invoker.slowdown_factor;
+    return invoker.type ? invoker.type->slowdown_factor * invoker.load.slowdown_factor : invoker.load.slowdown_factor;
 }
 
 /// As the status document and the label `standing` of plumkeel_invokers call it.
 std::string_view status_word(const InvokerEndpoint& endpoint) {
     static constexpr std::string_view words[] = {"trusted", "suspect", "aside", "easing"};
-    return endpoint.accepts_attempts() ? words[static_cast<std::size_t>(endpoint.health)] : "not_ready";
+    return endpoint.accepts_attempts() ? words[static_cast<std::size_t>(endpoint.health.state)] : "not_ready";
 }
 
 /// As the log calls it.
 std::string_view health_name(const InvokerEndpoint& endpoint) {
     static constexpr std::string_view names[] = {"healthy", "suspect", "ejected", "recovering"};
-    return endpoint.accepts_attempts() ? names[static_cast<std::size_t>(endpoint.health)] : "not_ready";
+    return endpoint.accepts_attempts() ? names[static_cast<std::size_t>(endpoint.health.state)] : "not_ready";
 }
 
 /// Calls back with the word and the count of each reason that occurred.
@@ -132,8 +132,8 @@
                                 {"queued", pool.queued_count()},
                                 {"connections", pool.connection_count()},
                                 {"slowdown", round_to_tenths(total_slowdown(*endpoint))}};
-        if (endpoint->reported_load) row["reported_load"] = round_to_tenths(*endpoint->reported_load);
-        if (endpoint->slow_start_since) row["slow_start"] = true;
+        if (endpoint->load.reported_load) row["reported_load"] = round_to_tenths(*endpoint->load.reported_load);
+        if (endpoint->slow_start.since) row["slow_start"] = true;
         rows.push_back(std::move(row));
     }
     return rows;
@@ -172,11 +172,11 @@
             ++levels.not_ready;
             continue;
         }
-        levels.slow_start += endpoint->slow_start_since.has_value();
-        slowdowns.push_back(endpoint->slowdown_factor * endpoint->contention_factor);
+        levels.slow_start += endpoint->slow_start.since.has_value();
+        slowdowns.push_back(endpoint->load.slowdown_factor * endpoint->load.contention_factor);
         double* const by_health[] = {&levels.healthy, &levels.suspect, &levels.ejected, &levels.recovering};
-        ++*by_health[static_cast<std::size_t>(endpoint->health)];
-        if (endpoint->health == HealthState::suspect || endpoint->health == HealthState::ejected)
+        ++*by_health[static_cast<std::size_t>(endpoint->health.state)];
+        if (endpoint->health.state == HealthState::suspect || endpoint->health.state == HealthState::ejected)
             levels.in_flight_at_unhealthy += static_cast<double>(endpoint->in_flight.size());
     }
     if (slowdowns.empty()) return;
