--- a/src/scheduler/cached_function_table.hpp
+++ b/src/scheduler/cached_function_table.hpp
@@ -1,5 +1,5 @@
-// What a controller takes a function's standing at invokers to be, by invoker: in the order in which beliefs were
-// formed, and found without a scan where there are many. Plain data; nothing is decided here.
+/// A function's cached copies by invoker: in the order in which the entries were added, and found without a scan where
+/// there are many. Plain data; CachedCopies decides what the entries say.
 #pragma once
 
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -12,12 +12,13 @@
 
 struct Invoker;
 
+/// What an invoker is estimated to hold of a function.
 struct CachedFunction {
     Invoker* invoker{};
-    std::chrono::microseconds expires_at{};  // it lapses then
-    int in_flight{};                         // own attempts of the function there
-    int copies{};                            // thought to stand there
-    int peak_in_flight{};                    // most own attempts there at once, lately
+    std::chrono::microseconds expires_at{};  ///< warm until then
+    int in_flight{};                         ///< own attempts of the function there
+    int copies{};                            ///< estimated number of copies there
+    int peak_in_flight{};                    ///< most own attempts there at once, within the last keep-alive
     std::chrono::microseconds peak_at{};
 };
 
@@ -31,7 +32,7 @@
     auto end() const { return all_.end(); }
     CachedFunction& operator[](std::size_t position) { return all_[position]; }
 
-    // Null where there is none. Pointers hold until the next add() or erase_if().
+    /// Null where there is none. Pointers hold until the next add() or erase_if().
     CachedFunction* find(const Invoker& invoker) {
         if (positions_) {
             const auto found = positions_->find(&invoker);
@@ -42,7 +43,7 @@
         return nullptr;
     }
 
-    // There must be none for this invoker yet.
+    /// There must be none for this invoker yet.
     CachedFunction& add(Invoker& invoker) {
         CachedFunction& cached = all_.emplace_back();
         cached.invoker = &invoker;
@@ -53,10 +54,10 @@
         return cached;
     }
 
-    // `gone` is called once for each, and says whether it is taken out.
-    template <class Gone>
-    void erase_if(Gone gone) {
-        if (std::erase_if(all_, gone) == 0) return;
+    /// `is_erased` is called once for each entry.
+    template <class Predicate>
+    void erase_if(Predicate is_erased) {
+        if (std::erase_if(all_, is_erased) == 0) return;
         positions_.reset();
         if (all_.size() > scanned_at_most) index();
         if (all_.empty()) all_.shrink_to_fit();
--- a/src/scheduler/fleet_table.cpp
+++ b/src/scheduler/fleet_table.cpp
@@ -35,26 +35,27 @@
     all_.pop_back();
 }
 
-void FleetTable::add_to_totals(const FleetContribution& share, std::int64_t sign) {
-    if (!share.ready) return;
+void FleetTable::add_to_totals(const FleetContribution& contribution, std::int64_t sign) {
+    if (!contribution.ready) return;
     totals_.ready += static_cast<std::size_t>(sign);
-    totals_.healthy += static_cast<std::size_t>(share.healthy ? sign : 0);
-    totals_.attempts += share.attempts * static_cast<std::size_t>(sign);
-    totals_.ready_micro_capacity += share.micro_capacity * sign;
-    totals_.warm_micro_capacity += share.warm ? share.micro_capacity * sign : 0;
+    totals_.healthy += static_cast<std::size_t>(contribution.healthy ? sign : 0);
+    totals_.attempts += contribution.attempts * static_cast<std::size_t>(sign);
+    totals_.ready_micro_capacity += contribution.micro_capacity * sign;
+    totals_.warm_micro_capacity += contribution.warm ? contribution.micro_capacity * sign : 0;
 }
 
-void FleetTable::set_contribution(Invoker& invoker, const FleetContribution& share, Moment used) {
-    FleetTableEntry& place = entry_of(invoker);
-    add_to_totals(place.contribution, -1);
-    add_to_totals(share, 1);
-    if (share.needs_sweep && !place.contribution.needs_sweep) to_sweep_.emplace(place.number, &invoker);
-    if (!share.needs_sweep && place.contribution.needs_sweep) to_sweep_.erase(place.number);
-    if (place.contribution.ready && (!share.ready || place.last_used_at != used)) recent_.erase(recent_key(place));
-    const bool enters = share.ready && (!place.contribution.ready || place.last_used_at != used);
-    place.last_used_at = used;
-    place.contribution = share;
-    if (enters) recent_.emplace(recent_key(place), &invoker);
+void FleetTable::set_contribution(Invoker& invoker, const FleetContribution& contribution, Moment last_used_at) {
+    FleetTableEntry& entry = entry_of(invoker);
+    add_to_totals(entry.contribution, -1);
+    add_to_totals(contribution, 1);
+    if (contribution.needs_sweep && !entry.contribution.needs_sweep) to_sweep_.emplace(entry.number, &invoker);
+    if (!contribution.needs_sweep && entry.contribution.needs_sweep) to_sweep_.erase(entry.number);
+    if (entry.contribution.ready && (!contribution.ready || entry.last_used_at != last_used_at))
+        recent_.erase(recent_key(entry));
+    const bool is_added = contribution.ready && (!entry.contribution.ready || entry.last_used_at != last_used_at);
+    entry.last_used_at = last_used_at;
+    entry.contribution = contribution;
+    if (is_added) recent_.emplace(recent_key(entry), &invoker);
 }
 
 std::vector<Invoker*> FleetTable::to_sweep() {
@@ -64,16 +65,16 @@
 
 void FleetTable::set_slow_start(Invoker& invoker, Moment since) {
     clear_slow_start(invoker);
-    FleetTableEntry& place = entry_of(invoker);
-    place.in_slow_start = true;
-    place.slow_start_since = since;
-    slow_start_.emplace(std::pair(since, place.number), &invoker);
+    FleetTableEntry& entry = entry_of(invoker);
+    entry.in_slow_start = true;
+    entry.slow_start_since = since;
+    slow_start_.emplace(std::pair(since, entry.number), &invoker);
 }
 
 void FleetTable::clear_slow_start(Invoker& invoker) {
-    FleetTableEntry& place = entry_of(invoker);
-    if (place.in_slow_start) slow_start_.erase({place.slow_start_since, place.number});
-    place.in_slow_start = false;
+    FleetTableEntry& entry = entry_of(invoker);
+    if (entry.in_slow_start) slow_start_.erase({entry.slow_start_since, entry.number});
+    entry.in_slow_start = false;
 }
 
 Invoker* FleetTable::oldest_slow_start(Moment since_at_most) const {
@@ -81,11 +82,11 @@
                                                                                    : slow_start_.begin()->second;
 }
 
-void FleetTable::set_delisted(Invoker& invoker, bool left) {
-    FleetTableEntry& place = entry_of(invoker);
-    if (left && !place.is_delisted) delisted_.emplace(place.number, &invoker);
-    if (!left && place.is_delisted) delisted_.erase(place.number);
-    place.is_delisted = left;
+void FleetTable::set_delisted(Invoker& invoker, bool is_delisted) {
+    FleetTableEntry& entry = entry_of(invoker);
+    if (is_delisted && !entry.is_delisted) delisted_.emplace(entry.number, &invoker);
+    if (!is_delisted && entry.is_delisted) delisted_.erase(entry.number);
+    entry.is_delisted = is_delisted;
 }
 
 std::vector<Invoker*> FleetTable::delisted() {
--- a/src/scheduler/fleet_table.hpp
+++ b/src/scheduler/fleet_table.hpp
@@ -1,5 +1,6 @@
-// The invokers that a controller knows, and the few of them that its periodic work has to look at, kept ready as things
-// change: so that a sweep costs what has happened and not the size of the fleet. Plain data; nothing is decided here.
+/// The invokers that a controller knows, and the few of them that its periodic work has to visit, kept in step with
+/// every change: so that a sweep costs what has happened and not the size of the fleet. Plain data; nothing is decided
+/// here.
 #pragma once
 
 #include <chrono>
@@ -13,15 +14,15 @@
 
 struct Invoker;
 
-// What one invoker adds to the totals of the fleet.
+/// What one invoker adds to the totals of the fleet.
 struct FleetContribution {
-    bool ready{};            // listed, and takes new attempts
-    bool healthy{};          // ready, and nothing speaks against it
-    bool warm{};             // ready, trusted, and not in a cold start
-    bool needs_sweep{};      // the sweep has to look at it
-    std::size_t attempts{};  // own ones out there, where it is ready
-    std::int64_t
-        micro_capacity{};  // its units in millionths, where it is ready: sums of integers do not depend on their order
+    bool ready{};                   ///< listed, and takes new attempts
+    bool healthy{};                 ///< accepts requests by its health, and has few errors
+    bool warm{};                    ///< healthy, and not in slow start
+    bool needs_sweep{};             ///< the sweep has to visit it
+    std::size_t attempts{};         ///< own ones in flight there, where it is ready
+    std::int64_t micro_capacity{};  ///< its capacity in millionths, where it is ready: sums of integers do not depend
+                                    ///< on their order
 };
 
 struct FleetTotals {
@@ -29,9 +30,9 @@
     std::int64_t ready_micro_capacity{}, warm_micro_capacity{};
 };
 
-// Kept by the table in each invoker.
+/// Kept by the table in each invoker.
 struct FleetTableEntry {
-    std::uint64_t number{};  // in the order in which invokers were met, from 1
+    std::uint64_t number{};  ///< in the order in which invokers were added, from 1
     std::size_t position{};
     FleetContribution contribution;
     std::chrono::microseconds last_used_at{}, slow_start_since{}, delisted_at{};
@@ -45,20 +46,20 @@
     void add(Invoker& invoker);
     void remove(Invoker& invoker);
     std::size_t size() const { return all_.size(); }
-    // Every invoker, in no order that means anything: for what has to touch the whole fleet.
+    /// Every invoker, in no particular order: for what has to touch the whole fleet.
     template <class What>
     void for_each(What what) {
         examined_ += all_.size();
         for (Invoker* invoker : all_) what(*invoker);
     }
 
-    // Its share from now on, and when it was last sent something.
-    void set_contribution(Invoker& invoker, const FleetContribution& share, Moment used);
+    /// Replaces what the invoker contributes, and when it was last sent something.
+    void set_contribution(Invoker& invoker, const FleetContribution& contribution, Moment last_used_at);
     const FleetTotals& totals() const { return totals_; }
 
-    // Those the sweep has to look at, in the order in which they were met.
+    /// Those the sweep has to visit, in the order in which they were added.
     std::vector<Invoker*> to_sweep();
-    // Ready ones, those used last first, then in the order in which they were met; `what` returns false to stop.
+    /// Ready ones, those used last first, then in the order in which they were added; `what` returns false to stop.
     template <class What>
     void for_recently_used(What what) {
         for (const auto& [key, invoker] : recent_) {
@@ -67,16 +68,16 @@
         }
     }
 
-    // In a cold start since then; the oldest first.
+    /// In slow start since then.
     void set_slow_start(Invoker& invoker, Moment since);
     void clear_slow_start(Invoker& invoker);
     Invoker* oldest_slow_start(Moment since_at_most) const;
 
-    // Off the list, in the order in which they were met.
-    void set_delisted(Invoker& invoker, bool left);
+    /// Off the endpoint list, in the order in which they were added.
+    void set_delisted(Invoker& invoker, bool is_delisted);
     std::vector<Invoker*> delisted();
 
-    std::uint64_t examined() const { return examined_; }  // invokers looked at, over the table's life
+    std::uint64_t examined() const { return examined_; }  ///< invokers visited, over the table's life
 
 private:
     using Number = std::uint64_t;
@@ -84,7 +85,7 @@
     std::pair<Moment, Number> recent_key(const FleetTableEntry& place) const {
         return {-place.last_used_at, place.number};
     }
-    void add_to_totals(const FleetContribution& share, std::int64_t sign);
+    void add_to_totals(const FleetContribution& contribution, std::int64_t sign);
 
     std::vector<Invoker*> all_;
     std::map<Number, Invoker*> to_sweep_, delisted_;
--- a/src/scheduler/function_table.cpp
+++ b/src/scheduler/function_table.cpp
@@ -13,16 +13,16 @@
 }
 
 void FunctionTable::remove(Function& function) {
-    FunctionTableEntry& place = function.table_entry;
-    (place.called_again ? again_ : once_).erase(place.recency);
-    if (place.review_at != Moment::max()) reviews_.erase({place.review_at, place.number});
+    FunctionTableEntry& entry = function.table_entry;
+    (entry.called_again ? again_ : once_).erase(entry.recency);
+    if (entry.review_at != Moment::max()) reviews_.erase({entry.review_at, entry.number});
     for (Set* const set : {&with_parked, &loading, &replicated}) set->set(function, false);
 }
 
 void FunctionTable::called_again(Function& function) {
-    FunctionTableEntry& place = function.table_entry;
-    again_.splice(again_.end(), place.called_again ? again_ : once_, place.recency);
-    place.called_again = true;
+    FunctionTableEntry& entry = function.table_entry;
+    again_.splice(again_.end(), entry.called_again ? again_ : once_, entry.recency);
+    entry.called_again = true;
 }
 
 void FunctionTable::touch(Function& function) {
@@ -31,17 +31,17 @@
 }
 
 Function* FunctionTable::eviction_candidate(std::size_t once_at_most) const {
-    const bool of_once = once_.size() > once_at_most || again_.empty();
-    const std::list<Function*>& list = of_once ? once_ : again_;
+    const bool from_once = once_.size() > once_at_most || again_.empty();
+    const std::list<Function*>& list = from_once ? once_ : again_;
     return list.empty() ? nullptr : list.front();
 }
 
 void FunctionTable::schedule_review(Function& function, Moment at) {
-    FunctionTableEntry& place = function.table_entry;
-    if (at >= place.review_at) return;
-    if (place.review_at != Moment::max()) reviews_.erase({place.review_at, place.number});
-    place.review_at = at;
-    reviews_.emplace(std::pair(at, place.number), &function);
+    FunctionTableEntry& entry = function.table_entry;
+    if (at >= entry.review_at) return;
+    if (entry.review_at != Moment::max()) reviews_.erase({entry.review_at, entry.number});
+    entry.review_at = at;
+    reviews_.emplace(std::pair(at, entry.number), &function);
 }
 
 std::vector<Function*> FunctionTable::take_due_reviews(Moment now) {
--- a/src/scheduler/function_table.hpp
+++ b/src/scheduler/function_table.hpp
@@ -1,8 +1,8 @@
-// The functions that a controller holds: how recently each was called, and those few that wait, load, stand at several
-// invokers or are due to be looked at. Plain data; nothing is decided here.
-//
-// Recency is that of a segmented LRU: functions called once stand apart from those called again, so that a flood of
-// names that are called but once does not wash out the others.
+/// The functions that a controller holds: how recently each was called, and the few that have parked requests, load,
+/// are warm at several invokers or are due for a review. Plain data; nothing is decided here.
+///
+/// Recency is that of a segmented LRU: functions called once are kept apart from those called again, so that a flood of
+/// names that are called but once does not evict the others.
 #pragma once
 
 #include <chrono>
@@ -18,9 +18,9 @@
 
 struct Function;
 
-// Kept by the table in each function.
+/// Kept by the table in each function.
 struct FunctionTableEntry {
-    std::uint64_t number{};  // in the order in which functions were met, from 1
+    std::uint64_t number{};  ///< in the order in which functions were added, from 1
     std::list<Function*>::iterator recency;
     bool called_again{};
     std::chrono::microseconds review_at = std::chrono::microseconds::max();
@@ -31,23 +31,23 @@
     using Moment = std::chrono::microseconds;
     using Number = std::uint64_t;
 
-    // It counts as called once.
+    /// It counts as called once.
     void add(Function& function);
     void remove(Function& function);
     std::size_t size() const { return once_.size() + again_.size(); }
     void called_again(Function& function);
-    // The least recently called of those called once, where these are over the stated number, else of the others; null
-    // where there is none.
+    /// The least recently called of those called once, where these are over the stated number, else of the others; null
+    /// where there is none.
     Function* eviction_candidate(std::size_t once_at_most) const;
-    // As if it had just been called: it is in use.
+    /// Makes it the most recently used, without counting a call.
     void touch(Function& function);
 
-    // Has its beliefs and disuse looked at no later than then.
+    /// Has it reviewed no later than then.
     void schedule_review(Function& function, Moment at);
-    // Takes those due from the list of checks; in the order in which they were met.
+    /// Removes those due from the schedule; in the order in which they were added.
     std::vector<Function*> take_due_reviews(Moment now);
 
-    // Small sets, in the order in which functions were met.
+    /// A small set, in the order in which functions were added.
     class Set {
     public:
         void set(Function& function, bool is_member);
@@ -56,9 +56,9 @@
     private:
         std::map<Number, Function*> members_;
     };
-    Set with_parked;  // their clock for parked requests runs
-    Set loading;      // their one load is out
-    Set replicated;   // with beliefs of several invokers
+    Set with_parked;  ///< the backoff of their parked requests runs
+    Set loading;      ///< their one load is in progress
+    Set replicated;   ///< with cached copies at several invokers
 
 private:
     std::list<Function*> once_, again_;
--- a/src/scheduler/placement_index.cpp
+++ b/src/scheduler/placement_index.cpp
@@ -11,10 +11,12 @@
 namespace plumkeel {
 namespace {
 
-constexpr std::size_t least_log = 64;  // changes kept however small the fleet is
-constexpr std::size_t dear = 4;        // places moved for each listed invoker, beyond which a search is cheaper
-constexpr std::size_t headroom = 4;    // a search finds a quarter more than are needed: the need of a favourite wavers
-constexpr std::size_t generous = 8, spare = 128;  // homes longer than so many times the need, and this, are cut
+constexpr std::size_t min_log_size = 64;          // changes kept however small the fleet is
+constexpr std::size_t max_moves_per_invoker = 4;  // beyond so many moved places for each invoker a search is cheaper
+constexpr std::size_t headroom_divisor =
+    4;  // a search finds a quarter more than needed: a popular function's need varies
+constexpr std::size_t max_excess_factor = 8,
+                      max_excess = 128;  // homes longer than so many times the need, and this, are cut
 
 std::uint64_t upper_bits(std::uint64_t key, std::uint64_t invoker_hash) {
     return mix(key ^ invoker_hash) >> 11;
@@ -103,14 +105,14 @@
 void PlacementIndex::log(const Change& change) {
     ++version_;
     changes_.push_back(change);
-    while (changes_.size() > std::max(least_log, entries_.size())) changes_.pop_front();
+    while (changes_.size() > std::max(min_log_size, entries_.size())) changes_.pop_front();
 }
 
 const std::vector<PlacementIndex::Place>& PlacementIndex::find(std::uint64_t key, Homes& homes, std::size_t count) {
     const std::size_t needed = std::min(count, entries_.size());
     const bool current = catch_up(key, homes);
     if (!current || homes.first.size() < needed) search(key, homes, needed);
-    if (homes.first.size() > generous * needed + spare) trim(homes, needed);
+    if (homes.first.size() > max_excess_factor * needed + max_excess) trim(homes, needed);
     return homes.first;
 }
 
@@ -119,7 +121,7 @@
 bool PlacementIndex::catch_up(std::uint64_t key, Homes& homes) {
     const std::uint64_t behind = version_ - homes.version;
     if (homes.version == 0 || behind > changes_.size()) return false;
-    if (behind * homes.first.size() > dear * entries_.size()) return false;
+    if (behind * homes.first.size() > max_moves_per_invoker * entries_.size()) return false;
     for (std::size_t i = changes_.size() - behind; i < changes_.size(); ++i) {
         const Change& change = changes_[i];
         const auto rank = rank_within(key, change.entry.hash, change.entry.weight, homes.reach);
@@ -136,7 +138,7 @@
 
 void PlacementIndex::search(std::uint64_t key, Homes& homes, std::size_t count) {
     homes.version = version_;
-    homes.reach = reach_for(std::max<std::size_t>(count + count / headroom, 1), entries_.size(), weights_);
+    homes.reach = reach_for(std::max<std::size_t>(count + count / headroom_divisor, 1), entries_.size(), weights_);
     collect(key, homes);
     while (homes.first.size() < count) {
         homes.reach = count < entries_.size() ? homes.reach * 2 : std::numeric_limits<double>::infinity();
@@ -172,7 +174,7 @@
 }
 
 void PlacementIndex::trim(Homes& homes, std::size_t count) {
-    homes.first.resize(2 * count + spare / 4);
+    homes.first.resize(2 * count + max_excess / 4);
     homes.first.shrink_to_fit();
     homes.reach = homes.first.back().rank;
 }
--- a/tests/placement_index_test.cpp
+++ b/tests/placement_index_test.cpp
@@ -1,4 +1,4 @@
-// The index against the order it stands for: every invoker ranked for the key, sorted.
+/// The index against the order that it stands for: every invoker ranked for the key, sorted.
 #include "scheduler/placement_index.hpp"
 
 #include <gtest/gtest.h>
@@ -52,12 +52,12 @@
     std::map<const Invoker*, double> listed_;
 };
 
-TEST_F(PlacementIndexTest, AnEmptyOneFindsNothing) {
+TEST_F(PlacementIndexTest, EmptyIndexFindsNothing) {
     PlacementIndex::Homes homes;
     EXPECT_TRUE(index_.find(7, homes, 3).empty());
 }
 
-TEST_F(PlacementIndexTest, FindsTheFirstPlacesOfTheWholeOrder) {
+TEST_F(PlacementIndexTest, FindsTheFirstInvokersOfTheWholeOrder) {
     for (int i = 0; i < 1000; ++i) add(1 + i % 5);
     for (std::uint64_t key = 1; key < 200; ++key)
         for (const std::size_t count : {1, 3, 64, 900, 1000, 2000}) {
@@ -66,7 +66,7 @@
         }
 }
 
-TEST_F(PlacementIndexTest, WeightsFarApartAreFoundAsWell) {
+TEST_F(PlacementIndexTest, FindsInvokersOfVeryDifferentWeights) {
     add(1000);
     for (int i = 0; i < 300; ++i) add(i % 3 ? 0.001 : 40);
     for (std::uint64_t key = 1; key < 50; ++key) {
@@ -75,8 +75,8 @@
     }
 }
 
-// Homes kept by their owners while the list changes, each looked at now and then, some seldom.
-TEST_F(PlacementIndexTest, FollowsChangesAsASearchWould) {
+// Homes kept by their owners while the list changes, each used now and then, some seldom.
+TEST_F(PlacementIndexTest, UpdatedHomesEqualANewSearch) {
     Pcg random(5);
     for (int i = 0; i < 300; ++i) add(4);
     struct Owner {
@@ -103,7 +103,7 @@
     for (Owner& owner : owners) EXPECT_EQ(found(owner.key, owner.homes, owner.count), expected(owner.key, owner.count));
 }
 
-TEST_F(PlacementIndexTest, AChangeCostsInStepWithTheChange) {
+TEST_F(PlacementIndexTest, UpdateCostIsProportionalToChanges) {
     for (int i = 0; i < 10'000; ++i) add();
     PlacementIndex::Homes homes;
     index_.find(mix(9), homes, 3);
@@ -112,10 +112,10 @@
         remove(*invokers_[static_cast<std::size_t>(i)]);
         index_.find(mix(9), homes, 3);
     }
-    EXPECT_LE(index_.hashed() - before, 100u + 10'000u) << "one look a change, and at most one new search";
+    EXPECT_LE(index_.hashed() - before, 100u + 10'000u) << "one rank a change, and at most one new search";
 }
 
-TEST_F(PlacementIndexTest, KeepsFewPlacesHoweverLargeTheFleet) {
+TEST_F(PlacementIndexTest, HomesStayShortInALargeFleet) {
     for (int i = 0; i < 10'000; ++i) add();
     for (std::uint64_t key = 1; key < 100; ++key) {
         PlacementIndex::Homes homes;
@@ -124,11 +124,11 @@
         index_.find(mix(key), homes, 5000);
         EXPECT_GE(homes.first.size(), 5000u);
         index_.find(mix(key), homes, 3);
-        EXPECT_LE(homes.first.size(), 64u) << "what is not needed any more is let go";
+        EXPECT_LE(homes.first.size(), 64u) << "what is not needed any more is released";
     }
 }
 
-TEST_F(PlacementIndexTest, AnUnchangedWeightIsNoChange) {
+TEST_F(PlacementIndexTest, UnchangedWeightIsNoChange) {
     Invoker& invoker = *add(2);
     for (int i = 0; i < 100; ++i) add(2);
     PlacementIndex::Homes homes;
@@ -139,8 +139,8 @@
     EXPECT_EQ(index_.hashed(), before);
 }
 
-// What controllers agree on without talk must not depend on the order in which they heard of the fleet.
-TEST_F(PlacementIndexTest, TheOrderOfTellingDoesNotMatter) {
+// What controllers agree on without talking must not depend on the order in which they learned of the fleet.
+TEST_F(PlacementIndexTest, InsertionOrderDoesNotMatter) {
     for (int i = 0; i < 200; ++i) add(1 + i % 3);
     PlacementIndex other;
     for (auto it = invokers_.rbegin(); it != invokers_.rend(); ++it)
--- a/tests/dispatch_tables_test.cpp
+++ b/tests/scheduler_tables_test.cpp
@@ -1,4 +1,4 @@
-// The module's plain tables, each against the simplest thing that would do the same.
+/// The scheduler's plain tables, each against the simplest thing that would do the same.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(BeliefTable, FindsAsAScanWouldAndKeepsTheOrder) {
+TEST(CachedFunctionTable, FindsLikeALinearScanAndKeepsTheOrder) {
     std::vector<Invoker> invokers(200);
     CachedFunctionTable table;
     std::vector<const Invoker*> expected;
@@ -50,7 +50,7 @@
     FunctionTable table_;
 };
 
-TEST_F(FunctionTableTest, TheOldestIsOfThoseCalledOnceWhereTheseAreMany) {
+TEST_F(FunctionTableTest, EvictionCandidateIsCalledOnceWhereTheseAreMany) {
     Function &a = add(), &b = add(), &c = add();
     table_.called_again(a);
     table_.called_again(b);
@@ -67,7 +67,7 @@
     EXPECT_EQ(table_.size(), 0u);
 }
 
-TEST_F(FunctionTableTest, ChecksAreTakenOnceAtTheEarliestTimeAsked) {
+TEST_F(FunctionTableTest, ReviewsAreTakenOnceAtTheEarliestScheduledTime) {
     Function &a = add(), &b = add(), &c = add();
     table_.schedule_review(c, 3s);
     table_.schedule_review(a, 5s);
@@ -75,13 +75,13 @@
     table_.schedule_review(a, 9s);
     table_.schedule_review(b, 7s);
     EXPECT_TRUE(table_.take_due_reviews(1s).empty());
-    EXPECT_EQ(table_.take_due_reviews(4s), (std::vector<Function*>{&a, &c})) << "in the order in which they were met";
+    EXPECT_EQ(table_.take_due_reviews(4s), (std::vector<Function*>{&a, &c})) << "in the order in which they were added";
     EXPECT_TRUE(table_.take_due_reviews(6s).empty());
     table_.remove(b);
     EXPECT_TRUE(table_.take_due_reviews(10s).empty());
 }
 
-TEST_F(FunctionTableTest, ARemovedFunctionIsInNoSet) {
+TEST_F(FunctionTableTest, RemovedFunctionIsInNoSet) {
     Function &a = add(), &b = add();
     for (Function* each : {&b, &a}) {
         table_.with_parked.set(*each, true);
@@ -104,40 +104,40 @@
     FleetTable table_;
 };
 
-TEST_F(FleetTableTest, TotalsAreWhatASumOverAllWouldGive) {
+TEST_F(FleetTableTest, TotalsEqualTheSumOverAllInvokers) {
     Pcg random(8);
-    std::vector<FleetContribution> shares(invokers_.size());
+    std::vector<FleetContribution> contributions(invokers_.size());
     for (int step = 0; step < 5000; ++step) {
         const auto at = static_cast<std::size_t>(random.next() * 60);
-        FleetContribution& share = shares[at];
-        share.ready = random.next() < 0.7;
-        share.healthy = random.next() < 0.8;
-        share.warm = random.next() < 0.8;
-        share.needs_sweep = random.next() < 0.3;
-        share.attempts = static_cast<std::size_t>(random.next() * 5);
-        share.micro_capacity = static_cast<std::int64_t>(random.next() * 8e6);
-        table_.set_contribution(invokers_[at], share, Time(step % 50));
+        FleetContribution& contribution = contributions[at];
+        contribution.ready = random.next() < 0.7;
+        contribution.healthy = random.next() < 0.8;
+        contribution.warm = random.next() < 0.8;
+        contribution.needs_sweep = random.next() < 0.3;
+        contribution.attempts = static_cast<std::size_t>(random.next() * 5);
+        contribution.micro_capacity = static_cast<std::int64_t>(random.next() * 8e6);
+        table_.set_contribution(invokers_[at], contribution, Time(step % 50));
         FleetTotals sum;
-        std::vector<Invoker*> watched;
-        for (std::size_t i = 0; i < shares.size(); ++i) {
-            if (shares[i].needs_sweep) watched.push_back(&invokers_[i]);
-            if (!shares[i].ready) continue;
+        std::vector<Invoker*> to_sweep;
+        for (std::size_t i = 0; i < contributions.size(); ++i) {
+            if (contributions[i].needs_sweep) to_sweep.push_back(&invokers_[i]);
+            if (!contributions[i].ready) continue;
             ++sum.ready;
-            sum.healthy += shares[i].healthy;
-            sum.attempts += shares[i].attempts;
-            sum.ready_micro_capacity += shares[i].micro_capacity;
-            sum.warm_micro_capacity += shares[i].warm ? shares[i].micro_capacity : 0;
+            sum.healthy += contributions[i].healthy;
+            sum.attempts += contributions[i].attempts;
+            sum.ready_micro_capacity += contributions[i].micro_capacity;
+            sum.warm_micro_capacity += contributions[i].warm ? contributions[i].micro_capacity : 0;
         }
         ASSERT_EQ(table_.totals().ready, sum.ready);
         ASSERT_EQ(table_.totals().healthy, sum.healthy);
         ASSERT_EQ(table_.totals().attempts, sum.attempts);
         ASSERT_EQ(table_.totals().ready_micro_capacity, sum.ready_micro_capacity);
         ASSERT_EQ(table_.totals().warm_micro_capacity, sum.warm_micro_capacity);
-        ASSERT_EQ(table_.to_sweep(), watched);
+        ASSERT_EQ(table_.to_sweep(), to_sweep);
     }
 }
 
-TEST_F(FleetTableTest, ThoseUsedLastComeFirstAndThoseNotReadyNotAtAll) {
+TEST_F(FleetTableTest, RecentlyUsedInvokersComeFirstAndOnlyReadyOnes) {
     FleetContribution ready;
     ready.ready = true;
     for (Invoker& invoker : invokers_) table_.set_contribution(invoker, ready, Time{});
@@ -152,7 +152,7 @@
     EXPECT_EQ(seen, (std::vector<Invoker*>{&invokers_[9], &invokers_[7], &invokers_[1], &invokers_[2]}));
 }
 
-TEST_F(FleetTableTest, ColdStartsEndOldestFirstAndARemovedInvokerIsNowhere) {
+TEST_F(FleetTableTest, SlowStartsEndOldestFirstAndRemovedInvokerIsInNoList) {
     table_.set_slow_start(invokers_[3], 4s);
     table_.set_slow_start(invokers_[1], 2s);
     table_.set_slow_start(invokers_[2], 3s);
