--- a/emulator/promql/aggregation.cpp
+++ b/emulator/promql/aggregation.cpp
@@ -15,18 +15,6 @@
 
 }  // namespace
 
-Labels Grouping::key(const Labels& labels_of_element) const {
-    if (type == Type::without) {
-        Labels kept = without_metric_name(labels_of_element);
-        for (const std::string& label : labels) kept.erase(label);
-        return kept;
-    }
-    Labels kept;
-    for (const std::string& label : labels)
-        if (const auto it = labels_of_element.find(label); it != labels_of_element.end()) kept.insert(*it);
-    return kept;
-}
-
 std::optional<Kind> Aggregation::find(std::string_view name) {
     const auto* const it =
         std::find_if(std::begin(names), std::end(names), [&](const auto& each) { return each.first == name; });
@@ -61,7 +49,7 @@
 Vector Aggregation::evaluate(const Database& data, std::int64_t ms) const {
     std::map<Labels, Group> groups;
     for (const VectorElement& element : operand_->evaluate(data, ms))
-        groups[grouping_.key(element.labels)].add(element.value);
+        groups[grouping_.select(element.labels)].add(element.value);
     Vector vector;
     for (const auto& [labels, group] : groups) vector.push_back({labels, result(group)});
     return vector;
--- a/emulator/promql/aggregation.hpp
+++ b/emulator/promql/aggregation.hpp
@@ -2,31 +2,21 @@
 #pragma once
 
 #include <optional>
-#include <string>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "emulator/promql/expression.hpp"
+#include "emulator/promql/label_selection.hpp"
 
 namespace plumkeel::promql {
 
-/// Which labels the groups of an aggregation keep.
-struct Grouping {
-    enum class Type { by, without };
-    Type type = Type::by;
-    std::vector<std::string> labels;
-
-    Labels key(const Labels& labels_of_element) const;
-};
-
 class Aggregation : public Expression {
 public:
     enum class Kind { sum, max, min, avg, count };
     /// Empty where no aggregation has the name.
     static std::optional<Kind> find(std::string_view name);
 
-    Aggregation(Kind kind, Grouping grouping, ExpressionPtr operand)
+    Aggregation(Kind kind, LabelSelection grouping, ExpressionPtr operand)
         : kind_(kind), grouping_(std::move(grouping)), operand_(std::move(operand)) {}
     Vector evaluate(const Database& data, std::int64_t ms) const override;
 
@@ -39,7 +29,7 @@
     double result(const Group& group) const;
 
     const Kind kind_;
-    const Grouping grouping_;
+    const LabelSelection grouping_;
     const ExpressionPtr operand_;
 };
 
--- a/emulator/promql/alert_rules.cpp
+++ b/emulator/promql/alert_rules.cpp
@@ -120,6 +120,7 @@
 std::vector<AlertTransition> evaluate_rules(const RuleFile& file, const Database& data) {
     std::vector<AlertTransition> transitions;
     std::vector<AlertTracker> trackers;
+    trackers.reserve(file.rules.size());
     for (const AlertRule& rule : file.rules) trackers.emplace_back(rule);
     for (std::int64_t ms = data.first_ms(); ms <= data.last_ms(); ms += file.interval_ms)
         for (AlertTracker& tracker : trackers) tracker.evaluate(data, ms, transitions);
--- a/emulator/promql/binary_operation.cpp
+++ b/emulator/promql/binary_operation.cpp
@@ -4,6 +4,7 @@
 #include <iterator>
 #include <map>
 #include <set>
+#include <string>
 
 #include "emulator/promql/error.hpp"
 
@@ -92,18 +93,6 @@
     return info(op).precedence;
 }
 
-Labels VectorMatching::key(const Labels& labels_of_element) const {
-    if (type == Type::ignoring) {
-        Labels kept = without_metric_name(labels_of_element);
-        for (const std::string& label : labels) kept.erase(label);
-        return kept;
-    }
-    Labels kept;
-    for (const std::string& label : labels)
-        if (const auto it = labels_of_element.find(label); it != labels_of_element.end()) kept.insert(*it);
-    return kept;
-}
-
 Vector BinaryOperation::evaluate(const Database& data, std::int64_t ms) const {
     Vector left = left_->evaluate(data, ms);
     Vector right = right_->evaluate(data, ms);
@@ -117,20 +106,20 @@
 Vector BinaryOperation::evaluate_set(Vector left, Vector right) const {
     if (operator_ == BinaryOperator::logical_or) return evaluate_union(std::move(left), std::move(right));
     std::set<Labels> right_keys;
-    for (const VectorElement& element : right) right_keys.insert(matching_.key(element.labels));
+    for (const VectorElement& element : right) right_keys.insert(matching_.select(element.labels));
     const bool keep_matches = operator_ == BinaryOperator::logical_and;
     Vector result;
     for (VectorElement& element : left)
-        if (right_keys.contains(matching_.key(element.labels)) == keep_matches) result.push_back(std::move(element));
+        if (right_keys.contains(matching_.select(element.labels)) == keep_matches) result.push_back(std::move(element));
     return result;
 }
 
 Vector BinaryOperation::evaluate_union(Vector left, Vector right) const {
     std::set<Labels> left_keys;
-    for (const VectorElement& element : left) left_keys.insert(matching_.key(element.labels));
+    for (const VectorElement& element : left) left_keys.insert(matching_.select(element.labels));
     Vector result = std::move(left);
     for (VectorElement& element : right)
-        if (!left_keys.contains(matching_.key(element.labels))) result.push_back(std::move(element));
+        if (!left_keys.contains(matching_.select(element.labels))) result.push_back(std::move(element));
     return result;
 }
 
@@ -159,12 +148,12 @@
     const std::string text(to_string(operator_));
     std::map<Labels, double> right_values;
     for (const VectorElement& element : right)
-        if (!right_values.emplace(matching_.key(element.labels), element.value).second)
+        if (!right_values.emplace(matching_.select(element.labels), element.value).second)
             throw Error("several series on the right of " + text + " match one on its left");
     std::set<Labels> matched;
     Vector result;
     for (VectorElement& element : left) {
-        const Labels key = matching_.key(element.labels);
+        const Labels key = matching_.select(element.labels);
         const auto it = right_values.find(key);
         if (it == right_values.end()) continue;
         if (!matched.insert(key).second)
--- a/emulator/promql/binary_operation.hpp
+++ b/emulator/promql/binary_operation.hpp
@@ -2,12 +2,11 @@
 #pragma once
 
 #include <optional>
-#include <string>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "emulator/promql/expression.hpp"
+#include "emulator/promql/label_selection.hpp"
 
 namespace plumkeel::promql {
 
@@ -33,18 +32,9 @@
 /// An operator of greater precedence binds tighter; at least 1. All associate to the left.
 int precedence(BinaryOperator op);
 
-/// Which labels the two sides of an operator are matched by.
-struct VectorMatching {
-    enum class Type { on, ignoring };
-    Type type = Type::ignoring;
-    std::vector<std::string> labels;
-
-    Labels key(const Labels& labels_of_element) const;
-};
-
 class BinaryOperation : public Expression {
 public:
-    BinaryOperation(BinaryOperator op, ExpressionPtr left, ExpressionPtr right, VectorMatching matching = {})
+    BinaryOperation(BinaryOperator op, ExpressionPtr left, ExpressionPtr right, LabelSelection matching)
         : operator_(op), left_(std::move(left)), right_(std::move(right)), matching_(std::move(matching)) {}
     Vector evaluate(const Database& data, std::int64_t ms) const override;
     bool is_scalar() const override { return left_->is_scalar() && right_->is_scalar(); }
@@ -58,7 +48,7 @@
 
     const BinaryOperator operator_;
     const ExpressionPtr left_, right_;
-    const VectorMatching matching_;
+    const LabelSelection matching_;
 };
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/parser.cpp
+++ b/emulator/promql/parser.cpp
@@ -9,6 +9,7 @@
 #include "emulator/promql/binary_operation.hpp"
 #include "emulator/promql/error.hpp"
 #include "emulator/promql/functions.hpp"
+#include "emulator/promql/label_selection.hpp"
 #include "emulator/promql/lexer.hpp"
 #include "emulator/promql/range_function.hpp"
 #include "emulator/promql/selector.hpp"
@@ -18,6 +19,10 @@
 
 constexpr int max_depth = 200;  // nested expressions; each level takes stack space
 
+LabelSelection default_matching() {
+    return {LabelSelection::Type::all_but, {}};
+}
+
 /// Recursive descent, with precedence climbing for binary operators.
 class Parser {
 public:
@@ -49,8 +54,8 @@
     ExpressionPtr parse_histogram_quantile();
     std::unique_ptr<VectorSelector> parse_selector(const std::string& metric_name);
     LabelMatcher parse_matcher();
-    VectorMatching parse_matching();
-    void parse_grouping(Grouping& grouping);
+    LabelSelection parse_matching();
+    void parse_grouping(LabelSelection& grouping);
     std::vector<std::string> parse_label_list();
     std::string parse_identifier() { return expect_kind(Token::Kind::identifier, "a name").text; }
 
@@ -102,16 +107,16 @@
         const auto op = may_be_operator ? find_operator(current().text) : std::nullopt;
         if (!op || precedence(*op) <= min_precedence) return left;
         ++index_;
-        VectorMatching matching = parse_matching();
+        LabelSelection matching = parse_matching();
         ExpressionPtr right = parse_expression(precedence(*op));
         left = std::make_unique<BinaryOperation>(*op, std::move(left), std::move(right), std::move(matching));
     }
 }
 
-VectorMatching Parser::parse_matching() {
-    VectorMatching matching;
+LabelSelection Parser::parse_matching() {
+    LabelSelection matching = default_matching();
     if (!is_next("on") && !is_next("ignoring")) return matching;
-    matching.type = is_next("on") ? VectorMatching::Type::on : VectorMatching::Type::ignoring;
+    if (is_next("on")) matching.type = LabelSelection::Type::only;
     ++index_;
     matching.labels = parse_label_list();
     return matching;
@@ -122,7 +127,7 @@
         enter_level();  // never left: an expression has at most max_depth of these
         ExpressionPtr operand = parse_unary();
         return std::make_unique<BinaryOperation>(BinaryOperator::multiply, std::make_unique<NumberLiteral>(-1),
-                                                 std::move(operand));
+                                                 std::move(operand), default_matching());
     }
     if (accept("(")) {
         ExpressionPtr inner = parse_expression(0);
@@ -150,7 +155,7 @@
 }
 
 ExpressionPtr Parser::parse_aggregation(Aggregation::Kind kind) {
-    Grouping grouping;
+    LabelSelection grouping{LabelSelection::Type::only, {}};
     parse_grouping(grouping);
     expect("(");
     ExpressionPtr operand = parse_expression(0);
@@ -160,9 +165,9 @@
 }
 
 // Before or after the operand.
-void Parser::parse_grouping(Grouping& grouping) {
+void Parser::parse_grouping(LabelSelection& grouping) {
     if (!is_next("by") && !is_next("without")) return;
-    grouping.type = is_next("by") ? Grouping::Type::by : Grouping::Type::without;
+    grouping.type = is_next("by") ? LabelSelection::Type::only : LabelSelection::Type::all_but;
     ++index_;
     grouping.labels = parse_label_list();
 }
--- a/emulator/promql/selector.cpp
+++ b/emulator/promql/selector.cpp
@@ -8,7 +8,7 @@
 namespace plumkeel::promql {
 namespace {
 
-constexpr std::int64_t lookback_ms = 5 * 60 * 1000;  // Prometheus' default lookback delta
+constexpr std::int64_t lookback_ms = std::int64_t{5} * 60 * 1000;  // Prometheus' default lookback delta
 
 }  // namespace
 
@@ -48,7 +48,7 @@
 }
 
 Vector VectorSelector::evaluate(const Database& data, std::int64_t ms) const {
-    if (range_ms_) throw Error(metric_name_ + ": a range vector stands where an instant vector is expected");
+    if (range_ms_) throw Error(metric_name_ + ": expected an instant vector, found a range");
     Vector result;
     for (const Series& series : data.named(metric_name_)) {
         if (!matches(series)) continue;
--- a/src/remote_write/durable_queue.hpp
+++ b/src/remote_write/durable_queue.hpp
@@ -23,7 +23,8 @@
 
 struct QueueConfig {
     std::string folder;
-    std::size_t max_bytes = 256 * 1024 * 1024;  ///< of pending samples, compressed; beyond, the oldest are dropped
+    std::size_t max_bytes =
+        std::size_t{256} * 1024 * 1024;  ///< of pending samples, compressed; beyond, the oldest are dropped
     std::chrono::milliseconds max_age = std::chrono::hours(6);  ///< samples older than this are dropped
     int shards = 4;
 };
--- a/src/remote_write/export_worker.cpp
+++ b/src/remote_write/export_worker.cpp
@@ -34,6 +34,7 @@
 
 std::vector<std::string> ExportWorker::receiver_names() const {
     std::vector<std::string> names;
+    names.reserve(config_.receivers.size());
     for (const ReceiverConfig& receiver : config_.receivers) names.push_back(receiver.name);
     return names;
 }
--- a/src/remote_write/lmdb_store.cpp
+++ b/src/remote_write/lmdb_store.cpp
@@ -14,7 +14,7 @@
 namespace plumkeel::remote_write {
 namespace {
 
-constexpr std::size_t min_map_bytes = 8 * 1024 * 1024;
+constexpr std::size_t min_map_bytes = std::size_t{8} * 1024 * 1024;
 constexpr std::size_t page_bytes = 4096;
 constexpr mdb_mode_t file_mode = 0640;
 constexpr unsigned table_count = 2;
--- a/src/remote_write/queue_format.cpp
+++ b/src/remote_write/queue_format.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t number_bytes = 8;
 constexpr std::size_t entry_key_bytes = number_bytes + 1;
 constexpr std::size_t entry_header_bytes = 3 * number_bytes;
-constexpr std::size_t max_uncompressed_bytes = 256 * 1024 * 1024;  // a header that claims more is damaged
+constexpr std::size_t max_uncompressed_bytes = std::size_t{256} * 1024 * 1024;  // a header that claims more is damaged
 constexpr int compression_level = 1;
 
 // `bytes` must be long enough.
--- a/src/remote_write/sender.cpp
+++ b/src/remote_write/sender.cpp
@@ -10,7 +10,7 @@
 namespace plumkeel::remote_write {
 namespace {
 
-constexpr std::size_t max_response_bytes = 64 * 1024;
+constexpr std::size_t max_response_bytes = std::size_t{64} * 1024;
 constexpr std::size_t max_reported_response_bytes = 200;
 constexpr Time min_sleep{1};
 constexpr unsigned too_many_requests = 429;
@@ -147,7 +147,8 @@
     snappy::Compress(batch.bytes.data(), batch.bytes.size(), &body);
     counters_.wire_bytes += body.size();
     std::string head = request_head(body.size());
-    net::Address address = *net::Address::parse(config_.address);
+    // The configuration has been checked; an address that is not valid only fails to connect.
+    net::Address address = net::Address::parse(config_.address).value_or(net::Address{});
     const auto exchanged = co_await http::exchange(loop_, std::move(address), std::move(head), std::move(body),
                                                    config_.timeout, max_response_bytes);
     if (exchanged.error) {
--- a/src/remote_write/series_encoder.cpp
+++ b/src/remote_write/series_encoder.cpp
@@ -37,7 +37,8 @@
         wire::Label* label = message.add_labels();
         label->set_name(name);
         label->set_value(value);
-        hashed += name + separator + value + separator;
+        hashed.append(name).push_back(separator);
+        hashed.append(value).push_back(separator);
     }
     const std::size_t shard = XXH3_64bits(hashed.data(), hashed.size()) % static_cast<std::size_t>(shards_);
     return {message.SerializeAsString(), shard, 0};
