--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -71,8 +71,9 @@
         return RejectionReason::none;
     }
     std::int64_t ms = 0;
-    const char* const last = milliseconds.data() + milliseconds.size();
-    const auto [end, error] = std::from_chars(milliseconds.data(), last, ms);
+    const char* const first = milliseconds.data();
+    const char* const last = first + milliseconds.size();
+    const auto [end, error] = std::from_chars(first, last, ms);
     if (error != std::errc{} || end != last) return RejectionReason::remaining_invalid;
     // Compared in milliseconds: what a client sends may not fit into microseconds.
     if (ms > limits_.max_remaining / 1ms || std::chrono::milliseconds(ms) < limits_.min_remaining)
@@ -83,7 +84,7 @@
 
 RejectionReason Admission::check_name(std::string_view name) const {
     const bool is_valid =
-        !name.empty() && name.size() <= limits_.max_name_bytes && std::none_of(name.begin(), name.end(), is_control);
+        !name.empty() && name.size() <= limits_.max_name_bytes && std::ranges::none_of(name, is_control);
     return is_valid ? RejectionReason::none : RejectionReason::bad_function;
 }
 
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -62,7 +62,7 @@
     Time accept_pause();
     /// Accepting succeeded: the next pause is the shortest again.
     void accepted() { failed_accepts_ = 0; }
-    /// What a rejected client is told to wait before it retries.
+    /// How long a rejected client is asked to wait before it retries.
     Time retry_after() const { return std::chrono::seconds(1); }
 
     /// From now on requests are rejected as `closing`.
@@ -81,7 +81,7 @@
     std::size_t connections_{}, requests_{}, reserved_bytes_{};
     int failed_accepts_{};
     bool closing_{};
-    std::array<std::uint64_t, static_cast<std::size_t>(RejectionReason::count_)> rejections_{};
+    std::array<std::uint64_t, rejection_reason_count> rejections_{};
 };
 
 }  // namespace plumkeel
--- a/src/admission/rejection.cpp
+++ b/src/admission/rejection.cpp
@@ -30,7 +30,7 @@
     {408, "unread_answer", "the answer was not read", false},
     {503, "closing", "this controller takes no more jobs", true},
 };
-static_assert(std::size(responses) == static_cast<std::size_t>(RejectionReason::count_));
+static_assert(std::size(responses) == rejection_reason_count);
 
 }  // namespace
 
--- a/src/admission/rejection.hpp
+++ b/src/admission/rejection.hpp
@@ -1,6 +1,7 @@
 /// Why the gateway rejects a connection or a request before the scheduler sees it, and what its client is sent then.
 #pragma once
 
+#include <cstddef>
 #include <string_view>
 
 namespace plumkeel {
@@ -26,9 +27,10 @@
     no_descriptors,
     unread_answer,  ///< the client did not read its response
     closing,
-    count_,
 };
 
+constexpr std::size_t rejection_reason_count = static_cast<std::size_t>(RejectionReason::closing) + 1;
+
 /// A rejection as the client is sent it.
 struct RejectionResponse {
     int status;             ///< HTTP status code
--- a/src/gateway/connection_pool.cpp
+++ b/src/gateway/connection_pool.cpp
@@ -1,12 +1,14 @@
 #include "gateway/connection_pool.hpp"
 
+#include <utility>
+
 namespace plumkeel::gateway {
 
 void ConnectionPool::send(std::shared_ptr<UpstreamCall> call) {
     call->deadline_timer_ = loop_.call_at(call->deadline, [this, weak = call->weak_from_this()] {
         if (const auto expired = weak.lock()) stop(*expired, delivery::StopCause::timed_out);
     });
-    if (!enqueue(call)) finish_soon(call, AttemptOutcome::never_sent);
+    if (!enqueue(call)) finish_soon(std::move(call), AttemptOutcome::never_sent);
 }
 
 void ConnectionPool::finish(const std::shared_ptr<UpstreamCall>& call, CallResult result) {
--- a/src/gateway/endpoint_registry.cpp
+++ b/src/gateway/endpoint_registry.cpp
@@ -81,7 +81,7 @@
 std::vector<Invoker*> EndpointRegistry::listed_except(const std::vector<Invoker*>& excluded) const {
     std::vector<Invoker*> result;
     for (const auto& [name, endpoint] : endpoints_)
-        if (endpoint->is_listed && std::find(excluded.begin(), excluded.end(), endpoint.get()) == excluded.end())
+        if (endpoint->is_listed && std::ranges::find(excluded, endpoint.get()) == excluded.end())
             result.push_back(endpoint.get());
     return result;
 }
--- a/src/gateway/invariants.cpp
+++ b/src/gateway/invariants.cpp
@@ -9,7 +9,7 @@
     static constexpr std::string_view names[] = {
         "attempt_after_end",  "attempt_past_deadline", "too_many_attempts", "two_attempts_out",         "unsafe_repeat",
         "attempt_to_drained", "closed_with_requests",  "answered_late",     "refused_what_may_have_run"};
-    static_assert(std::size(names) == static_cast<std::size_t>(Invariant::count_));
+    static_assert(std::size(names) == invariant_count);
     return names[static_cast<std::size_t>(invariant)];
 }
 
--- a/src/gateway/invariants.hpp
+++ b/src/gateway/invariants.hpp
@@ -6,6 +6,7 @@
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <string_view>
 
@@ -24,9 +25,10 @@
     connection_closed_with_requests,  ///< a client's connection was closed by us with requests open on it
     late_response,                    ///< the final response came more than the grace after the deadline
     unproven_rejection,               ///< the client was told that there was no effect, and nothing proves it
-    count_,
 };
 
+constexpr std::size_t invariant_count = static_cast<std::size_t>(Invariant::unproven_rejection) + 1;
+
 /// As in the label of plumkeel_invariants_broken_total, in status and in the log.
 std::string_view name_of(Invariant invariant);
 
@@ -49,7 +51,7 @@
     void report_violation(Invariant invariant, Fields fields);
 
     Log& log_;
-    std::array<std::uint64_t, static_cast<std::size_t>(Invariant::count_)> counts_{};
+    std::array<std::uint64_t, invariant_count> counts_{};
 };
 
 /// Rule 2: whether an attempt of a request of this class may be sent to `next` at `now`, after the attempt at
--- a/src/gateway/status.cpp
+++ b/src/gateway/status.cpp
@@ -36,7 +36,7 @@
 /// Calls back with the word and the count of each reason that occurred.
 template <class Callback>
 void for_each_rejection(const Admission& admission, Callback callback) {
-    for (int i = 1; i < static_cast<int>(RejectionReason::count_); ++i) {
+    for (std::size_t i = 1; i < rejection_reason_count; ++i) {
         const auto reason = static_cast<RejectionReason>(i);
         if (const std::uint64_t count = admission.counted(reason)) callback(response_for(reason).word, count);
     }
@@ -44,7 +44,7 @@
 
 template <class Callback>
 void for_each_invariant(Callback callback) {
-    for (int i = 0; i < static_cast<int>(Invariant::count_); ++i) callback(static_cast<Invariant>(i));
+    for (std::size_t i = 0; i < invariant_count; ++i) callback(static_cast<Invariant>(i));
 }
 
 }  // namespace
@@ -181,9 +181,9 @@
     }
     if (slowdowns.empty()) return;
     const auto middle = slowdowns.begin() + static_cast<std::ptrdiff_t>(slowdowns.size() / 2);
-    std::nth_element(slowdowns.begin(), middle, slowdowns.end());
+    std::ranges::nth_element(slowdowns, middle);
     levels.slowdown_median = *middle;
-    levels.slowdown_worst = *std::max_element(slowdowns.begin(), slowdowns.end());
+    levels.slowdown_worst = *std::ranges::max_element(slowdowns);
 }
 
 std::optional<double> StatusReader::list_age_s() const {
