--- a/scale/platform_run.cpp
+++ b/scale/platform_run.cpp
@@ -145,7 +145,7 @@
     std::optional<double> took_change(std::uint64_t number) const {
         std::ifstream in(log_);
         for (std::string line; std::getline(in, line);) {
-            if (line.find("\"list_changed\"") == std::string::npos) continue;
+            if (line.find("\"endpoints_updated\"") == std::string::npos) continue;
             const json::object told = json::parse(line).as_object();
             if (told.at("event").to_number<std::uint64_t>() == number) return told.at("at").to_number<double>();
         }
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -3,6 +3,7 @@
 #include <fstream>
 #include <iostream>
 #include <iterator>
+#include <optional>
 
 #include "config/jsonnet_reader.hpp"
 #include "http/exchange.hpp"
@@ -15,67 +16,87 @@
 using namespace std::chrono_literals;
 namespace field = protocol::field;
 
-// The answer, or nothing once the reason is told.
-std::optional<http::bh::response<http::bh::string_body>> ask(const std::string& at, std::string head, std::string body,
-                                                             Time limit) {
-    const auto address = net::Address::parse(at);
-    if (!address) throw ConfigError("--at " + at + ": is no address such as 127.0.0.1:7400");
+constexpr Time status_timeout = 5s;
+constexpr Time send_margin = 2s;  // beyond the request's own time, for the response to arrive
+constexpr unsigned http_ok = 200;
+
+// Words of the outcome header.
+constexpr std::string_view succeeded_word = "honoured", rejected_word = "bounced";
+
+using Response = http::bh::response<http::bh::string_body>;
+
+// The response; nothing if there was none, after the reason was printed.
+std::optional<Response> exchange(const std::string& gateway, std::string head, std::string body, Time timeout) {
+    const auto address = net::Address::parse(gateway);
+    if (!address) throw ConfigError("--at: found \"" + gateway + "\", expected an address such as 127.0.0.1:7400");
     net::SocketEventLoop loop;
-    http::Exchanged got;
+    http::Exchanged exchanged;
     auto run = [&]() -> net::Task<> {
-        got = co_await http::exchange(loop, *address, std::move(head), std::move(body), limit);
+        exchanged = co_await http::exchange(loop, *address, std::move(head), std::move(body), timeout);
         loop.stop();
     };
     loop.spawn(run());
     loop.run();
-    if (!got.error) return std::move(got.answer);
-    std::cerr << "plumkeel: no answer from " << at << ": " << got.error.message() << '\n';
+    if (!exchanged.error) return std::move(exchanged.answer);
+    std::cerr << "plumkeel: no response from " << gateway << ": " << exchanged.error.message() << '\n';
     return {};
 }
 
-std::string read_body(const std::string& from) {
-    if (from.empty()) return {};
-    if (from == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
-    std::ifstream in(from, std::ios::binary);
-    if (!in) throw ConfigError(from + ": can't be read");
+std::string read_body(const std::string& file) {
+    if (file.empty()) return {};
+    if (file == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
+    std::ifstream in(file, std::ios::binary);
+    if (!in) throw ConfigError(file + ": the file can't be read");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
+std::string request_head(const std::string& address, const SendOptions& options, Time remaining,
+                         std::size_t body_bytes) {
+    http::HeadWriter head("POST /v1/jobs/" + http::encoded(options.function) + " HTTP/1.1");
+    head.add("Host", address).add("Connection", "close").add(field::request_class, options.request_class);
+    head.add(field::time_left, remaining / 1ms).add(field::lanes, std::int64_t{options.concurrency});
+    if (!options.tenant.empty()) head.add(field::tenant, options.tenant);
+    if (!options.idempotency_key.empty()) head.add(field::mark, options.idempotency_key);
+    if (options.memory_mb > 0) head.add(field::memory, std::int64_t{options.memory_mb});
+    if (options.is_client_retry) head.add(field::again, "1");
+    head.add("Content-Length", static_cast<std::int64_t>(body_bytes));
+    return head.done();
+}
+
+void print_outcome(const Response& response) {
+    const std::string_view rejection = http::field(response, field::objection);
+    std::cerr << (rejection.empty() ? http::field(response, field::outcome) : rejection) << ", status "
+              << response.result_int();
+    if (const auto attempts = http::field(response, field::attempts); !attempts.empty())
+        std::cerr << ", attempts " << attempts;
+    if (const auto delay = http::field(response, field::retry_after_ms); !delay.empty())
+        std::cerr << ", retry after " << delay << " ms";
+    std::cerr << '\n';
+}
+
 }  // namespace
 
-int status(const std::string& at) {
-    const auto answer =
-        ask(at, http::HeadWriter("GET /v1/status HTTP/1.1").add("Host", at).add("Connection", "close").done(), "", 5s);
-    if (!answer) return 1;
-    std::cout << answer->body();
-    return answer->result_int() == 200 ? 0 : 1;
+int status(const std::string& address) {
+    http::HeadWriter head("GET /v1/status HTTP/1.1");
+    head.add("Host", address).add("Connection", "close");
+    const auto response = exchange(address, head.done(), "", status_timeout);
+    if (!response) return no_response;
+    std::cout << response->body();
+    return response->result_int() == http_ok ? success : no_response;
 }
 
-int send(const std::string& at, const Job& request) {
-    const Time left = parse_duration(request.time_left);
-    std::string body = read_body(request.body);
-    http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
-    head.add("Host", at).add("Connection", "close").add(field::request_class, request.request_class);
-    head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.lanes});
-    if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
-    if (!request.mark.empty()) head.add(field::mark, request.mark);
-    if (request.memory > 0) head.add(field::memory, std::int64_t{request.memory});
-    if (request.again) head.add(field::again, "1");
-    head.add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const auto answer = ask(at, head.done(), std::move(body), left + 2s);
-    if (!answer) return 1;
-    const std::string_view outcome = http::field(*answer, field::outcome);
-    const std::string_view objection = http::field(*answer, field::objection);
-    std::cerr << (objection.empty() ? outcome : objection) << ", status " << answer->result_int();
-    if (const auto attempts = http::field(*answer, field::attempts); !attempts.empty())
-        std::cerr << ", hops " << attempts;
-    if (const auto later = http::field(*answer, field::retry_after_ms); !later.empty())
-        std::cerr << ", come back after " << later << " ms";
-    std::cerr << '\n';
-    std::cout << answer->body();
-    if (!objection.empty()) return 5;
-    if (outcome == "honoured") return 0;
-    return outcome == "bounced" ? 3 : 4;
+int send(const std::string& address, const SendOptions& options) {
+    const Time remaining = parse_duration(options.remaining);
+    std::string body = read_body(options.body_file);
+    std::string head = request_head(address, options, remaining, body.size());
+    const auto response = exchange(address, std::move(head), std::move(body), remaining + send_margin);
+    if (!response) return no_response;
+    print_outcome(*response);
+    std::cout << response->body();
+    if (!http::field(*response, field::objection).empty()) return request_refused;
+    const std::string_view outcome = http::field(*response, field::outcome);
+    if (outcome == succeeded_word) return success;
+    return outcome == rejected_word ? request_rejected : request_failed;
 }
 
 }  // namespace plumkeel::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,146 +1,142 @@
-// plumkeel: one binary, one command a task.
+/// The `plumkeel` program: one subcommand a task.
 #include <CLI/CLI.hpp>
-#include <boost/asio/post.hpp>
 #include <csignal>
-#include <fstream>
+#include <functional>
 #include <iostream>
-#include <iterator>
-#include <random>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "cli/alerts.hpp"
 #include "cli/client.hpp"
+#include "cli/serve.hpp"
 #include "cli/trace.hpp"
 #include "config/gateway_config.hpp"
-#include "log/log.hpp"
-#include "net/socket_event_loop.hpp"
 #include "platform/serve.hpp"
-#include "remote_write/exporter.hpp"
-#include "web/server.hpp"
 
 namespace {
 
 using namespace plumkeel;
 
-std::map<std::string, std::string> variables(const std::vector<std::string>& given) {
+constexpr int exit_error = 2;
+
+/// Runs the command that was given and returns the exit status; empty if another command was given.
+using Command = std::function<std::optional<int>()>;
+
+std::map<std::string, std::string> parse_variables(const std::vector<std::string>& assignments) {
     std::map<std::string, std::string> out;
-    for (const std::string& each : given) {
-        const auto equals = each.find('=');
-        if (equals == std::string::npos) throw ConfigError("--var " + each + ": is no NAME=VALUE");
-        out[each.substr(0, equals)] = each.substr(equals + 1);
+    for (const std::string& assignment : assignments) {
+        const auto equals = assignment.find('=');
+        if (equals == std::string::npos) throw ConfigError("--var: found \"" + assignment + "\", expected NAME=VALUE");
+        out[assignment.substr(0, equals)] = assignment.substr(equals + 1);
     }
     return out;
 }
 
-int serve(const GatewayConfig& config, std::optional<std::uint64_t> seed) {
-    // A file at its size limit is an error of that write, not the end of the controller.
-    std::signal(SIGXFSZ, SIG_IGN);
-    net::SocketEventLoop loop;
-    Log log(loop, config.log);
-    const std::uint64_t chosen = seed ? *seed : std::random_device{}() | std::uint64_t{std::random_device{}()} << 32;
-    std::unique_ptr<trace::Recorder> recorder;
-    trace::RecordCallback recorded;
-    if (!config.trace.folder.empty()) {
-        recorder = std::make_unique<trace::Recorder>(config.trace, config.name, loop.wall_clock());
-        recorded = [&recorder](const trace::Record& record) { recorder->offer(record); };
-    }
-    web::Server gateway(loop, config, log, chosen, std::move(recorded));
-    gateway.set_extra_levels([&](metrics::Levels& levels) {
-        if (recorder) levels.recorder_dropped = static_cast<double>(recorder->dropped());
-    });
-    if (const net::Error error = gateway.open()) {
-        std::string why = error.message();
-        if (error == net::asio::error::address_in_use)
-            if (const std::string who = net::listening_process(net::Address::parse(config.listen)->port); !who.empty())
-                why += ": held by " + who;
-        std::cerr << "plumkeel: can't listen on " << config.listen << ": " << why << '\n';
-        return 1;
-    }
-    log.write(Log::Level::info, "serving",
-              {{"listen", gateway.address().text()}, {"name", config.name}, {"seed", std::to_string(chosen)}});
-    std::function<void()> hand_over = [&] {
-        recorder->flush();
-        loop.call_at(loop.now() + std::chrono::milliseconds(500), hand_over);
+struct SettingsOptions {
+    std::string file;
+    std::vector<std::string> variables;
+    GatewayConfig load() const { return load_config(file, parse_variables(variables)); }
+};
+
+void add_settings_options(CLI::App& command, SettingsOptions& options) {
+    command.add_option("settings", options.file, "Jsonnet template")->required();
+    command.add_option("--var", options.variables, "NAME=VALUE, read in the template as std.extVar(NAME)");
+}
+
+Command add_serve(CLI::App& app) {
+    CLI::App* command = app.add_subcommand("serve", "run a gateway until SIGTERM");
+    const auto options = std::make_shared<SettingsOptions>();
+    const auto seed = std::make_shared<std::optional<std::uint64_t>>();
+    add_settings_options(*command, *options);
+    command->add_option("--seed", *seed, "of the scheduler's random numbers; random if left out");
+    return [=]() -> std::optional<int> {
+        if (!*command) return {};
+        return cli::serve(options->load(), *seed);
     };
-    if (recorder) hand_over();
-    std::unique_ptr<remote_write::Exporter> ship;
-    if (gateway.metrics() && !config.remote_write.receivers.empty())
-        ship = std::make_unique<remote_write::Exporter>(
-            config.remote_write, [&gateway] { return gateway.metrics()->collect(); },
-            [&loop, &log](const std::string& kind, const std::string& what) {
-                net::asio::post(loop.executor(), [&log, kind, what] {
-                    log.write(Log::Level::warn, kind, {{"what", what}});
-                });
-            });
-    loop.on_termination([&] {
-        log.write(Log::Level::info, "closing");
-        gateway.close([&] {
-            log.write(Log::Level::info, "closed");
-            loop.stop();
-        });
-    });
-    loop.run();
-    return 0;
 }
 
-}  // namespace
+Command add_check(CLI::App& app) {
+    CLI::App* command = app.add_subcommand("check", "load settings and print what is wrong with them");
+    const auto options = std::make_shared<SettingsOptions>();
+    add_settings_options(*command, *options);
+    return [=]() -> std::optional<int> {
+        if (!*command) return {};
+        options->load();
+        std::cout << options->file << ": valid\n";
+        return 0;
+    };
+}
 
-int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);  // whoever reads our log or output may go before us
-    CLI::App app("plumkeel: a gateway that runs jobs on invokers which load functions on demand");
-    app.require_subcommand(1);
-    std::string file, at = "127.0.0.1:7400";
-    std::vector<std::string> vars;
-    std::optional<std::uint64_t> seed;
-
-    CLI::App* serve_command = app.add_subcommand("serve", "run a controller until SIGTERM");
-    CLI::App* check_command = app.add_subcommand("check", "read settings and say what is wrong with them");
-    for (CLI::App* command : {serve_command, check_command}) {
-        command->add_option("settings", file, "Jsonnet template")->required();
-        command->add_option("--var", vars, "NAME=VALUE, read in the template as std.extVar(NAME)");
-    }
-    serve_command->add_option("--seed", seed, "of the controller's chance; random if left out");
-
-    CLI::App* platform_command = app.add_subcommand("platform", "run a controller on the platform until SIGTERM");
-    std::string config;
-    platform_command->add_option("--config", config, "the platform's configuration, JSON")
-        ->envname("EDGE_CONFIG")
-        ->required();
-    std::string log_level = "info";
-    platform_command->add_option("--log", log_level, "least level of its log")
+Command add_platform(CLI::App& app) {
+    CLI::App* command = app.add_subcommand("platform", "run a gateway on the platform until SIGTERM");
+    const auto config = std::make_shared<std::string>();
+    const auto log_level = std::make_shared<std::string>("info");
+    command->add_option("--config", *config, "the platform's configuration, JSON")->envname("EDGE_CONFIG")->required();
+    command->add_option("--log", *log_level, "least severe level that is logged")
         ->check(CLI::IsMember({"debug", "info", "warn", "error"}))
         ->envname("PLUMKEEL_LOG");
+    return [=]() -> std::optional<int> {
+        if (!*command) return {};
+        return platform::serve(*config, *log_level);
+    };
+}
+
+void add_address_option(CLI::App& command, std::string& address) {
+    command.add_option("--at", address, "address of the gateway")->capture_default_str();
+}
+
+const char* const default_address = "127.0.0.1:7400";
+
+Command add_status(CLI::App& app) {
+    CLI::App* command = app.add_subcommand("status", "print the status of a running gateway");
+    const auto address = std::make_shared<std::string>(default_address);
+    add_address_option(*command, *address);
+    return [=]() -> std::optional<int> {
+        if (!*command) return {};
+        return cli::status(*address);
+    };
+}
 
-    CLI::App* status_command = app.add_subcommand("status", "ask a running controller how it is");
-    CLI::App* send_command = app.add_subcommand("send", "send one job and print its answer");
-    for (CLI::App* command : {status_command, send_command})
-        command->add_option("--at", at, "address of the controller")->capture_default_str();
-    cli::Job request;
-    send_command->add_option("function", request.function)->required();
-    send_command->add_option("--use-case", request.request_class)->required();
-    send_command->add_option("--body", request.body, "a file, or - for the standard input");
-    send_command->add_option("--tenant", request.tenant);
-    send_command->add_option("--time-left", request.time_left, "such as 4s")->capture_default_str();
-    send_command->add_option("--lanes", request.lanes);
-    send_command->add_option("--memory", request.memory, "MB of a loaded copy");
-    send_command->add_option("--mark", request.mark, "by which a repeat of a referenced job is known");
-    send_command->add_flag("--again", request.again, "this job was tried before");
+Command add_send(CLI::App& app) {
+    CLI::App* command = app.add_subcommand("send", "send one request and print its response");
+    const auto address = std::make_shared<std::string>(default_address);
+    const auto options = std::make_shared<cli::SendOptions>();
+    add_address_option(*command, *address);
+    command->add_option("function", options->function)->required();
+    command->add_option("--use-case", options->request_class, "the request's class")->required();
+    command->add_option("--body", options->body_file, "a file, or - for the standard input");
+    command->add_option("--tenant", options->tenant);
+    command->add_option("--time-left", options->remaining, "such as 4s")->capture_default_str();
+    command->add_option("--lanes", options->concurrency, "requests that one copy of the function runs at once");
+    command->add_option("--memory", options->memory_mb, "MB of a loaded copy");
+    command->add_option("--mark", options->idempotency_key, "idempotency key of a deduplicated request");
+    command->add_flag("--again", options->is_client_retry, "this request is a retry");
+    return [=]() -> std::optional<int> {
+        if (!*command) return {};
+        return cli::send(*address, *options);
+    };
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    std::signal(SIGPIPE, SIG_IGN);  // the reader of the log or of the output may end first
+    CLI::App app("plumkeel: a gateway that runs requests on invokers, which load functions on demand");
+    app.require_subcommand(1);
+    std::vector<Command> commands{add_serve(app), add_check(app), add_platform(app), add_status(app), add_send(app)};
     const auto run_trace = cli::add_trace(app);
     const auto run_alerts = cli::add_alerts(app);
     CLI11_PARSE(app, argc, argv);
 
     try {
-        if (*serve_command) return serve(load_config(file, variables(vars)), seed);
-        if (*platform_command) return platform::serve(config, log_level);
-        if (*check_command) {
-            load_config(file, variables(vars));
-            std::cout << file << ": good\n";
-            return 0;
-        }
-        if (*status_command) return cli::status(at);
-        if (*send_command) return cli::send(at, request);
+        for (const Command& run : commands)
+            if (const std::optional<int> exit_status = run()) return *exit_status;
         return app.got_subcommand("alerts") ? run_alerts() : run_trace();
-    } catch (const std::exception& fault) {
-        std::cerr << "plumkeel: " << fault.what() << '\n';
-        return 2;
+    } catch (const std::exception& error) {
+        std::cerr << "plumkeel: " << error.what() << '\n';
+        return exit_error;
     }
 }
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -1,4 +1,4 @@
-// What a controller is given at its start, decoded once from a Jsonnet template and checked.
+/// The configuration of a gateway, decoded once from a Jsonnet template and checked. Durations are microseconds.
 #pragma once
 
 #include <map>
@@ -19,43 +19,47 @@
     std::string name;
 };
 
-struct StaticInvoker {  // one of a fixed list
+/// One invoker of a fixed list.
+struct StaticInvoker {
     std::string name, address, zone, type;
     double capacity = 1;
     int cell{};
 };
 
+/// Where the list of invokers comes from: exactly one of `consul` and `fixed` is set.
 struct EndpointSource {
-    std::string consul;  // host:port of its HTTP interface; empty: `fixed` is the whole list
+    std::string consul;  ///< `HOST:PORT` of Consul's HTTP interface.
     std::string service = "invokers";
-    Time wait = std::chrono::seconds(30);
-    Time response_slack = std::chrono::seconds(5);  // beyond the wait, before a poll counts as lost
+    Time wait = std::chrono::seconds(30);           ///< How long Consul may block a poll.
+    Time response_slack = std::chrono::seconds(5);  ///< Beyond `wait`, before a poll counts as failed.
     std::vector<StaticInvoker> fixed;
 };
 
-struct PoolConfig {  // the connections to one invoker
+/// The connections to invokers. Limits are per invoker unless stated otherwise.
+struct PoolConfig {
     std::size_t max_connections = 256;
-    std::size_t max_invokers =
-        40'000;  // held at once, those that left in the last seconds among them; further ones are not taken up
-    std::size_t max_total_connections = 100'000;  // to all invokers together; each has one all the same
-    std::size_t max_attempts_per_connection = 1;  // where the protocol carries several
-    std::size_t max_queued = 1024;                // hops that wait for a connection; beyond: turned back as never sent
+    /// Invokers known at once, with those removed within the last seconds; further ones are ignored.
+    std::size_t max_invokers = 40'000;
+    /// To all invokers together; each may have one connection all the same.
+    std::size_t max_total_connections = 100'000;
+    std::size_t max_attempts_per_connection = 1;  ///< More than 1 where the protocol multiplexes.
+    std::size_t max_queued = 1024;  ///< Attempts waiting for a connection; further ones end as never sent.
     Time connect_timeout = std::chrono::milliseconds(250);
     Time idle_timeout = std::chrono::seconds(15);
     Time health_check_timeout = std::chrono::milliseconds(500);
     Time preload_timeout = std::chrono::seconds(10);
-    Time response_timeout =
-        std::chrono::milliseconds(500);             // from its first byte to its last, where others wait behind it
-    std::size_t max_buffered_response = 64 * 1024;  // larger answers stream to the client
-    std::size_t stream_buffer_bytes = 256 * 1024;   // of a streamed answer, kept for a slow client
+    /// From a response's first byte to its last, where other responses wait behind it.
+    Time response_timeout = std::chrono::milliseconds(500);
+    std::size_t max_buffered_response = 64 * 1024;  ///< Bytes; larger responses are streamed to the client.
+    std::size_t stream_buffer_bytes = 256 * 1024;   ///< Of a streamed response, buffered for a slow client.
 };
 
 struct LogConfig {
-    std::string file;  // empty: standard error
-    std::string level = "info";
-    double max_lines_per_s = 20;  // of one kind
-    double burst = 100;
-    std::size_t queue_size = 8192;
+    std::string file;               ///< Empty: standard error.
+    std::string level = "info";     ///< debug, info, warn or error.
+    double max_lines_per_s = 20;    ///< Per kind of line.
+    double burst = 100;             ///< Lines of one kind written at once before the rate applies.
+    std::size_t queue_size = 8192;  ///< Lines that wait for the disk.
 };
 
 struct MetricsSettings {
@@ -80,7 +84,7 @@
     std::map<std::string, Tenant> tenants;
 };
 
-// Throws CharterFault.
-GatewayConfig load_config(const std::string& file, const std::map<std::string, std::string>& given = {});
+/// Loads a Jsonnet template; `variables` are its external variables. Throws `ConfigError`, naming file and field.
+GatewayConfig load_config(const std::string& file, const std::map<std::string, std::string>& variables = {});
 
 }  // namespace plumkeel
--- a/src/config/jsonnet_reader.cpp
+++ b/src/config/jsonnet_reader.cpp
@@ -6,42 +6,70 @@
 #include <cmath>
 
 namespace plumkeel {
+namespace {
 
-boost::json::value evaluate_jsonnet(const std::string& file, const std::map<std::string, std::string>& given) {
+constexpr const char* duration_examples = R"(a duration such as "250ms", "1.5s" or "2min")";
+constexpr double max_duration_us = 1e15;   // 31 years
+constexpr double max_whole_number = 1e15;  // below it a double is exact
+constexpr std::size_t max_int = 1'000'000'000;
+
+// What was found, short enough for an error message.
+std::string describe(const boost::json::value& value) {
+    if (value.is_object()) return "an object";
+    if (value.is_array()) return "an array";
+    return boost::json::serialize(value);
+}
+
+}  // namespace
+
+boost::json::value evaluate_jsonnet(const std::string& file, const std::map<std::string, std::string>& variables) {
     jsonnet::Jsonnet engine;
     if (!engine.init()) throw ConfigError(file + ": the Jsonnet engine can't be started");
-    for (const auto& [name, value] : given) engine.bindExtVar(name, value);
+    for (const auto& [name, value] : variables) engine.bindExtVar(name, value);
     std::string text;
     if (!engine.evaluateFile(file, &text)) {
-        std::string why = engine.lastError();
-        while (!why.empty() && why.back() == '\n') why.pop_back();
-        throw ConfigError(file + ": " + why);
+        std::string error = engine.lastError();
+        while (!error.empty() && error.back() == '\n') error.pop_back();
+        throw ConfigError(file + ": " + error);
     }
     return boost::json::parse(text);
 }
 
 Time parse_duration(std::string_view text) {
-    static const std::map<std::string_view, double> units = {
+    static const std::map<std::string_view, double> microseconds_per_unit = {
         {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}};
-    double figure = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), figure);
-    const auto unit = units.find(text.substr(static_cast<std::size_t>(end - text.data())));
-    if (error != std::errc{} || unit == units.end() || !(figure >= 0) || figure * unit->second > 1e15)
-        throw ConfigError("'" + std::string(text) + "' is no time such as \"250ms\", \"1.5s\" or \"2min\"");
-    return Time(std::llround(figure * unit->second));
+    double number = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+    const auto unit = microseconds_per_unit.find(text.substr(static_cast<std::size_t>(end - text.data())));
+    if (error != std::errc{} || unit == microseconds_per_unit.end() || !(number >= 0) ||
+        number * unit->second > max_duration_us)
+        throw ConfigError("found \"" + std::string(text) + "\", expected " + duration_examples);
+    return Time(std::llround(number * unit->second));
 }
 
 JsonnetReader::JsonnetReader(const boost::json::value& value, std::string file, std::string path)
     : object_(value.if_object()), file_(std::move(file)), path_(std::move(path)) {
-    if (!object_) throw ConfigError(file_ + ": " + (path_.empty() ? "the settings" : path_) + ": is no object");
+    if (!object_)
+        throw ConfigError(file_ + ": " + (path_.empty() ? "the file" : path_) + ": found " + describe(value) +
+                          ", expected an object");
+}
+
+std::string JsonnetReader::path_of(std::string_view key) const {
+    if (key.empty()) return path_;
+    return (path_.empty() ? "" : path_ + ".") + std::string(key);
+}
+
+void JsonnetReader::fail(std::string_view key, const std::string& problem) const {
+    throw ConfigError(file_ + ": " + path_of(key) + ": " + problem);
 }
 
-void JsonnetReader::fail(std::string_view key, const std::string& what) const {
-    throw ConfigError(file_ + ": " + (path_.empty() ? "" : path_ + ".") + std::string(key) + ": " + what);
+void JsonnetReader::fail_type(std::string_view key, const boost::json::value& found,
+                              const std::string& expected) const {
+    fail(key, "found " + describe(found) + ", expected " + expected);
 }
 
 const boost::json::value* JsonnetReader::find(std::string_view key) {
-    asked_.emplace(key);
+    known_fields_.emplace(key);
     const auto* value = object_->if_contains({key.data(), key.size()});
     return value && !value->is_null() ? value : nullptr;
 }
@@ -58,104 +86,104 @@
 void JsonnetReader::read(std::string_view key, std::string& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_string()) fail(key, "is no text");
+    if (!value->is_string()) fail_type(key, *value, "a string");
     into = std::string(value->as_string());
 }
 
 void JsonnetReader::read(std::string_view key, bool& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_bool()) fail(key, "is neither true nor false");
+    if (!value->is_bool()) fail_type(key, *value, "true or false");
     into = value->as_bool();
 }
 
 void JsonnetReader::read(std::string_view key, Time& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_string()) fail(key, "is no time such as \"250ms\", \"1.5s\" or \"2min\"");
+    if (!value->is_string()) fail_type(key, *value, duration_examples);
     try {
         into = parse_duration(std::string_view(value->as_string()));
-    } catch (const ConfigError& fault) {
-        fail(key, fault.what());
+    } catch (const ConfigError& error) {
+        fail(key, error.what());
     }
 }
 
 void JsonnetReader::read(std::string_view key, double& into) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_number()) fail(key, "is no number");
+    if (!value->is_number()) fail_type(key, *value, "a number");
     into = value->to_number<double>();
-    if (!(into >= 0)) fail(key, "is below 0");
+    if (!(into >= 0)) fail_type(key, *value, "at least 0");
 }
 
-void JsonnetReader::read(std::string_view key, int& into, int least) {
-    std::size_t figure = static_cast<std::size_t>(std::max(0, into));
-    read(key, figure, static_cast<std::size_t>(least));
-    if (figure > 1'000'000'000) fail(key, "is too large");
-    into = static_cast<int>(figure);
+void JsonnetReader::read(std::string_view key, int& into, int min) {
+    std::size_t number = static_cast<std::size_t>(std::max(0, into));
+    read(key, number, static_cast<std::size_t>(min));
+    if (number > max_int)
+        fail(key, "found " + std::to_string(number) + ", expected at most " + std::to_string(max_int));
+    into = static_cast<int>(number);
 }
 
-void JsonnetReader::read(std::string_view key, std::size_t& into, std::size_t least) {
+void JsonnetReader::read(std::string_view key, std::size_t& into, std::size_t min) {
     const auto* value = find(key);
     if (!value) return;
-    double figure = -1;
-    if (value->is_number()) figure = value->to_number<double>();
-    if (figure < 0 || figure != std::floor(figure) || figure > 1e15) fail(key, "is no whole number");
-    into = static_cast<std::size_t>(figure);
-    if (into < least) fail(key, "is below " + std::to_string(least));
-}
-
-void JsonnetReader::read_enum(std::string_view key, const std::map<std::string, int>& words, int& into) {
-    std::string word;
-    read(key, word);
-    if (word.empty()) return;
-    const auto it = words.find(word);
-    if (it != words.end()) {
+    double number = -1;
+    if (value->is_number()) number = value->to_number<double>();
+    if (number < 0 || number != std::floor(number) || number > max_whole_number)
+        fail_type(key, *value, "a whole number from 0 to 1e15");
+    into = static_cast<std::size_t>(number);
+    if (into < min) fail_type(key, *value, "at least " + std::to_string(min));
+}
+
+void JsonnetReader::read_enum(std::string_view key, const std::map<std::string, int>& names, int& into) {
+    std::string name;
+    read(key, name);
+    if (name.empty()) return;
+    const auto it = names.find(name);
+    if (it != names.end()) {
         into = it->second;
         return;
     }
-    std::string known;
-    for (const auto& [each, value] : words) known += (known.empty() ? "" : ", ") + each;
-    fail(key, "'" + word + "' is none of: " + known);
+    std::string allowed;
+    for (const auto& [each, value] : names) allowed += (allowed.empty() ? "" : ", ") + each;
+    fail(key, "found \"" + name + "\", expected one of: " + allowed);
 }
 
-void JsonnetReader::read_object(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
-    static const boost::json::value nothing = boost::json::object();
+void JsonnetReader::read_object(std::string_view key, const std::function<void(JsonnetReader&)>& read_fields) {
+    static const boost::json::value empty = boost::json::object();
     const auto* value = find(key);
-    JsonnetReader inner(value ? *value : nothing, file_, (path_.empty() ? "" : path_ + ".") + std::string(key));
-    what(inner);
-    inner.reject_unknown_fields();
+    JsonnetReader reader(value ? *value : empty, file_, path_of(key));
+    read_fields(reader);
+    reader.reject_unknown_fields();
 }
 
-void JsonnetReader::read_array(std::string_view key, const std::function<void(JsonnetReader&)>& what) {
+void JsonnetReader::read_array(std::string_view key, const std::function<void(JsonnetReader&)>& read_element) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_array()) fail(key, "is no list");
-    std::size_t place = 0;
-    for (const auto& entry : value->as_array()) {
-        JsonnetReader inner(
-            entry, file_, (path_.empty() ? "" : path_ + ".") + std::string(key) + "[" + std::to_string(place++) + "]");
-        what(inner);
-        inner.reject_unknown_fields();
+    if (!value->is_array()) fail_type(key, *value, "an array");
+    std::size_t index = 0;
+    for (const auto& element : value->as_array()) {
+        JsonnetReader reader(element, file_, path_of(key) + "[" + std::to_string(index++) + "]");
+        read_element(reader);
+        reader.reject_unknown_fields();
     }
 }
 
 void JsonnetReader::read_members(std::string_view key,
-                                 const std::function<void(const std::string&, JsonnetReader&)>& what) {
+                                 const std::function<void(const std::string&, JsonnetReader&)>& read_member) {
     const auto* value = find(key);
     if (!value) return;
-    if (!value->is_object()) fail(key, "is no object");
-    for (const auto& [name, entry] : value->as_object()) {
-        JsonnetReader inner(entry, file_,
-                            (path_.empty() ? "" : path_ + ".") + std::string(key) + "." + std::string(name));
-        what(std::string(name), inner);
-        inner.reject_unknown_fields();
+    if (!value->is_object()) fail_type(key, *value, "an object");
+    for (const auto& [name, member] : value->as_object()) {
+        JsonnetReader reader(member, file_, path_of(key) + "." + std::string(name));
+        read_member(std::string(name), reader);
+        reader.reject_unknown_fields();
     }
 }
 
 void JsonnetReader::reject_unknown_fields() const {
     for (const auto& [name, value] : *object_)
-        if (!asked_.count(std::string_view(name))) fail(std::string_view(name), "is not known here");
+        if (!known_fields_.count(std::string_view(name))) fail(std::string_view(name), "unknown field");
 }
 
 }  // namespace plumkeel
--- /dev/null
+++ b/src/config/sections.hpp
@@ -0,0 +1,30 @@
+/// Readers of the sections of a gateway's configuration, one function a section. Private to this package; `load_config`
+/// calls them. Keys and units are the configuration's, names in the structs are the code's.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "config/gateway_config.hpp"
+#include "config/jsonnet_reader.hpp"
+
+namespace plumkeel::config_sections {
+
+// scheduler_sections.cpp
+void read_safety_rules(JsonnetReader& in, SafetyRules& rules);
+void read_capabilities(JsonnetReader& in, Capabilities& capabilities);
+void read_request_class(const std::string& name, JsonnetReader& in, NamedRequestClass& request_class);
+
+// connection_sections.cpp
+void check_address(JsonnetReader& in, std::string_view key, const std::string& address);
+void read_admission(JsonnetReader& in, AdmissionLimits& limits);
+void read_endpoint_source(JsonnetReader& in, EndpointSource& source);
+void read_pool(JsonnetReader& in, PoolConfig& pool);
+
+// telemetry_sections.cpp
+void read_log(JsonnetReader& in, LogConfig& log);
+void read_trace(JsonnetReader& in, trace::RecorderConfig& trace);
+void read_metrics(JsonnetReader& in, MetricsSettings& metrics);
+void read_remote_write(JsonnetReader& in, remote_write::ExporterConfig& remote_write);
+
+}  // namespace plumkeel::config_sections
--- a/src/consul/health_watcher.cpp
+++ b/src/consul/health_watcher.cpp
@@ -8,72 +8,76 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t most_list_bytes = 64 * 1024 * 1024;
+constexpr std::size_t max_response_bytes = 64 * 1024 * 1024;
+constexpr int wait_jitter_divisor = 16;  // Consul adds up to a sixteenth to the wait of a blocking query
 
-HealthWatcher::HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string asker, Log& log,
-                             std::uint64_t seed, Told told)
+HealthWatcher::HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string controller, Log& log,
+                             std::uint64_t seed, OnChange on_change)
     : loop_(loop),
       source_(source),
-      asker_(std::move(asker)),
+      controller_(std::move(controller)),
       log_(log),
-      follower_(source.wait, seed),
-      told_(std::move(told)) {}
+      query_(source.wait, seed),
+      on_change_(std::move(on_change)) {}
 
-void HealthWatcher::follow() {
+void HealthWatcher::start() {
     loop_.spawn(run());
 }
 
 net::Task<> HealthWatcher::run() {
-    BlockingQuery::Poll next = follower_.first();
+    BlockingQuery::Poll next = query_.first_poll();
     for (;;) {
-        if (next.pause > Time{}) co_await loop_.sleep(next.pause);
-        const Got got = co_await ask(next);
-        BlockingQuery::Step step = got.whole ? follower_.answered(loop_.now(), {got.status, got.index, got.body})
-                                             : follower_.lost(loop_.now());
-        switch (step.result) {
-            case BlockingQuery::PollResult::updated:
-                log_.write(Log::Level::info, "list_changed",
-                           {{"entries", follower_.list().size()}, {"changed", step.changed.size()}});
-                told_(step.changed, step.complete);
-                break;
-            case BlockingQuery::PollResult::unchanged:
-                break;
-            case BlockingQuery::PollResult::unconfirmed:
-                log_.write(Log::Level::warn, "list_doubted", {{"known", follower_.list().size()}});
-                break;
-            case BlockingQuery::PollResult::malformed:
-                log_.write(Log::Level::warn, "list_nonsense", {{"status", got.status}});
-                break;
-            case BlockingQuery::PollResult::failed:
-                log_.write(Log::Level::warn, "list_source_gone", {{"known", follower_.list().size()}});
-                break;
-        }
+        if (next.delay > Time{}) co_await loop_.sleep(next.delay);
+        const std::optional<Response> response = co_await send(next);
+        const BlockingQuery::Step step =
+            response ? query_.on_response(loop_.now(), {response->status, response->index, response->body})
+                     : query_.on_failure();
+        apply(step, response);
         next = step.next;
     }
 }
 
-// One poll on a connection of its own: an answer that comes after we gave up on it finds nobody.
-net::Task<HealthWatcher::Got> HealthWatcher::ask(BlockingQuery::Poll ask) {
-    Got got;
-    // A blocking query may be held for the wait and, by the publisher's word, a sixteenth more.
-    const Time limit = (ask.index ? ask.wait + ask.wait / 16 : Time{}) + source_.response_slack;
+void HealthWatcher::apply(const BlockingQuery::Step& step, const std::optional<Response>& response) {
+    const std::size_t known = query_.endpoints().size();
+    switch (step.result) {
+        case BlockingQuery::PollResult::updated:
+            log_.write(Log::Level::info, "endpoints_updated", {{"endpoints", known}, {"changed", step.changed.size()}});
+            on_change_(step.changed, step.is_complete);
+            break;
+        case BlockingQuery::PollResult::unchanged:
+            break;
+        case BlockingQuery::PollResult::unconfirmed:
+            log_.write(Log::Level::warn, "endpoints_unconfirmed", {{"endpoints", known}});
+            break;
+        case BlockingQuery::PollResult::malformed:
+            log_.write(Log::Level::warn, "endpoints_malformed", {{"status", response ? response->status : 0}});
+            break;
+        case BlockingQuery::PollResult::failed:
+            log_.write(Log::Level::warn, "endpoint_source_unreachable", {{"endpoints", known}});
+            break;
+    }
+}
+
+// Each poll has a connection of its own, so that a response after its timeout can't be taken for the next one's.
+net::Task<std::optional<HealthWatcher::Response>> HealthWatcher::send(BlockingQuery::Poll poll) {
+    const Time max_block = poll.index ? poll.wait + poll.wait / wait_jitter_divisor : Time{};
     std::string target = "/v1/health/service/" + http::encoded(source_.service);
-    if (ask.index) target += fmt::format("?index={}&wait={}ms", ask.index, ask.wait / 1ms);
+    if (poll.index) target += fmt::format("?index={}&wait={}ms", poll.index, poll.wait / 1ms);
     std::string head = http::HeadWriter("GET " + target + " HTTP/1.1")
                            .add("Host", source_.consul)
                            .add("Accept", "application/json")
                            .add("Connection", "close")
                            .add("User-Agent", "plumkeel")
-                           .add("Plumkeel-Controller", asker_)
+                           .add("Plumkeel-Controller", controller_)
                            .done();
-    auto exchanged = co_await http::exchange(loop_, *net::Address::parse(source_.consul), std::move(head), "", limit,
-                                             most_list_bytes);
-    if (exchanged.error) co_return got;
-    got.whole = true;
-    got.status = static_cast<int>(exchanged.answer.result_int());
-    got.index = http::number<std::uint64_t>(http::field(exchanged.answer, "X-Consul-Index"));
-    got.body = std::move(exchanged.answer.body());
-    co_return got;
+    auto exchanged = co_await http::exchange(loop_, *net::Address::parse(source_.consul), std::move(head), "",
+                                             max_block + source_.response_slack, max_response_bytes);
+    if (exchanged.error) co_return std::nullopt;
+    Response response;
+    response.status = static_cast<int>(exchanged.answer.result_int());
+    response.index = http::number<std::uint64_t>(http::field(exchanged.answer, "X-Consul-Index"));
+    response.body = std::move(exchanged.answer.body());
+    co_return response;
 }
 
 }  // namespace plumkeel::consul
--- a/src/consul/health_watcher.hpp
+++ b/src/consul/health_watcher.hpp
@@ -1,7 +1,10 @@
-// Asks the list source what the Follower wants asked, and hands on what it believes.
+/// Sends the polls of a `BlockingQuery` to Consul and delivers the changes of the list.
 #pragma once
 
 #include <functional>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "config/gateway_config.hpp"
 #include "consul/blocking_query.hpp"
@@ -12,29 +15,33 @@
 
 class HealthWatcher {
 public:
-    using Told = std::function<void(const std::vector<Endpoint>& changed, bool complete)>;
+    /// `is_complete`: `changed` is the whole list; otherwise only endpoints that differ.
+    using OnChange = std::function<void(const std::vector<Endpoint>& changed, bool is_complete)>;
 
-    HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string asker, Log& log, std::uint64_t seed,
-                  Told told);
-    void follow();  // until the world ends
-    const BlockingQuery& follower() const { return follower_; }
+    /// `controller` names this gateway in its polls; `seed` spreads retries.
+    HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string controller, Log& log,
+                  std::uint64_t seed, OnChange on_change);
+
+    /// Polls until the event loop ends.
+    void start();
+    const BlockingQuery& query() const { return query_; }
 
 private:
-    struct Got {
-        bool whole{};
+    struct Response {
         int status{};
         std::optional<std::uint64_t> index;
         std::string body;
     };
     net::Task<> run();
-    net::Task<Got> ask(BlockingQuery::Poll ask);
+    net::Task<std::optional<Response>> send(BlockingQuery::Poll poll);
+    void apply(const BlockingQuery::Step& step, const std::optional<Response>& response);
 
     net::EventLoop& loop_;
     const EndpointSource source_;
-    const std::string asker_;
+    const std::string controller_;
     Log& log_;
-    BlockingQuery follower_;
-    Told told_;
+    BlockingQuery query_;
+    const OnChange on_change_;
 };
 
 }  // namespace plumkeel::consul
--- /dev/null
+++ b/src/discovery/initial_events.hpp
@@ -0,0 +1,15 @@
+/// The events that a platform configuration already contains (its `known` object), so that a controller starts with a
+/// list of endpoints before the watch is connected.
+#pragma once
+
+#include <vector>
+
+#include "discovery/watch_event.hpp"
+#include "platform_settings/fields.hpp"
+
+namespace plumkeel::discovery {
+
+/// Decodes `known`; throws `platform_settings::SettingsError` naming the field.
+std::vector<WatchEvent> parse_initial_events(const platform_settings::json& known);
+
+}  // namespace plumkeel::discovery
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -8,27 +8,35 @@
 
 namespace plumkeel::discovery {
 
-constexpr int most_doublings = 3;  // of the wait for a first word: to 14 s
+constexpr int max_timeout_doublings = 3;  // of the silence timeout before a connection's first event: up to 14 s
+constexpr int max_backoff_doublings = 6;
+constexpr std::size_t read_buffer_bytes = 4096;
 
-Watcher::Watcher(net::EventLoop& loop, Log& log, LabelTable places, net::Address address, std::uint64_t last,
-                 OnEvent told, std::uint64_t seed, WatchTimeouts patience)
+Watcher::Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address, std::uint64_t last,
+                 OnEvent on_event, std::uint64_t seed, WatchTimeouts timeouts)
     : loop_(loop),
       log_(log),
-      labels_(std::move(places)),
+      labels_(std::move(labels)),
       address_(std::move(address)),
-      order_(last),
-      on_event_(std::move(told)),
-      timeouts_(patience),
+      sequence_(last),
+      on_event_(std::move(on_event)),
+      timeouts_(timeouts),
       wake_(loop),
       random_(seed) {}
 
+const char* Watcher::name_of(DisconnectReason reason) {
+    static constexpr const char* names[] = {"not_connected", "silent",          "closed",
+                                            "sequence_gap",  "address_changed", "malformed_frame"};
+    return names[static_cast<int>(reason)];
+}
+
 void Watcher::start() {
     loop_.spawn(run());
 }
 
 void Watcher::set_address(net::Address address) {
     if (address == address_) return;
-    log_.write(Log::Level::info, "board_moves", {{"from", address_.text()}, {"to", address.text()}});
+    log_.write(Log::Level::info, "discovery_address_changed", {{"from", address_.text()}, {"to", address.text()}});
     address_ = std::move(address);
     address_changed_ = true;
     failures_ = 0;
@@ -41,63 +49,72 @@
         address_changed_ = false;
         const net::Address to = address_;
         auto connected = co_await loop_.connect(to, timeouts_.connect_timeout);
-        const char* why = "not_connected";
+        Disconnect disconnect{DisconnectReason::not_connected};
         if (!connected.error && !address_changed_) {
             ++connections_;
             stream_ = connected.stream;
-            why = co_await listen(connected.stream);
+            disconnect = co_await receive(connected.stream);
         }
         if (connected.stream) connected.stream->close();
         stream_.reset();
         if (address_changed_) continue;
-        log_.write(Log::Level::warn, "board_lost", {{"why", why}, {"last", order_.last()}});
-        const net::Time pause =
-            std::min(timeouts_.max_backoff, timeouts_.initial_backoff * (1 << std::min(failures_++, 6)));
-        // Hundreds lose it at the same moment: in step, they would all come again at the same moment too.
-        const auto jittered =
-            net::Time(static_cast<net::Time::rep>(static_cast<double>(pause.count()) * (0.5 + random_.next())));
-        auto ticket = loop_.call_at(loop_.now() + jittered, [this] { wake_.notify(); });
+        log_disconnect(disconnect);
+        const net::Time backoff = next_backoff();
+        auto timer = loop_.call_at(loop_.now() + backoff, [this] { wake_.notify(); });
         co_await wake_.wait();
-        loop_.cancel(ticket);
+        loop_.cancel(timer);
     }
 }
 
-// Returns why it could not go on.
-net::Task<const char*> Watcher::listen(std::shared_ptr<net::Stream> stream) {
+net::Task<Watcher::Disconnect> Watcher::receive(std::shared_ptr<net::Stream> stream) {
     const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
-    write_queue->send(encode_subscription(order_.last()));
-    bool silent = false, heard_here = false;
-    net::LazyTimer limit(loop_, [&] {
-        silent = true;
+    write_queue->send(encode_subscription(sequence_.last()));
+    bool timed_out = false, received_event = false;
+    net::LazyTimer silence_timer(loop_, [&] {
+        timed_out = true;
         stream->close();
     });
-    FrameDecoder frames(labels_);
-    std::array<char, 4096> room;
+    FrameDecoder decoder(labels_);
+    std::array<char, read_buffer_bytes> buffer;
     WatchEvent event;
-    // A crowded service lets a new connection wait for its first word: each one in vain is given twice the time.
-    net::Time silent_for = timeouts_.silence_timeout * (1 << std::min(silent_connections_, most_doublings));
+    // An overloaded service lets new connections wait for their first event: each silent one doubles the wait.
+    net::Time timeout = timeouts_.silence_timeout * (1 << std::min(silent_connections_, max_timeout_doublings));
     for (;;) {
-        limit.set(loop_.now() + silent_for);
-        const net::TransferResult moved = co_await stream->read(net::asio::buffer(room));
-        if (silent) {
-            silent_connections_ += !heard_here;
-            co_return "silent";
+        silence_timer.set(loop_.now() + timeout);
+        const net::TransferResult result = co_await stream->read(net::asio::buffer(buffer));
+        if (timed_out) {
+            silent_connections_ += !received_event;
+            co_return Disconnect{DisconnectReason::silent};
         }
-        if (moved.error || address_changed_) co_return "broke";
-        std::string_view bytes(room.data(), moved.bytes);
-        while (frames.next(bytes, event)) {
-            const SequenceCheck heard = order_.check(event);
-            if (heard == SequenceCheck::gap) co_return "gap";
+        if (result.error || address_changed_) co_return Disconnect{DisconnectReason::closed};
+        std::string_view bytes(buffer.data(), result.bytes);
+        while (decoder.next(bytes, event)) {
+            const SequenceCheck check = sequence_.check(event);
+            if (check == SequenceCheck::gap) co_return Disconnect{DisconnectReason::sequence_gap};
             confirmed_at_ = loop_.now();
             failures_ = 0;
             silent_connections_ = 0;
-            heard_here = true;
-            silent_for = timeouts_.silence_timeout;
-            if (heard == SequenceCheck::accepted) on_event_(event);
-            if (address_changed_) co_return "moved";
+            received_event = true;
+            timeout = timeouts_.silence_timeout;
+            if (check == SequenceCheck::accepted) on_event_(event);
+            if (address_changed_) co_return Disconnect{DisconnectReason::address_changed};
         }
-        if (frames.error() != FrameError::none) co_return name_of(frames.error());
+        if (decoder.error() != FrameError::none)
+            co_return Disconnect{DisconnectReason::malformed_frame, decoder.error()};
     }
 }
 
+void Watcher::log_disconnect(const Disconnect& disconnect) {
+    Log::Fields fields{{"reason", name_of(disconnect.reason)}, {"last_event", sequence_.last()}};
+    if (disconnect.frame_error != FrameError::none) fields["frame_error"] = discovery::name_of(disconnect.frame_error);
+    log_.write(Log::Level::warn, "discovery_connection_lost", std::move(fields));
+}
+
+// Exponential, with jitter: hundreds of controllers lose the service together and must not return together.
+net::Time Watcher::next_backoff() {
+    const net::Time backoff = std::min(timeouts_.max_backoff,
+                                       timeouts_.initial_backoff * (1 << std::min(failures_++, max_backoff_doublings)));
+    return net::Time(static_cast<net::Time::rep>(static_cast<double>(backoff.count()) * (0.5 + random_.next())));
+}
+
 }  // namespace plumkeel::discovery
--- a/src/discovery/watcher.hpp
+++ b/src/discovery/watcher.hpp
@@ -1,11 +1,12 @@
-// Follows the notice board over one connection: connects, says which event it has, and hands on what is new. A
-// connection that breaks, leaves out an event, can't be read or falls silent is made anew from the last whole
-// event; meanwhile the last list holds.
+/// Watches the discovery service over one connection: subscribes from the last event received and delivers new ones.
+/// A connection that closes, skips an event, sends malformed frames or falls silent is replaced by a new one;
+/// meanwhile the last known list stays in use.
 #pragma once
 
 #include <functional>
 #include <memory>
 
+#include "discovery/event_sequence.hpp"
 #include "discovery/frame_decoder.hpp"
 #include "log/log.hpp"
 #include "net/event_loop.hpp"
@@ -15,40 +16,56 @@
 
 struct WatchTimeouts {
     net::Time connect_timeout = std::chrono::seconds(1);
-    net::Time silence_timeout = std::chrono::milliseconds(1800);  // the board says something each second
+    /// Longest wait between two events; the service sends a heartbeat each second.
+    net::Time silence_timeout = std::chrono::milliseconds(1800);
     net::Time initial_backoff = std::chrono::milliseconds(50), max_backoff = std::chrono::milliseconds(800);
 };
 
 class Watcher {
 public:
     using OnEvent = std::function<void(const WatchEvent&)>;
-    // `seed` sets the pauses of this one apart from those of all other controllers, which lose the board together.
-    Watcher(net::EventLoop& loop, Log& log, LabelTable places, net::Address address, std::uint64_t last, OnEvent told,
-            std::uint64_t seed, WatchTimeouts patience = {});
 
-    void start();  // until the world ends
-    // The board has another address; numbers go on.
+    /// `last` is the number of the last event already known. `seed` spreads the reconnects of controllers that lose
+    /// the service at the same moment.
+    Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address, std::uint64_t last,
+            OnEvent on_event, std::uint64_t seed, WatchTimeouts timeouts = {});
+
+    /// Watches until the event loop ends.
+    void start();
+    /// Moves to another address of the service; event numbers continue.
     void set_address(net::Address address);
-    std::uint64_t last() const { return order_.last(); }
-    std::optional<net::Time> confirmed_at() const { return confirmed_at_; }  // when it was last known to be up to date
+    /// The number of the last event applied.
+    std::uint64_t last() const { return sequence_.last(); }
+    /// When the list was last known to be up to date.
+    std::optional<net::Time> confirmed_at() const { return confirmed_at_; }
+    /// How many connections have been established so far.
     std::uint64_t connections() const { return connections_; }
 
 private:
+    enum class DisconnectReason { not_connected, silent, closed, sequence_gap, address_changed, malformed_frame };
+    struct Disconnect {
+        DisconnectReason reason{};
+        FrameError frame_error{};
+    };
+    static const char* name_of(DisconnectReason reason);
+
     net::Task<> run();
-    net::Task<const char*> listen(std::shared_ptr<net::Stream> stream);
+    net::Task<Disconnect> receive(std::shared_ptr<net::Stream> stream);
+    void log_disconnect(const Disconnect& disconnect);
+    net::Time next_backoff();
 
     net::EventLoop& loop_;
     Log& log_;
     const LabelTable labels_;
     net::Address address_;
-    EventSequence order_;
+    EventSequence sequence_;
     const OnEvent on_event_;
     const WatchTimeouts timeouts_;
     std::shared_ptr<net::Stream> stream_;
     std::optional<net::Time> confirmed_at_;
     std::uint64_t connections_{};
-    int failures_{};            // connections in a row, since anything was heard
-    int silent_connections_{};  // of these, such as came up and fell silent
+    int failures_{};            // attempts in a row without an event
+    int silent_connections_{};  // of these, connections that were established and stayed silent
     bool address_changed_{};
     net::Notification wake_;
     Pcg random_;
--- a/src/invoker_protocol/codec.cpp
+++ b/src/invoker_protocol/codec.cpp
@@ -148,7 +148,7 @@
         const auto value = number<double>(each.substr(std::min(colon + 1, each.size())));
         const std::string name(each.substr(0, colon));
         if (value && *value >= 0 && *value < 1e9 && std::find(names.begin(), names.end(), name) != names.end())
-            platform_settings::put_figure(out, name, *value);
+            platform_settings::set_report_field(out, name, *value);
     }
     return out;
 }
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -1,114 +1,148 @@
 #include "platform/platform_config.hpp"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <charconv>
 #include <fstream>
 
+#include "discovery/initial_events.hpp"
 #include "platform_settings/settings.hpp"
 
 namespace plumkeel::platform {
 namespace {
 
 using namespace std::chrono_literals;
+using platform_settings::get_or;
 using platform_settings::json;
-using platform_settings::need;
-using platform_settings::part;
+using platform_settings::object_or_empty;
+using platform_settings::PlatformSettings;
+using platform_settings::require;
 using platform_settings::SettingsError;
 
-std::uint64_t seed_of(const json& config) {
-    const auto it = config.find("seed");
-    if (it == config.end()) throw SettingsError("field 'seed' is missing");
+constexpr std::size_t min_descriptors = 64, min_memory_mb = 24;
+// The listener, discovery's old and new connection, the event loop's own and the log.
+constexpr std::size_t reserved_descriptors = 24;
+constexpr std::size_t max_connections_per_invoker = 8;
+// Beside request bodies the process has 14 to 19 MB resident, as its own status lines report.
+constexpr std::size_t body_memory_divisor = 6;
+constexpr std::size_t max_body_bytes = 16 * 1024;
+constexpr std::size_t log_queue_size = 256;
+constexpr Time head_timeout = 1500ms;       // misbehaving clients must get a response or a close within 3 s
+constexpr Time client_idle_timeout = 6s;    // clients close idle connections after 4 s
+constexpr Time client_unread_timeout = 2s;  // a client that reads nothing of its responses
+
+std::uint64_t parse_seed(const json& root) {
+    constexpr int hexadecimal = 16;
+    const auto it = root.find("seed");
+    if (it == root.end()) throw SettingsError("field 'seed' is missing");
     if (it->is_number_unsigned()) return it->get<std::uint64_t>();
     std::uint64_t seed = 0;
     const std::string text = it->is_string() ? it->get<std::string>() : "";
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, hexadecimal);
     if (text.empty() || error != std::errc{} || end != text.data() + text.size())
-        throw SettingsError("field 'seed' is no hexadecimal number");
+        throw SettingsError("field 'seed': expected an unsigned integer or a string of up to 16 hexadecimal digits");
     return seed;
 }
 
-net::Address address_of(const json& config, const char* key) {
-    const auto text = need<std::string>(config, key);
+net::Address parse_address(const json& object, const char* key) {
+    const auto text = require<std::string>(object, key);
     const auto address = net::Address::parse(text);
     if (!address)
-        throw SettingsError(std::string("field '") + key + "': '" + text + "' is no address such as 10.0.0.4:7001");
+        throw SettingsError(
+            fmt::format("field '{}': found '{}', expected an address such as 10.0.0.4:7001", key, text));
     return *address;
 }
 
-// Who may hold how many descriptors. Clients hold a third at the most; half of the rest of what is left goes to
-// invokers, so that neither bad clients nor a large fleet cost the board or the log theirs.
-void share_descriptors(std::size_t descriptors, std::size_t invokers, GatewayConfig& config) {
-    const std::size_t own = 24;  // the listener, the board's old and new connection, the loop's, the log
-    if (descriptors < 64) throw SettingsError("field 'sockets' is under 64: no room for clients and invokers");
+void parse_initial_events(const json& known, PlatformConfig& out) {
+    out.initial_events = discovery::parse_initial_events(known);
+    for (const discovery::WatchEvent& event : out.initial_events)
+        for (const gateway::Endpoint& endpoint : event.endpoints)
+            if (!net::Address::parse(endpoint.address))
+                throw SettingsError(
+                    fmt::format("field 'endpoint' of 'known': found '{}', expected an address such as 10.0.0.4:7001",
+                                endpoint.address));
+    out.last_known_event = get_or<std::uint64_t>(known, "rev");
+    if (!out.initial_events.empty())
+        out.last_known_event = std::max(out.last_known_event, out.initial_events.back().number);
+}
+
+void apply_scheduler_settings(const PlatformSettings& settings, GatewayConfig& config) {
+    config.safety_rules = settings.safety_rules;
+    config.capabilities = settings.capabilities;
+    config.reports_concurrency = settings.reports_concurrency;
+    config.tenants = settings.tenants;
+    for (const auto& [name, request_class] : settings.request_classes) {
+        NamedRequestClass& named = config.request_classes[name];
+        static_cast<RequestClass&>(named) = request_class;
+        named.name = name;
+    }
+    if (config.request_classes.empty()) throw SettingsError("field 'classes' is missing: at least one is required");
+    // It bounds the deadline that a client may ask for: without it, every request would be rejected.
+    if (settings.max_wait <= Time{}) throw SettingsError("field 'deadline' of 'classes' is missing");
+}
+
+void apply_connection_settings(const PlatformSettings& settings, GatewayConfig& config) {
+    config.pool.connect_timeout = settings.connect_timeout;
+    config.pool.health_check_timeout = settings.connect_timeout;
+    config.pool.preload_timeout = settings.preload_timeout;
+    // The gateway closes idle connections before the invoker does, so that no attempt is sent into a closing one.
+    config.pool.idle_timeout = settings.idle_timeout / 2;
+    config.pool.max_attempts_per_connection = settings.max_attempts_per_connection;
+    config.admission.max_body_bytes = max_body_bytes;
+    config.admission.max_remaining = settings.max_wait;
+    config.admission.head_timeout = head_timeout;
+    config.admission.idle_timeout = client_idle_timeout;
+    config.admission.unread_timeout = client_unread_timeout;
+    config.metrics.enabled = false;
+}
+
+// Divides the file descriptors: half to clients, the rest to invokers, with a reserve, so that neither misbehaving
+// clients nor a large fleet starve discovery or the log.
+void divide_descriptors(std::size_t descriptors, std::size_t invokers, GatewayConfig& config) {
+    if (descriptors < min_descriptors)
+        throw SettingsError(
+            fmt::format("field 'sockets': found {}, at least {} are required", descriptors, min_descriptors));
     config.admission.max_connections = descriptors / 2;
-    config.pool.max_total_connections = descriptors - config.admission.max_connections - own;
-    config.pool.max_connections = std::clamp<std::size_t>(
-        config.pool.max_total_connections / std::max<std::size_t>(1, invokers + invokers / 2), 1, 8);
+    config.pool.max_total_connections = descriptors - config.admission.max_connections - reserved_descriptors;
+    const std::size_t expected_invokers = std::max<std::size_t>(1, invokers + invokers / 2);
+    config.pool.max_connections =
+        std::clamp<std::size_t>(config.pool.max_total_connections / expected_invokers, 1, max_connections_per_invoker);
 }
 
-// What the process holds beside bodies is 14 to 19 MB resident by its own state lines.
-void share_memory(std::size_t memory_mb, GatewayConfig& config) {
-    const std::size_t bytes = memory_mb * 1024 * 1024;
-    if (memory_mb < 24)
-        throw SettingsError("field 'memory_mb' is under 24: the program alone takes more than half of it");
-    config.admission.max_memory_bytes = bytes / 6;
-    config.log.queue_size = 256;
+void divide_memory(std::size_t memory_mb, GatewayConfig& config) {
+    if (memory_mb < min_memory_mb)
+        throw SettingsError(
+            fmt::format("field 'memory_mb': found {}, at least {} are required", memory_mb, min_memory_mb));
+    config.admission.max_memory_bytes = memory_mb * 1024 * 1024 / body_memory_divisor;
+    config.log.queue_size = log_queue_size;
+}
+
+std::size_t largest_list(const std::vector<discovery::WatchEvent>& events) {
+    std::size_t largest = 0;
+    for (const discovery::WatchEvent& event : events) largest = std::max(largest, event.endpoints.size());
+    return largest;
 }
 
 PlatformConfig decode(const json& root) {
     PlatformConfig out;
-    GatewayConfig& config = out.gateway;
-    config.name = need<std::string>(root, "name");
-    config.listen = address_of(root, "listen").text();
-    out.seed = seed_of(root);
-    out.discovery = address_of(root, "board");
-    const json& limits = part(root, "limits");
-    out.descriptors = need<std::size_t>(limits, "sockets");
-    out.memory_mb = need<std::size_t>(limits, "memory_mb");
-
-    const json& known = part(root, "known");
-    out.initial_events = discovery::parse_initial_events(known);
-    for (const discovery::WatchEvent& event : out.initial_events)
-        for (const gateway::Endpoint& entry : event.endpoints)
-            if (!net::Address::parse(entry.address))
-                throw SettingsError("field 'endpoint' of 'known': '" + entry.address + "' is no address");
-    out.last_known_event = platform_settings::get<std::uint64_t>(known, "rev");
-    if (!out.initial_events.empty())
-        out.last_known_event = std::max(out.last_known_event, out.initial_events.back().number);
+    out.gateway.name = require<std::string>(root, "name");
+    out.gateway.listen = parse_address(root, "listen").text();
+    out.seed = parse_seed(root);
+    out.discovery = parse_address(root, "board");
+    const json& limits = object_or_empty(root, "limits");
+    out.descriptors = require<std::size_t>(limits, "sockets");
+    out.memory_mb = require<std::size_t>(limits, "memory_mb");
+    parse_initial_events(object_or_empty(root, "known"), out);
 
     if (!platform_settings::has(root, "settings")) throw SettingsError("field 'settings' is missing");
-    const platform_settings::PlatformSettings told = platform_settings::read(part(root, "settings"));
-    config.safety_rules = told.safety_rules;
-    config.capabilities = told.capabilities;
-    config.reports_concurrency = told.reports_concurrency;
-    config.tenants = told.tenants;
-    for (const auto& [name, use] : told.request_classes) {
-        NamedRequestClass& stated = config.request_classes[name];
-        static_cast<RequestClass&>(stated) = use;
-        stated.name = name;
-    }
-    if (config.request_classes.empty()) throw SettingsError("field 'classes' is missing: at least one is needed");
-    // It bounds what a client may ask for: with none, every job would be turned back.
-    if (told.max_wait <= Time{}) throw SettingsError("field 'deadline' of 'classes' is missing");
-    out.labels = {told.zones, told.invoker_types};
-    out.response_options = {told.report_fields, told.reports_concurrency};
-
-    config.pool.connect_timeout = told.connect_timeout;
-    config.pool.health_check_timeout = told.connect_timeout;
-    config.pool.preload_timeout = told.preload_timeout;
-    // Ours close before the invoker's do, so that no hop crosses a close.
-    config.pool.idle_timeout = told.idle_timeout / 2;
-    config.pool.max_attempts_per_connection = told.max_attempts_per_connection;
-    config.admission.max_body_bytes = 16 * 1024;
-    config.admission.max_remaining = told.max_wait;
-    config.admission.head_timeout = 1500ms;  // bad clients are owed a word or a close within 3 s
-    config.admission.idle_timeout = 6s;      // clients close theirs after 4
-    config.admission.unread_timeout = 2s;
-    config.metrics.enabled = false;
-    std::size_t invokers = 0;
-    for (const discovery::WatchEvent& event : out.initial_events) invokers = std::max(invokers, event.endpoints.size());
-    share_descriptors(out.descriptors, invokers, config);
-    share_memory(out.memory_mb, config);
+    const PlatformSettings settings = platform_settings::parse_settings(object_or_empty(root, "settings"));
+    apply_scheduler_settings(settings, out.gateway);
+    out.labels = {settings.zones, settings.invoker_types};
+    out.response_options = {settings.report_fields, settings.reports_concurrency};
+    apply_connection_settings(settings, out.gateway);
+    divide_descriptors(out.descriptors, largest_list(out.initial_events), out.gateway);
+    divide_memory(out.memory_mb, out.gateway);
     return out;
 }
 
@@ -116,13 +150,13 @@
 
 PlatformConfig load_platform_config(const std::string& file) {
     std::ifstream in(file);
-    if (!in) throw SettingsError(file + ": can't be read");
-    const json config = json::parse(in, nullptr, false);
-    if (config.is_discarded() || !config.is_object()) throw SettingsError(file + ": is no JSON object");
+    if (!in) throw SettingsError(file + ": the file can't be read");
+    const json root = json::parse(in, nullptr, false);
+    if (root.is_discarded() || !root.is_object()) throw SettingsError(file + ": the file is not a JSON object");
     try {
-        return decode(config);
-    } catch (const SettingsError& fault) {
-        throw SettingsError(file + ": " + fault.what());
+        return decode(root);
+    } catch (const SettingsError& error) {
+        throw SettingsError(file + ": " + error.what());
     }
 }
 
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -1,9 +1,10 @@
-// What the platform tells a controller at its start, decoded once and checked: its configuration file into a
-// Charter, with the bounds that follow from its limits.
+/// The configuration file that the platform gives a controller at its start, decoded once and checked: the gateway's
+/// configuration, with the bounds that follow from the process's limits, and what the platform's own edges need.
 #pragma once
 
 #include <cstdint>
 #include <string>
+#include <vector>
 
 #include "config/gateway_config.hpp"
 #include "discovery/frame_decoder.hpp"
@@ -15,15 +16,16 @@
 struct PlatformConfig {
     GatewayConfig gateway;
     std::uint64_t seed{};
-    std::size_t descriptors{}, memory_mb{};
-    net::Address discovery;
+    std::size_t descriptors{};  ///< File descriptors that the process may open.
+    std::size_t memory_mb{};    ///< Resident memory that the process may use.
+    net::Address discovery;     ///< Address of the discovery service.
     std::vector<discovery::WatchEvent> initial_events;
-    std::uint64_t last_known_event{};  // the last event in `known`
+    std::uint64_t last_known_event{};  ///< Number of the last event that the file already covers.
     discovery::LabelTable labels;
     invoker_protocol::ResponseOptions response_options;
 };
 
-// Throws settings::Fault, naming file and field.
+/// Throws `platform_settings::SettingsError`, naming file and field.
 PlatformConfig load_platform_config(const std::string& file);
 
 }  // namespace plumkeel::platform
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -1,18 +1,20 @@
 #include "platform/platform_server.hpp"
 
+#include <algorithm>
+
 #include "net/usage.hpp"
 
 namespace plumkeel::platform {
 
 using namespace std::chrono_literals;
 
-// Clients may come for 0.6 s after the word to end; a little more is granted.
-constexpr Time still_coming = 800ms;
-constexpr Time look_every = 250ms;
-constexpr int looks_a_line = 12;
+// Clients may connect for 0.6 s after the controller is told to stop; the rest is a margin.
+constexpr Time shutdown_grace = 800ms;
+constexpr Time lag_check_interval = 250ms;
+constexpr int lag_checks_per_status = 12;
 
 PlatformServer::PlatformServer(net::EventLoop& loop, const PlatformConfig& config, Log& log,
-                               trace::RecordCallback recorded)
+                               trace::RecordCallback on_record)
     : loop_(loop),
       log_(log),
       config_(config),
@@ -23,14 +25,15 @@
               return std::make_unique<invoker_protocol::ConnectionPool>(
                   loop_, gateway_.config().pool, config_.response_options, address, counts, budget_);
           },
-          std::move(recorded)),
+          std::move(on_record)),
       server_(gateway_),
       watcher_(
           loop, log, config.labels, config.discovery, config.last_known_event,
           [this](const discovery::WatchEvent& event) { on_event(event); }, config.seed) {
     gateway_.set_list_age_source([this] { return watcher_.confirmed_at(); });
-    gateway_.on_malformed_response([this](const std::string& address, const char* why, std::size_t out) {
-        log_.write(Log::Level::info, "line_spoilt", {{"invoker", address}, {"why", why}, {"out", out}});
+    gateway_.on_malformed_response([this](const std::string& address, const char* reason, std::size_t in_flight) {
+        log_.write(Log::Level::info, "invoker_response_malformed",
+                   {{"invoker", address}, {"reason", reason}, {"in_flight", in_flight}});
     });
 }
 
@@ -40,28 +43,31 @@
     gateway_.start();
     const net::Error error = server_.open();
     if (error) return error;
+    log_start();
+    schedule_lag_check();
+    return {};
+}
+
+void PlatformServer::log_start() {
     const GatewayConfig& config = config_.gateway;
-    log_.write(Log::Level::info, "serving",
+    log_.write(Log::Level::info, "server_started",
                {{"name", config.name},
                 {"listen", config.listen},
                 {"controllers", config.capabilities.controller_count},
                 {"descriptors", config_.descriptors},
-                {"client_connections", config.admission.max_connections},
-                {"lines", config.pool.max_total_connections},
-                {"lines_an_invoker", config.pool.max_connections},
+                {"max_client_connections", config.admission.max_connections},
+                {"max_invoker_connections", config.pool.max_total_connections},
+                {"max_connections_per_invoker", config.pool.max_connections},
                 {"memory_mb", config_.memory_mb},
-                {"body_bytes", config.admission.max_memory_bytes}});
-    status_due_at_ = loop_.now() + look_every;
-    loop_.call_at(status_due_at_, [this] { log_status(); });
-    return {};
+                {"max_body_memory_bytes", config.admission.max_memory_bytes}});
 }
 
 void PlatformServer::on_event(const discovery::WatchEvent& event) {
-    log_.write(Log::Level::info, "list_changed",
+    log_.write(Log::Level::info, "endpoints_updated",
                {{"event", event.number},
-                {"whole", event.is_complete},
-                {"entries", event.endpoints.size()},
-                {"gone", event.removed.size()}});
+                {"is_complete", event.is_complete},
+                {"updated", event.endpoints.size()},
+                {"removed", event.removed.size()}});
     if (!event.endpoints.empty() || event.is_complete) gateway_.update_endpoints(event.endpoints, event.is_complete);
     if (!event.removed.empty()) gateway_.remove_endpoints(event.removed);
 }
@@ -70,32 +76,39 @@
     watcher_.set_address(config.discovery);
 }
 
-void PlatformServer::shut_down(std::function<void()> then) {
+void PlatformServer::shut_down(std::function<void()> on_stopped) {
     if (std::exchange(shutting_down_, true)) return;
-    log_.write(Log::Level::info, "ending");
-    loop_.call_at(loop_.now() + still_coming, [this, then = std::move(then)] {
-        server_.close([this, then] {
-            log_.write(Log::Level::info, "ended");
-            then();
+    log_.write(Log::Level::info, "shutdown_started");
+    loop_.call_at(loop_.now() + shutdown_grace, [this, on_stopped = std::move(on_stopped)] {
+        server_.close([this, on_stopped] {
+            log_.write(Log::Level::info, "shutdown_completed");
+            on_stopped();
         });
     });
 }
 
-// Now and then, by one timer: how late it comes tells how long the controller stood still.
+void PlatformServer::schedule_lag_check() {
+    lag_check_due_at_ = loop_.now() + lag_check_interval;
+    loop_.call_at(lag_check_due_at_, [this] { check_lag(); });
+}
+
+// How late this timer fires is how long the event loop was blocked.
+void PlatformServer::check_lag() {
+    worst_lag_ = std::max(worst_lag_, loop_.now() - lag_check_due_at_);
+    schedule_lag_check();
+    if (++lag_checks_ % lag_checks_per_status == 0) log_status();
+}
+
 void PlatformServer::log_status() {
-    worst_lag_ = std::max(worst_lag_, loop_.now() - status_due_at_);
-    status_due_at_ = loop_.now() + look_every;
-    loop_.call_at(status_due_at_, [this] { log_status(); });
-    if (++status_rounds_ % looks_a_line) return;
-    auto state = gateway_.status();
+    auto status = gateway_.status();
     const net::Usage usage = net::usage();
-    state["resident_kb"] = usage.resident_kb;
-    state["descriptors"] = usage.descriptors;
-    state["cpu_ms"] = usage.cpu / 1ms;
-    state["worst_lag_ms"] = static_cast<double>(std::exchange(worst_lag_, Time{}).count()) / 1000;
-    state["board"] = {{"last", watcher_.last()}, {"connections", watcher_.connections()}};
-    log_.write(Log::Level::info, "state", std::move(state));
-    log_.write(Log::Level::info, "believed", {{"invokers", gateway_.estimates()}});
+    status["resident_kb"] = usage.resident_kb;
+    status["descriptors"] = usage.descriptors;
+    status["cpu_ms"] = usage.cpu / 1ms;
+    status["worst_lag_ms"] = static_cast<double>(std::exchange(worst_lag_, Time{}).count()) / 1000;
+    status["discovery"] = {{"last_event", watcher_.last()}, {"connections", watcher_.connections()}};
+    log_.write(Log::Level::info, "status", std::move(status));
+    log_.write(Log::Level::info, "invoker_estimates", {{"invokers", gateway_.estimates()}});
 }
 
 }  // namespace plumkeel::platform
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -1,5 +1,5 @@
-// Wires the platform's edges to a gateway. It runs in any world: on sockets, or in virtual time against scripted
-// peers.
+/// Connects the platform's edges (FastCGI clients, the invoker protocol, discovery) to a gateway. It runs on any event
+/// loop: on sockets, or in virtual time against scripted peers.
 #pragma once
 
 #include "discovery/watcher.hpp"
@@ -11,18 +11,23 @@
 
 class PlatformServer {
 public:
-    PlatformServer(net::EventLoop& loop, const PlatformConfig& config, Log& log, trace::RecordCallback recorded = {});
+    PlatformServer(net::EventLoop& loop, const PlatformConfig& config, Log& log, trace::RecordCallback on_record = {});
 
+    /// Starts discovery and the gateway, then listens for clients.
     net::Error open();
-    // The configuration was replaced: of it, the board's address counts.
+    /// Applies a new configuration: only the discovery service's address may change at run time.
     void reconfigure(const PlatformConfig& config);
-    // Clients go on coming for a moment; then the door closes. Calls `then` once every job is answered.
-    void shut_down(std::function<void()> then);
+    /// Accepts clients for a moment longer, then stops listening; calls `on_stopped` once every request has its
+    /// response.
+    void shut_down(std::function<void()> on_stopped);
     const gateway::Gateway& gateway() const { return gateway_; }
     const discovery::Watcher& watcher() const { return watcher_; }
 
 private:
     void on_event(const discovery::WatchEvent& event);
+    void log_start();
+    void schedule_lag_check();
+    void check_lag();
     void log_status();
 
     net::EventLoop& loop_;
@@ -32,8 +37,8 @@
     gateway::Gateway gateway_;
     fastcgi::Server server_;
     discovery::Watcher watcher_;
-    net::Time status_due_at_{}, worst_lag_{};
-    int status_rounds_{};
+    net::Time lag_check_due_at_{}, worst_lag_{};
+    int lag_checks_{};
     bool shutting_down_{};
 };
 
--- a/src/platform/serve.cpp
+++ b/src/platform/serve.cpp
@@ -3,42 +3,48 @@
 #include <csignal>
 #include <iostream>
 
-#include "discovery/watcher.hpp"
-#include "fastcgi/server.hpp"
-#include "gateway/gateway.hpp"
 #include "net/socket_event_loop.hpp"
 #include "platform/platform_config.hpp"
 #include "platform/platform_server.hpp"
-#include "platform_settings/fields.hpp"
 
 namespace plumkeel::platform {
+namespace {
+
+constexpr double unlimited_lines = 1e6;
+constexpr std::size_t debug_log_queue_size = 8192;
+
+void apply_log_level(const std::string& level, LogConfig& log) {
+    log.level = level;
+    if (level != "debug") return;
+    log.max_lines_per_s = log.burst = unlimited_lines;
+    log.queue_size = debug_log_queue_size;
+}
+
+void reload(const std::string& file, PlatformServer& server, Log& log) {
+    try {
+        server.reconfigure(load_platform_config(file));
+    } catch (const std::exception& error) {
+        log.write(Log::Level::error, "configuration_rejected", {{"reason", error.what()}});
+    }
+}
+
+}  // namespace
 
 int serve(const std::string& file, const std::string& log_level) {
-    // A signal that comes before the world runs is acted upon then: it neither ends the process nor is lost.
-    net::SignalBlock start({SIGHUP, SIGTERM, SIGINT});
+    // A signal that arrives before the loop runs is handled then: it neither ends the process nor is lost.
+    net::SignalBlock signal_block({SIGHUP, SIGTERM, SIGINT});
     PlatformConfig config = load_platform_config(file);
-    config.gateway.log.level = log_level;
-    if (log_level == "debug") {
-        config.gateway.log.max_lines_per_s = config.gateway.log.burst = 1e6;
-        config.gateway.log.queue_size = 8192;
-    }
+    apply_log_level(log_level, config.gateway.log);
     net::SocketEventLoop loop;
     Log log(loop, config.gateway.log);
-    PlatformServer host(loop, config, log);
-    if (const net::Error error = host.open()) {
+    PlatformServer server(loop, config, log);
+    if (const net::Error error = server.open()) {
         std::cerr << "plumkeel: can't listen on " << config.gateway.listen << ": " << error.message() << '\n';
         return 1;
     }
-    loop.on_signal(SIGHUP, [&] {
-        try {
-            host.reconfigure(load_platform_config(file));
-        } catch (const std::exception& fault) {
-            log.write(Log::Level::error, "configuration_kept", {{"why", fault.what()}});
-        }
-    });
-    loop.on_signal(SIGTERM, [&] { host.shut_down([&] { loop.stop(); }); });
-    loop.on_signal(SIGINT, [&] { host.shut_down([&] { loop.stop(); }); });
-    start.release();
+    loop.on_signal(SIGHUP, [&] { reload(file, server, log); });
+    for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { server.shut_down([&] { loop.stop(); }); });
+    signal_block.release();
     loop.run();
     return 0;
 }
--- a/src/platform_settings/settings.cpp
+++ b/src/platform_settings/settings.cpp
@@ -1,77 +1,96 @@
 #include "platform_settings/settings.hpp"
 
+#include <algorithm>
+
 namespace plumkeel::platform_settings {
 namespace {
 
-Idempotency repeat_of(const std::string& word) {
-    if (word == "retryable") return Idempotency::idempotent;
-    return word == "dedup" ? Idempotency::deduplicated : Idempotency::at_most_once;
+using std::chrono::milliseconds;
+
+constexpr Time default_connect_timeout = milliseconds(250);
+constexpr Time default_idle_timeout = milliseconds(30'000);
+constexpr Time default_preload_timeout = milliseconds(10'000);
+
+Idempotency parse_idempotency(const std::string& text) {
+    if (text == "retryable") return Idempotency::idempotent;
+    return text == "dedup" ? Idempotency::deduplicated : Idempotency::at_most_once;
 }
 
-DeduplicationScope reach_of(const std::string& word) {
-    if (word == "all") return DeduplicationScope::global;
-    return word == "zone" ? DeduplicationScope::zone : DeduplicationScope::cell;
+DeduplicationScope parse_deduplication_scope(const std::string& text) {
+    if (text == "all") return DeduplicationScope::global;
+    return text == "zone" ? DeduplicationScope::zone : DeduplicationScope::cell;
 }
 
-}  // namespace
+SafetyRules parse_safety_rules(const json& rules, const json& family) {
+    SafetyRules out;
+    out.slow_start_duration = duration_or(rules, "cold");
+    out.slow_start_initial_share = get_or<double>(rules, "cold_share");
+    out.slow_start_rate_multiple = get_or<double>(rules, "fall_multiple");
+    out.slow_start_window = duration_or(rules, "overload_for");
+    out.load_budget_window = duration_or(family, "load_span");
+    out.load_budget_base = get_or<double>(family, "free_loads");
+    out.load_budget_per_request = get_or<double>(family, "loads_per_request");
+    return out;
+}
 
-PlatformSettings read(const json& setup) {
-    const json& rules = part(setup, "rules");
-    const json& family = part(setup, "family_info");
-    const json& limits = part(setup, "limits");
-    PlatformSettings out;
+Capabilities parse_capabilities(const json& root, const json& family, const json& limits) {
+    Capabilities out;
+    out.cancellation = get_or<bool>(limits, "may_cancel");
+    out.health_checks = get_or<bool>(limits, "probes");
+    out.hedging = get_or<bool>(limits, "second_copies");
+    out.retry_after = get_or<bool>(limits, "retry_after");
+    out.max_attempts = get_or<int>(limits, "send_cap");
+    out.max_retry_after = duration_or(limits, "max_retry_after");
+    out.preload = get_or<bool>(family, "may_order");
+    out.on_demand_loading = get_or<std::string>(family, "if_cold") != "miss";
+    out.keep_alive = duration_or(family, "linger_idle");
+    out.memory_price = get_or<double>(family, "memory_price");
+    out.health_check_price = get_or<double>(object_or_empty(root, "charges"), "probe");
+    out.subscribes_endpoints = get_or<std::string>(root, "discovery") == "subscribe";
+    out.stable_capacity = get_or<std::string>(root, "weight_source") != "live";
+    out.controller_count = get_or<int>(root, "fleet_size");
+    out.clock_resolution = duration_or(root, "quantum");
+    return out;
+}
 
-    SafetyRules& book = out.safety_rules;
-    book.slow_start_duration = span(rules, "cold");
-    book.slow_start_initial_share = get<double>(rules, "cold_share");
-    book.slow_start_rate_multiple = get<double>(rules, "fall_multiple");
-    book.slow_start_window = span(rules, "overload_for");
-    book.load_budget_window = span(family, "load_span");
-    book.load_budget_base = get<double>(family, "free_loads");
-    book.load_budget_per_request = get<double>(family, "loads_per_request");
+void parse_request_class(const json& entry, PlatformSettings& out) {
+    RequestClass& request_class = out.request_classes[require<std::string>(entry, "name")];
+    request_class.latency_target = duration_or(entry, "aim");
+    request_class.idempotency = parse_idempotency(get_or<std::string>(entry, "semantics"));
+    request_class.deduplication_scope = parse_deduplication_scope(get_or<std::string>(entry, "group"));
+    request_class.deduplication_window = duration_or(entry, "repeat_window");
+    out.max_wait = std::max(out.max_wait, duration_or(entry, "deadline"));
+}
 
-    Capabilities& may = out.capabilities;
-    may.cancellation = get<bool>(limits, "may_cancel");
-    may.health_checks = get<bool>(limits, "probes");
-    may.hedging = get<bool>(limits, "second_copies");
-    may.retry_after = get<bool>(limits, "retry_after");
-    may.max_attempts = get<int>(limits, "send_cap");
-    may.max_retry_after = span(limits, "max_retry_after");
-    may.preload = get<bool>(family, "may_order");
-    may.on_demand_loading = get<std::string>(family, "if_cold") != "miss";
-    may.keep_alive = span(family, "linger_idle");
-    may.memory_price = get<double>(family, "memory_price");
-    may.health_check_price = get<double>(part(setup, "charges"), "probe");
-    may.subscribes_endpoints = get<std::string>(setup, "discovery") == "subscribe";
-    may.stable_capacity = get<std::string>(setup, "weight_source") != "live";
-    may.controller_count = get<int>(setup, "fleet_size");
-    may.clock_resolution = span(setup, "quantum");
+void parse_connection_settings(const json& root, const json& family, const json& limits, PlatformSettings& out) {
+    out.zones = get_or<std::vector<std::string>>(root, "areas");
+    out.invoker_types = get_or<std::vector<std::string>>(root, "kinds");
+    out.connect_timeout = duration_or(limits, "connect_timeout", default_connect_timeout);
+    out.idle_timeout = duration_or(limits, "conn_idle", default_idle_timeout);
+    out.preload_timeout = duration_or(family, "answer_within", default_preload_timeout);
+    out.max_attempts_per_connection = static_cast<std::size_t>(std::max(1, get_or<int>(limits, "streams_per_conn", 1)));
+}
 
-    out.reports_concurrency = get<bool>(family, "says_company");
-    for (const json& entry : get<json>(setup, "classes", json::array())) {
-        RequestClass& use = out.request_classes[need<std::string>(entry, "name")];
-        use.latency_target = span(entry, "aim");
-        use.idempotency = repeat_of(get<std::string>(entry, "semantics"));
-        use.deduplication_scope = reach_of(get<std::string>(entry, "group"));
-        use.deduplication_window = span(entry, "repeat_window");
-        out.max_wait = std::max(out.max_wait, span(entry, "deadline"));
-    }
-    for (const json& entry : get<json>(setup, "realms", json::array()))
-        out.tenants[need<std::string>(entry, "name")].quota_per_s = get<double>(entry, "quota_per_s");
-    for (const json& name : get<json>(part(setup, "report"), "fields", json::array()))
-        out.report_fields.push_back(name.is_string() ? name.get<std::string>() : std::string());
+}  // namespace
 
-    out.zones = get<std::vector<std::string>>(setup, "areas");
-    out.invoker_types = get<std::vector<std::string>>(setup, "kinds");
-    using std::chrono::milliseconds;
-    out.connect_timeout = span(limits, "connect_timeout", milliseconds(250));
-    out.idle_timeout = span(limits, "conn_idle", milliseconds(30'000));
-    out.preload_timeout = span(family, "answer_within", milliseconds(10'000));
-    out.max_attempts_per_connection = static_cast<std::size_t>(std::max(1, get<int>(limits, "streams_per_conn", 1)));
+PlatformSettings parse_settings(const json& root) {
+    const json& rules = object_or_empty(root, "rules");
+    const json& family = object_or_empty(root, "family_info");
+    const json& limits = object_or_empty(root, "limits");
+    PlatformSettings out;
+    out.safety_rules = parse_safety_rules(rules, family);
+    out.capabilities = parse_capabilities(root, family, limits);
+    out.reports_concurrency = get_or<bool>(family, "says_company");
+    for (const json& entry : get_or<json>(root, "classes", json::array())) parse_request_class(entry, out);
+    for (const json& entry : get_or<json>(root, "realms", json::array()))
+        out.tenants[require<std::string>(entry, "name")].quota_per_s = get_or<double>(entry, "quota_per_s");
+    for (const json& name : get_or<json>(object_or_empty(root, "report"), "fields", json::array()))
+        out.report_fields.push_back(name.is_string() ? name.get<std::string>() : std::string());
+    parse_connection_settings(root, family, limits, out);
     return out;
 }
 
-void put_figure(LoadReport& report, const std::string& field, double value) {
+void set_report_field(LoadReport& report, const std::string& field, double value) {
     if (field == "active") report.in_flight = value;
     if (field == "waiting") report.queued = value;
 }
--- a/src/platform_settings/settings.hpp
+++ b/src/platform_settings/settings.hpp
@@ -1,9 +1,8 @@
-// The settings object of the platform, as the simulator's first message and a controller's configuration both
-// hold it: the one decoder of its names and units. Free of I/O.
+/// The settings object of the platform, which the simulator's first message and a controller's configuration both
+/// contain: the only decoder of its names and units. Free of I/O.
 #pragma once
 
 #include <map>
-#include <optional>
 #include <string>
 #include <vector>
 
@@ -17,18 +16,22 @@
     Capabilities capabilities;
     std::map<std::string, RequestClass> request_classes;
     std::map<std::string, Tenant> tenants;
+    /// Invokers report how many requests ran beside each one.
     bool reports_concurrency{};
-    std::vector<std::string> report_fields;  // in the order in which reports hold them
-    // Sockets alone ask for these.
-    std::vector<std::string> zones, invoker_types;
-    Time connect_timeout{}, idle_timeout{}, preload_timeout{}, max_wait{};
+    /// Names of the figures of a load report, in the order in which reports contain them.
+    std::vector<std::string> report_fields;
+
+    // What only a controller on real connections uses.
+    std::vector<std::string> zones, invoker_types;  ///< The tables that discovery frames index.
+    Time connect_timeout{}, idle_timeout{}, preload_timeout{};
+    Time max_wait{};  ///< The longest deadline of any request class.
     std::size_t max_attempts_per_connection{};
 };
 
-// Throws Fault, naming the field.
-PlatformSettings read(const json& setup);
+/// Throws `SettingsError`, naming the field.
+PlatformSettings parse_settings(const json& root);
 
-// Puts one figure of a load report, by the name that the settings give it, where the module looks for it.
-void put_figure(LoadReport& report, const std::string& field, double value);
+/// Stores one figure of a load report under the name that the settings give it; unknown names are ignored.
+void set_report_field(LoadReport& report, const std::string& field, double value);
 
 }  // namespace plumkeel::platform_settings
--- /dev/null
+++ b/src/simulator_adapter/controller.cpp
@@ -0,0 +1,181 @@
+#include "simulator_adapter/controller.hpp"
+
+#include <algorithm>
+
+namespace plumkeel::simulator_adapter {
+
+using platform_settings::SettingsError;
+using wire::EventType;
+
+Controller::Controller(std::string name, Time started_at, const wire::ControllerStarted& start)
+    : name_(std::move(name)),
+      started_at_(started_at),
+      request_classes_(start.settings.request_classes),
+      tenants_(start.settings.tenants),
+      report_fields_(start.settings.report_fields),
+      reports_concurrency_(start.settings.reports_concurrency),
+      scheduler_(make_scheduler({name_, started_at_, start.seed, start.settings.safety_rules,
+                                 start.settings.capabilities, request_classes_, tenants_})) {}
+
+void Controller::handle(EventType type, const json& event, Time simulated_now, const json* bank, json& actions) {
+    const Time now = simulated_now - started_at_;
+    switch (type) {
+        case EventType::request_received:
+            return on_request(event, now, actions);
+        case EventType::response_started:
+            return on_response_started(event, now, actions);
+        case EventType::attempt_ended:
+            return on_attempt_ended(event, now, actions);
+        case EventType::client_disconnected:
+            return on_client_disconnected(event, now, actions);
+        case EventType::timer_fired:
+            return on_timer(event, now, actions);
+        case EventType::endpoints_updated:
+            return on_endpoints(event, now, bank, actions);
+        case EventType::health_check_ended:
+            return on_health_check(event, now, actions);
+        case EventType::preload_ended:
+            return on_preload_ended(event, now, actions);
+        case EventType::endpoint_bank:
+        case EventType::controller_started:
+        case EventType::controller_crashed:
+        case EventType::unknown:
+            return;
+    }
+}
+
+void Controller::on_request(const json& event, Time now, json& actions) {
+    const wire::RequestReceived received = wire::decode_request(event);
+    const auto request_class = request_classes_.find(received.request_class);
+    if (request_class == request_classes_.end())
+        throw SettingsError("the settings have no request class '" + received.request_class + "'");
+    Function& function = update_function(received);
+    const auto [it, is_new] = requests_.try_emplace(received.id, std::make_unique<Request>());
+    if (!is_new) throw SettingsError("request " + std::to_string(received.id) + " was received twice");
+    Request& request = *it->second;
+    request.id = received.id;
+    request.request_class = &request_class->second;
+    request.function = &function;
+    request.remaining = received.remaining;
+    request.is_client_retry = received.is_client_retry;
+    if (received.tenant)
+        if (const auto tenant = tenants_.find(*received.tenant); tenant != tenants_.end())
+            request.tenant = &tenant->second;
+    apply(scheduler_->submit(now, request), now, actions);
+}
+
+Function& Controller::update_function(const wire::RequestReceived& received) {
+    std::unique_ptr<Function>& function = functions_[received.function];
+    if (!function) function = std::make_unique<Function>();
+    function->name = received.function;
+    function->concurrency = received.function_concurrency;
+    if (received.declared_load_time) function->declared_load_time = *received.declared_load_time;
+    return *function;
+}
+
+Attempt* Controller::find_attempt_in_flight(const json& event) {
+    const auto it = requests_.find(wire::decode_request_id(event));
+    const std::uint64_t number = wire::decode_attempt_number(event);
+    if (it == requests_.end() || number >= it->second->attempts.size()) return nullptr;
+    Attempt& attempt = it->second->attempts[number];
+    return attempt.in_flight ? &attempt : nullptr;
+}
+
+void Controller::on_response_started(const json& event, Time now, json& actions) {
+    if (Attempt* attempt = find_attempt_in_flight(event))
+        apply(scheduler_->response_started(now, *attempt), now, actions);
+}
+
+void Controller::on_attempt_ended(const json& event, Time now, json& actions) {
+    Attempt* attempt = find_attempt_in_flight(event);
+    if (!attempt) return;
+    const wire::AttemptEnded ended = wire::decode_attempt_ended(event, reports_concurrency_);
+    apply(scheduler_->attempt_ended(now, *attempt, ended.outcome, ended.load_event, ended.concurrent_requests,
+                                    wire::decode_load_report(event, report_fields_)),
+          now, actions);
+    erase_if_settled(wire::decode_request_id(event));
+}
+
+void Controller::on_client_disconnected(const json& event, Time now, json& actions) {
+    const std::uint64_t id = wire::decode_request_id(event);
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return;
+    apply(scheduler_->client_disconnected(now, *it->second), now, actions);
+    erase_if_settled(id);
+}
+
+void Controller::on_timer(const json& event, Time now, json& actions) {
+    if (wire::decode_timer(event) != std::to_string(timers_set_)) return;  // replaced by a later timer
+    timer_due_at_ = Time::max();
+    apply(scheduler_->wake(now), now, actions);
+}
+
+void Controller::on_endpoints(const json& event, Time now, const json* bank, json& actions) {
+    const wire::UpdateMode mode = wire::decode_update_mode(event);
+    if (mode == wire::UpdateMode::stream_lost) return apply(scheduler_->endpoint_stream_lost(now), now, actions);
+    if (!bank) throw SettingsError("an endpoint update refers to a bank that was never sent");
+    std::vector<Invoker*> changed;
+    for (const json& entry : *bank) changed.push_back(update_invoker(entry));
+    const bool is_complete = mode == wire::UpdateMode::complete;
+    apply(scheduler_->endpoints_changed(now, changed, is_complete), now, actions);
+}
+
+Invoker* Controller::update_invoker(const json& entry) {
+    const wire::Endpoint endpoint = wire::decode_endpoint(entry);
+    std::unique_ptr<Invoker>& invoker = invokers_[endpoint.name];
+    if (!invoker) invoker = std::make_unique<Invoker>();
+    invoker->name = endpoint.name;
+    invoker->ready = endpoint.ready;
+    invoker->capacity = endpoint.capacity;
+    invoker->zone = endpoint.zone;
+    invoker->type = &invoker_types_[endpoint.type];
+    invoker->cell = endpoint.cell;
+    invoker->started_at.reset();
+    if (endpoint.started_at) invoker->started_at = *endpoint.started_at - started_at_;
+    return invoker.get();
+}
+
+void Controller::on_health_check(const json& event, Time now, json& actions) {
+    Invoker* invoker = find_invoker(event);
+    if (!invoker) return;
+    const bool passed = wire::decode_health_check_passed(event);
+    apply(scheduler_->health_check_ended(now, *invoker, passed, wire::decode_load_report(event, report_fields_)), now,
+          actions);
+}
+
+void Controller::on_preload_ended(const json& event, Time now, json& actions) {
+    Invoker* invoker = find_invoker(event);
+    const wire::PreloadEnded ended = wire::decode_preload_ended(event);
+    const auto function = functions_.find(ended.function);
+    if (!invoker || function == functions_.end()) return;
+    apply(scheduler_->preload_ended(now, *function->second, *invoker, ended.outcome, ended.copies), now, actions);
+}
+
+Invoker* Controller::find_invoker(const json& event) {
+    const auto it = invokers_.find(wire::decode_invoker_name(event));
+    return it == invokers_.end() ? nullptr : it->second.get();
+}
+
+void Controller::erase_if_settled(std::uint64_t request_id) {
+    const auto it = requests_.find(request_id);
+    if (it != requests_.end() && it->second->is_settled()) requests_.erase(it);
+}
+
+void Controller::apply(const Actions& results, Time now, json& actions) {
+    wire::ActionList out(name_, actions);
+    if (results.subscribe_endpoints) out.subscribe_endpoints();
+    for (const Attempt* attempt : results.to_cancel) out.cancel(*attempt);
+    for (const Request* request : results.completed) out.complete(*request);
+    for (const Attempt* attempt : results.to_send) out.send(*attempt);
+    for (const Invoker* invoker : results.to_probe) out.probe(*invoker);
+    for (const PreloadCommand& command : results.to_preload) out.preload(command);
+    for (const Request* request : results.completed) erase_if_settled(request->id);
+    for (const Function* function : results.released_functions) functions_.erase(std::string(function->name));
+    for (const Invoker* invoker : results.released_invokers) invokers_.erase(std::string(invoker->name));
+    if (results.next_wake < timer_due_at_) {
+        timer_due_at_ = results.next_wake;
+        out.set_timer(std::max(timer_due_at_ - now, Time{}), ++timers_set_);
+    }
+}
+
+}  // namespace plumkeel::simulator_adapter
--- /dev/null
+++ b/src/simulator_adapter/scheduler_setup.hpp
@@ -0,0 +1,23 @@
+/// What a scheduler hosted by the adapter is constructed from.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+
+#include "scheduler/types.hpp"
+
+namespace plumkeel::simulator_adapter {
+
+/// The maps must outlive the scheduler.
+struct SchedulerSetup {
+    const std::string& controller;
+    Time started_at;  ///< Simulated time.
+    std::uint64_t seed;
+    const SafetyRules& safety_rules;
+    const Capabilities& capabilities;
+    const std::map<std::string, RequestClass>& request_classes;
+    const std::map<std::string, Tenant>& tenants;
+};
+
+}  // namespace plumkeel::simulator_adapter
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -27,7 +27,7 @@
           std::move(recorded)),
       watcher_(loop, gateway_.config().endpoint_source, gateway_.incarnation(), log, seed,
                [this](const auto& changed, bool complete) { gateway_.update_endpoints(changed, complete); }) {
-    gateway_.set_list_age_source([this] { return watcher_.follower().confirmed_at(); });
+    gateway_.set_list_age_source([this] { return watcher_.query().confirmed_at(); });
 }
 
 Server::~Server() = default;
@@ -41,7 +41,7 @@
     for (const StaticInvoker& each : gateway_.config().endpoint_source.fixed)
         fixed.push_back({each.name, each.address, each.zone, each.type, true, each.capacity, each.cell, {}});
     gateway_.update_endpoints(fixed, true);
-    if (!gateway_.config().endpoint_source.consul.empty()) watcher_.follow();
+    if (!gateway_.config().endpoint_source.consul.empty()) watcher_.start();
     gateway_.start();
     loop_.spawn(accept());
     return {};
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -392,8 +392,8 @@
     };
     EXPECT_EQ(why(plain_config), "");
     for (const auto& [bad, word] : std::vector<std::pair<std::string, std::string>>{
-             {"{", "is no JSON"},
-             {"[]", "is no JSON"},
+             {"{", "not a JSON object"},
+             {"[]", "not a JSON object"},
              {replaced(plain_config, R"("listen":"10.1.0.1:7001")", R"("listen":"here")"), "'listen'"},
              {replaced(plain_config, R"("board":"10.9.0.1:2379",)", ""), "'board'"},
              {replaced(plain_config, R"("seed":"8c1f30d27a5be964")", R"("seed":"xyz")"), "'seed'"},
@@ -498,7 +498,7 @@
         load_platform_config(file_of(text));
         FAIL() << "it was read";
     } catch (const platform_settings::SettingsError& fault) {
-        EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known' names 20001 invokers; 20000 at most"),
+        EXPECT_NE(std::string(fault.what()).find("field 'targets' of 'known': 20001 invokers listed, at most 20000 allowed"),
                   std::string::npos)
             << fault.what();
     }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -154,7 +154,7 @@
         {"{ decisions: [{ name: 'a', sizes: [10], over: 'cows' }] }", "over: is none of"},
         {"{ decisions: [{ name: 'a', sizes: [10], runs: 1000 }] }", "runs: is over"},
         {"{ decisions: [{ name: 'a', sizes: [10], length: '5h' }] }", "length: is not between"},
-        {"{ decisions: [{ name: 'a', sizes: [10], exponent: -1 }] }", "exponent: is below"},
+        {"{ decisions: [{ name: 'a', sizes: [10], exponent: -1 }] }", "exponent: found -1, expected at least 0"},
         {"{ decisions: [{ name: 'a', sizes: [10], disturbance: 'rain' }] }", "disturbance"},
         {"{ platform: [{ name: 'a', sizes: [10], processes: 100000 }] }", "processes: is over"},
         {"{ }", "names nothing to measure"},
