--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -36,9 +36,9 @@
     if (!server.metrics() || config.receivers.empty()) return nullptr;
     return std::make_unique<remote_write::Exporter>(
         config, [&server] { return server.metrics()->collect(); },
-        [&loop, &log](const std::string& kind, const std::string& detail) {
-            net::asio::post(loop.executor(), [&log, kind, detail] {
-                log.write(Log::Level::warn, kind, {{"detail", detail}});
+        [&loop, &log](remote_write::ExportEvent event, const std::string& detail) {
+            net::asio::post(loop.executor(), [&log, event, detail] {
+                log.write(Log::Level::warn, remote_write::to_string(event), {{"detail", detail}});
             });
         });
 }
