--- a/src/cli/alerts.cpp
+++ b/src/cli/alerts.cpp
@@ -150,7 +150,7 @@
         alerts->add_subcommand("test", "evaluate rules over samples: when each alert is pending, firing and resolved");
     for (CLI::App* command : {rules, test})
         command->add_option("rules", options->rules, "a rule file, or a template of one")->required();
-    test->add_option("samples", options->samples, "as plumkeel-stand receiver records them")->required();
+    test->add_option("samples", options->samples, "as plumkeel-emulator receiver records them")->required();
     test->add_flag("--quiet", options->quiet, "only alerts that fire");
     return [options, rules] {
         if (*rules) return write_rules(options->rules);
