--- a/emulator/client_load.cpp
+++ b/emulator/client_load.cpp
@@ -16,7 +16,7 @@
 namespace field = protocol::field;
 
 constexpr Time shortest_try = 50ms;
-constexpr Time response_slack = 300ms;  // a client waits so much longer than the time that it told the controller
+constexpr Time response_slack = 300ms;  // by which a client waits longer than the time that it states
 constexpr std::size_t large_response_bytes = 200'000;
 
 Time scaled(Time duration, double factor) {
--- a/scale/allocation_count.cpp
+++ b/scale/allocation_count.cpp
@@ -8,19 +8,19 @@
 
 struct Header {
     std::size_t bytes;
-    bool of_module;
+    bool of_scheduler;
 };
 constexpr std::size_t header_bytes = 16;  // keeps what follows aligned as malloc() does
 static_assert(sizeof(Header) <= header_bytes);
 
-thread_local bool in_module = false;
+thread_local bool in_scheduler = false;
 thread_local AllocationCounts counts;
 
 void* allocate(std::size_t bytes) {
     void* const raw = std::malloc(bytes + header_bytes);
     if (!raw) throw std::bad_alloc();
-    *static_cast<Header*>(raw) = {bytes, in_module};
-    if (in_module) {
+    *static_cast<Header*>(raw) = {bytes, in_scheduler};
+    if (in_scheduler) {
         counts.live_bytes += static_cast<std::int64_t>(bytes);
         ++counts.allocations;
     }
@@ -31,22 +31,22 @@
     if (!memory) return;
     void* const raw = static_cast<char*>(memory) - header_bytes;
     const Header header = *static_cast<Header*>(raw);
-    if (header.of_module) counts.live_bytes -= static_cast<std::int64_t>(header.bytes);
+    if (header.of_scheduler) counts.live_bytes -= static_cast<std::int64_t>(header.bytes);
     std::free(raw);
 }
 
 }  // namespace
 
-AllocationCounts module_allocations() {
+AllocationCounts scheduler_allocations() {
     return counts;
 }
 
-ModuleScope::ModuleScope() : outer_(in_module) {
-    in_module = true;
+SchedulerAllocationScope::SchedulerAllocationScope() : outer_(in_scheduler) {
+    in_scheduler = true;
 }
 
-ModuleScope::~ModuleScope() {
-    in_module = outer_;
+SchedulerAllocationScope::~SchedulerAllocationScope() {
+    in_scheduler = outer_;
 }
 
 }  // namespace plumkeel::scale
--- a/scale/allocation_count.hpp
+++ b/scale/allocation_count.hpp
@@ -1,5 +1,5 @@
-// Exact counts of heap memory by owner. Linking allocation_count.cpp replaces the global operator new and delete; what
-// is allocated while a ModuleScope exists belongs to the decision module, also when it is freed elsewhere.
+/// Exact counts of heap memory by owner. Linking allocation_count.cpp replaces the global operator new and delete; what
+/// is allocated while a SchedulerAllocationScope exists belongs to the scheduler, also when it is freed elsewhere.
 #pragma once
 
 #include <cstddef>
@@ -12,16 +12,16 @@
     std::uint64_t allocations{};  // since the program's start
 };
 
-// Of the decision module, in this process.
-AllocationCounts module_allocations();
+/// Of the scheduler, in this process.
+AllocationCounts scheduler_allocations();
 
-// While one exists on this thread, new memory counts as the decision module's.
-class ModuleScope {
+/// While one exists on this thread, new memory counts as the scheduler's.
+class SchedulerAllocationScope {
 public:
-    ModuleScope();
-    ~ModuleScope();
-    ModuleScope(const ModuleScope&) = delete;
-    ModuleScope& operator=(const ModuleScope&) = delete;
+    SchedulerAllocationScope();
+    ~SchedulerAllocationScope();
+    SchedulerAllocationScope(const SchedulerAllocationScope&) = delete;
+    SchedulerAllocationScope& operator=(const SchedulerAllocationScope&) = delete;
 
 private:
     const bool outer_;
--- a/scale/event_queue.hpp
+++ b/scale/event_queue.hpp
@@ -1,6 +1,7 @@
-// Virtual time: events in the order of their times, those of one moment in the order in which they were added.
+/// Virtual time: events in the order of their times, those of one time in the order in which they were added.
 #pragma once
 
+#include <algorithm>
 #include <chrono>
 #include <cstdint>
 #include <functional>
@@ -14,16 +15,19 @@
 
 class EventQueue {
 public:
-    void at(Time when, std::function<void()> what) { events_.push({std::max(when, now_), ++added_, std::move(what)}); }
+    /// A time that has passed counts as now.
+    void at(Time when, std::function<void()> action) {
+        events_.push({std::max(when, now_), ++added_, std::move(action)});
+    }
     Time now() const { return now_; }
 
-    // Runs events up to `end`, which is the time afterwards.
+    /// Runs events up to `end`, which is the time afterwards.
     void run_until(Time end) {
         while (!events_.empty() && events_.top().when <= end) {
             Event event = std::move(const_cast<Event&>(events_.top()));  // it is popped at once
             events_.pop();
             now_ = event.when;
-            event.what();
+            event.action();
         }
         now_ = end;
     }
@@ -32,7 +36,7 @@
     struct Event {
         Time when;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> action;
         bool operator<(const Event& other) const { return std::pair(when, order) > std::pair(other.when, other.order); }
     };
     std::priority_queue<Event> events_;
--- a/scale/modelled_fleet.hpp
+++ b/scale/modelled_fleet.hpp
@@ -1,11 +1,10 @@
-// A fleet of invokers as a model: what each holds loaded, what runs there, and how it answers an attempt. It knows
-// nothing of the controllers' beliefs. Assumptions: an instance serves one request at a time; an idle instance gives
-// way to a new one, the least recently used first; a run slows down in step once more run than there are cores; a dead
-// invoker is silent.
+/// A fleet of invokers as a model: what each one has loaded, what it runs, and how it answers an attempt. It knows
+/// nothing of the controllers' estimates. Assumptions: an instance runs one request at a time; an idle instance is
+/// evicted for a new one, the least recently used first; runs slow down in proportion once there are more than cores; a
+/// dead invoker does not answer.
 #pragma once
 
 #include <cstdint>
-#include <string>
 #include <vector>
 
 #include "scheduler/types.hpp"
@@ -21,12 +20,12 @@
     Time load = std::chrono::milliseconds(800);
 };
 
-// How an attempt ends, and after which span.
+/// How an attempt ends, and when.
 struct Reply {
     Time after{};
-    AttemptOutcome ending{};
-    LoadEvent note{};
-    int concurrent_requests{};  // other requests for the function there when it came
+    AttemptOutcome outcome{};
+    LoadEvent load_event{};
+    int concurrent_requests{};  // for the function there, when it arrived
 };
 
 class ModelledFleet {
@@ -34,24 +33,25 @@
     using FunctionNumber = std::uint32_t;
     explicit ModelledFleet(const FleetShape& shape) : shape_(shape), invokers_(shape.invokers) {}
 
-    // A dead invoker's reply comes after `limit`, as overdue. Any other is to be followed by finished() at its time.
-    Reply attempt(Time now, std::size_t invoker, FunctionNumber function, Time limit);
+    /// A dead invoker's reply comes after `timeout`, as timed out. A reply that succeeds is to be followed by
+    /// finished() at its time.
+    Reply attempt(Time now, std::size_t invoker, FunctionNumber function, Time timeout);
     void finished(Time now, std::size_t invoker, FunctionNumber function);
     bool answers(std::size_t invoker) const { return !invokers_[invoker].dead; }
     LoadReport report(std::size_t invoker) const;
 
     void kill(std::size_t invoker);
-    // A new process under the old address: nothing is loaded.
+    /// A new process under the old address: nothing is loaded.
     void restart(std::size_t invoker);
 
     const FleetShape& shape() const { return shape_; }
-    // How many instances of the function stand in the whole fleet.
-    std::size_t instances_of(FunctionNumber function) const;
+    /// Of a function in the whole fleet.
+    std::size_t instance_count(FunctionNumber function) const;
 
 private:
     struct Instance {
         FunctionNumber function{};
-        Time ready{}, used{};
+        Time ready_at{}, used_at{};
         bool busy{};
     };
     struct ModelledInvoker {
@@ -59,9 +59,9 @@
         int running{};
         bool dead{};
     };
-    Instance* room_for(ModelledInvoker& invoker);
-    Reply running(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent note,
-                  int concurrent_requests) const;
+    Instance* make_room(ModelledInvoker& invoker) const;
+    Reply run(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent load_event,
+              int concurrent_requests) const;
 
     const FleetShape shape_;
     std::vector<ModelledInvoker> invokers_;
--- a/scale/plans/platform.jsonnet
+++ b/scale/plans/platform.jsonnet
@@ -1,4 +1,4 @@
-// The real program beside hollow peers: one process over growing fleets, then watchers of discovery by the thousand.
+// The real program beside stubs of its peers: one process over growing fleets, then watchers of discovery by the thousand.
 {
   platform: [
     { name: 'one process', over: 'invokers', sizes: [720, 7200, 18000], runs: 2, idle: '5s', busy: '8s', changes: 100 },
--- a/scale/results.cpp
+++ b/scale/results.cpp
@@ -17,40 +17,40 @@
 constexpr std::size_t column_count = 8;
 
 template <class T>
-T number_of(const std::string& text, const std::string& file, std::size_t line) {
+T parse_number(const std::string& text, const std::string& file, std::size_t line) {
     T value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size())
-        throw ResultsFault(fmt::format("{}:{}: '{}' is no number", file, line, text));
+        throw ResultsError(fmt::format("{}:{}: '{}' is no number", file, line, text));
     return value;
 }
 
-Row row_of(const std::string& text, const std::string& file, std::size_t line) {
+Row parse_row(const std::string& text, const std::string& file, std::size_t line) {
     std::vector<std::string> fields;
     boost::split(fields, text, boost::is_any_of(","));
     if (fields.size() != column_count)
-        throw ResultsFault(fmt::format("{}:{}: {} columns, not {}", file, line, fields.size(), column_count));
+        throw ResultsError(fmt::format("{}:{}: {} columns, not {}", file, line, fields.size(), column_count));
     return {fields[0],
             fields[1],
             fields[2],
-            number_of<double>(fields[3], file, line),
-            number_of<int>(fields[4], file, line),
+            parse_number<double>(fields[3], file, line),
+            parse_number<int>(fields[4], file, line),
             fields[5],
             fields[6],
-            number_of<double>(fields[7], file, line)};
+            parse_number<double>(fields[7], file, line)};
 }
 
-std::string expect(std::istream& in, std::string_view key, const std::string& file) {
+std::string read_header(std::istream& in, std::string_view key, const std::string& file) {
     std::string line;
     std::getline(in, line);
     if (!line.starts_with(key))
-        throw ResultsFault(fmt::format("{}: '{}' is missing: not results of this version", file, key));
+        throw ResultsError(fmt::format("{}: '{}' is missing: not results of this version", file, key));
     return line.substr(key.size());
 }
 
 void check_text(const std::string& text, const std::string& file) {
     if (text.find_first_of(",\r\n") != std::string::npos)
-        throw ResultsFault(fmt::format("{}: '{}' can't stand in a row", file, text));
+        throw ResultsError(fmt::format("{}: '{}' cannot stand in a row", file, text));
 }
 
 }  // namespace
@@ -69,28 +69,28 @@
     }
     out << end_key << results.rows.size() << '\n';
     out.flush();
-    if (!out) throw ResultsFault(file + ": can't be written");
+    if (!out) throw ResultsError(file + ": cannot be written");
 }
 
 ResultsFile read_results(const std::string& file) {
     std::ifstream in(file);
-    if (!in) throw ResultsFault(file + ": can't be read");
+    if (!in) throw ResultsError(file + ": cannot be read");
     ResultsFile out;
-    expect(in, format_line, file);
-    out.machine = expect(in, machine_key, file);
-    out.commit = expect(in, commit_key, file);
-    expect(in, columns, file);
+    read_header(in, format_line, file);
+    out.machine = read_header(in, machine_key, file);
+    out.commit = read_header(in, commit_key, file);
+    read_header(in, columns, file);
     std::string line;
     for (std::size_t number = 5; std::getline(in, line); ++number) {
         if (line.starts_with(end_key)) {
-            if (number_of<std::size_t>(line.substr(end_key.size()), file, number) != out.rows.size())
-                throw ResultsFault(
+            if (parse_number<std::size_t>(line.substr(end_key.size()), file, number) != out.rows.size())
+                throw ResultsError(
                     fmt::format("{}: says {} rows and holds {}", file, line.substr(end_key.size()), out.rows.size()));
             return out;
         }
-        out.rows.push_back(row_of(line, file, number));
+        out.rows.push_back(parse_row(line, file, number));
     }
-    throw ResultsFault(file + ": is cut off: its last line is missing");
+    throw ResultsError(file + ": is truncated: its last line is missing");
 }
 
 std::string describe_machine() {
--- a/scale/results.hpp
+++ b/scale/results.hpp
@@ -1,5 +1,5 @@
-// Results of scale runs: one measurement a row, as a CSV file that says which format, machine and commit it is of, and
-// that ends with the number of its rows, so that a file cut off is refused.
+/// Results of scale runs: one measurement a row, as a CSV file that states its format, machine and commit, and that
+/// ends with the number of its rows, so that a truncated file is rejected.
 #pragma once
 
 #include <stdexcept>
@@ -9,13 +9,13 @@
 
 namespace plumkeel::scale {
 
-struct ResultsFault : std::runtime_error {
+struct ResultsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct Row {
     std::string experiment;  // "decisions", "platform", "controllers"
-    std::string series;      // what was the same over all sizes
+    std::string series;      // what is the same over all sizes
     std::string size_name;   // what `size` counts: "invokers", "functions", "watchers", "controllers"
     double size{};
     int run{};
@@ -30,12 +30,12 @@
     std::vector<Row> rows;
 };
 
-// Texts must hold no comma and no line end; throws ResultsFault naming file and row where one does.
+/// Texts must hold no comma and no line end; throws ResultsError naming file and row where one does.
 void write_results(const std::string& file, const ResultsFile& results);
-// Throws ResultsFault for another format or version, a row that is none, and a file that is cut off.
+/// Throws ResultsError for another format or version, a malformed row, and a truncated file.
 ResultsFile read_results(const std::string& file);
 
-// Processor and number of cores of this machine, in one line.
+/// Processor and number of cores of this machine, in one line.
 std::string describe_machine();
 
 }  // namespace plumkeel::scale
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -23,23 +23,23 @@
     double intercept{}, slope{}, r_squared{};
 };
 
-Line line_through(const Points& points) {
+Line fit_line(const Points& points) {
     using boost::math::statistics::simple_ordinary_least_squares_with_R_squared;
     const auto [intercept, slope, r_squared] =
         simple_ordinary_least_squares_with_R_squared(points.sizes, points.values);
     return {intercept, slope, r_squared};
 }
 
-bool several_sizes(const Points& points) {
+bool has_several_sizes(const Points& points) {
     return std::any_of(points.sizes.begin(), points.sizes.end(),
                        [&](double size) { return size != points.sizes.front(); });
 }
 
-double residual_of(const Points& points, const Line& line) {
+double residual(const Points& points, const Line& line) {
     double sum = 0;
     for (std::size_t i = 0; i < points.sizes.size(); ++i) {
-        const double off = points.values[i] - line.intercept - line.slope * points.sizes[i];
-        sum += off * off;
+        const double deviation = points.values[i] - line.intercept - line.slope * points.sizes[i];
+        sum += deviation * deviation;
     }
     return std::sqrt(sum / static_cast<double>(points.sizes.size()));
 }
@@ -59,11 +59,11 @@
         if (points.sizes[i] <= 0 || points.values[i] <= 0) return std::nullopt;
         logarithms.add(std::log(points.sizes[i]), std::log(points.values[i]));
     }
-    return line_through(logarithms).slope;
+    return fit_line(logarithms).slope;
 }
 
 // The rows of one metric of one series.
-Slope slope_of(const std::vector<const Row*>& rows) {
+Slope compute_slope(const std::vector<const Row*>& rows) {
     Points all;
     std::map<int, Points> by_run;
     for (const Row* row : rows) {
@@ -72,44 +72,44 @@
     }
     const Row& first = *rows.front();
     Slope out{first.experiment, first.series, first.size_name, first.metric, first.unit};
-    const auto [least, most] = std::minmax_element(all.sizes.begin(), all.sizes.end());
-    out.smallest = *least;
-    out.largest = *most;
+    const auto [smallest, largest] = std::minmax_element(all.sizes.begin(), all.sizes.end());
+    out.smallest = *smallest;
+    out.largest = *largest;
     out.at_smallest = median_at(all, out.smallest);
     out.at_largest = median_at(all, out.largest);
-    const Line line = line_through(all);
+    const Line line = fit_line(all);
     out.intercept = line.intercept;
-    out.slope = out.slope_least = out.slope_most = line.slope;
+    out.slope = out.slope_min = out.slope_max = line.slope;
     out.r_squared = std::isfinite(line.r_squared) ? line.r_squared : 1;  // not defined where nothing varies
-    out.residual = residual_of(all, line);
+    out.residual = residual(all, line);
     out.exponent = growth_exponent(all);
     out.runs = static_cast<int>(by_run.size());
     std::vector<double> slopes;
     for (const auto& [run, points] : by_run)
-        if (several_sizes(points)) slopes.push_back(line_through(points).slope);
+        if (has_several_sizes(points)) slopes.push_back(fit_line(points).slope);
     if (!slopes.empty()) {
-        out.slope_least = *std::min_element(slopes.begin(), slopes.end());
-        out.slope_most = *std::max_element(slopes.begin(), slopes.end());
+        out.slope_min = *std::min_element(slopes.begin(), slopes.end());
+        out.slope_max = *std::max_element(slopes.begin(), slopes.end());
     }
     return out;
 }
 
 }  // namespace
 
-std::vector<Slope> slopes_of(const std::vector<Row>& rows) {
+std::vector<Slope> compute_slopes(const std::vector<Row>& rows) {
     std::vector<std::vector<const Row*>> groups;
-    std::map<std::vector<std::string>, std::size_t> place;
+    std::map<std::vector<std::string>, std::size_t> group_places;
     for (const Row& row : rows) {
-        const auto [it, fresh] =
-            place.try_emplace({row.experiment, row.series, row.size_name, row.metric}, groups.size());
-        if (fresh) groups.emplace_back();
-        groups[it->second].push_back(&row);
+        const auto [place, inserted] =
+            group_places.try_emplace({row.experiment, row.series, row.size_name, row.metric}, groups.size());
+        if (inserted) groups.emplace_back();
+        groups[place->second].push_back(&row);
     }
     std::vector<Slope> out;
     for (const auto& group : groups) {
         const double size = group.front()->size;
         if (std::any_of(group.begin(), group.end(), [&](const Row* row) { return row->size != size; }))
-            out.push_back(slope_of(group));
+            out.push_back(compute_slope(group));
     }
     return out;
 }
@@ -119,13 +119,14 @@
     out << "experiment,series,size_name,metric,unit,smallest,largest,at_smallest,at_largest,intercept,slope,slope_"
            "least,slope_most,residual,"
            "r_squared,exponent,runs\n";
-    for (const Slope& it : slopes)
+    for (const Slope& slope : slopes)
         out << fmt::format("{},{},{},{},{},{:g},{:g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.4f},{},{}\n",
-                           it.experiment, it.series, it.size_name, it.metric, it.unit, it.smallest, it.largest,
-                           it.at_smallest, it.at_largest, it.intercept, it.slope, it.slope_least, it.slope_most,
-                           it.residual, it.r_squared, it.exponent ? fmt::format("{:.2f}", *it.exponent) : "", it.runs);
+                           slope.experiment, slope.series, slope.size_name, slope.metric, slope.unit, slope.smallest,
+                           slope.largest, slope.at_smallest, slope.at_largest, slope.intercept, slope.slope,
+                           slope.slope_min, slope.slope_max, slope.residual, slope.r_squared,
+                           slope.exponent ? fmt::format("{:.2f}", *slope.exponent) : "", slope.runs);
     out.flush();
-    if (!out) throw ResultsFault(file + ": can't be written");
+    if (!out) throw ResultsError(file + ": cannot be written");
 }
 
 }  // namespace plumkeel::scale
--- a/soak/clients.hpp
+++ b/soak/clients.hpp
@@ -1,51 +1,51 @@
-// The clients of one controller in a soak run: a web server's connections that carry many requests, and bad clients
-// beside them. What became of each request is written in the books.
+/// The clients of one controller in a soak run: a web server's connections that carry many requests, and faulty clients
+/// beside them. What becomes of each request is written in the run's history.
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
-#include <set>
-#include <string>
+#include <vector>
 
-#include "net/socket_event_loop.hpp"
-#include "net/write_queue.hpp"
-#include "random/pcg.hpp"
-#include "soak/books.hpp"
+#include "net/event_loop.hpp"
+#include "soak/run_history.hpp"
 
 namespace plumkeel::soak {
 
-struct ClientPlan {
+struct ClientOptions {
     net::Address controller;
-    std::uint32_t number{}, life{};
-    double per_second = 12;
+    std::uint32_t number{}, controller_run{};
+    double requests_per_second = 12;
     std::size_t connections = 4;
     std::uint64_t seed{};
     std::uint64_t first_id{};  // of its requests, which count up from there
 };
 
+class ClientState;
+
 class Clients {
 public:
-    // Requests are appended to `books`, which outlives this, as the world does.
-    Clients(net::EventLoop& loop, ClientPlan plan, std::vector<Request>& books);
+    /// Appends requests to `requests`, which must outlive this, as must `loop`.
+    Clients(net::EventLoop& loop, ClientOptions options, std::vector<Request>& requests);
     ~Clients();
     Clients(const Clients&) = delete;
     Clients& operator=(const Clients&) = delete;
 
-    // Asks until the controller says that it is healthy, then starts to send. `ready` is called once.
-    void begin(std::function<void()> ready);
-    void end_sending();  // no more requests; what is open is awaited
-    void killed();       // the controller was killed: what is open went with it
-    // Bad clients, each on connections of its own.
-    void flood_halves(int connections);  // messages that never come whole
-    void idle(int connections);          // that say nothing, or nothing more
-    void malformed_behind_a_request();
-    void read_nothing(int connections);  // of the answers to many requests
+    /// Asks until the controller says that it is healthy, calls `on_ready` once and starts to send.
+    void start(std::function<void()> on_ready);
+    /// Sends no more requests; pending ones are awaited.
+    void stop_sending();
+    /// The controller was killed: what is pending was lost with it.
+    void controller_killed();
 
-    struct State;  // shared with the coroutines, which outlive this
+    // Faulty clients, each on connections of its own.
+    void send_incomplete_requests(int connections);
+    void open_idle_connections(int connections);
+    void send_malformed_bytes_after_request();
+    void send_without_reading(int connections);
 
 private:
-    std::shared_ptr<State> state_;
+    std::shared_ptr<ClientState> state_;  // shared with the coroutines, which outlive this
 };
 
 }  // namespace plumkeel::soak
--- a/soak/control.cpp
+++ b/soak/control.cpp
@@ -10,18 +10,18 @@
 namespace plumkeel::soak {
 
 ControlFile::ControlFile(std::string path, Mode mode) : path_(std::move(path)) {
-    const int flags = mode == Mode::make ? O_RDWR | O_CREAT | O_TRUNC : O_RDWR;
-    const int file = ::open(path_.c_str(), flags | O_CLOEXEC, 0600);
+    const int flags = mode == Mode::create ? O_RDWR | O_CREAT | O_TRUNC : O_RDWR;
+    const int descriptor = ::open(path_.c_str(), flags | O_CLOEXEC, 0600);
     void* memory = MAP_FAILED;
-    if (file >= 0 && (mode == Mode::open || ::ftruncate(file, sizeof(Control)) == 0))
-        memory = ::mmap(nullptr, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-    if (file >= 0) ::close(file);
-    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": can't be mapped");
-    control_ = mode == Mode::make ? new (memory) Control : static_cast<Control*>(memory);
+    if (descriptor >= 0 && (mode == Mode::open || ::ftruncate(descriptor, sizeof(ControlPage)) == 0))
+        memory = ::mmap(nullptr, sizeof(ControlPage), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
+    if (descriptor >= 0) ::close(descriptor);
+    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": cannot be mapped");
+    page_ = mode == Mode::create ? new (memory) ControlPage : static_cast<ControlPage*>(memory);
 }
 
 ControlFile::~ControlFile() {
-    ::munmap(control_, sizeof(Control));
+    ::munmap(page_, sizeof(ControlPage));
 }
 
 }  // namespace plumkeel::soak
--- a/soak/control.hpp
+++ b/soak/control.hpp
@@ -1,5 +1,5 @@
-// How a soak run leads its invokers and proxies while they run: a page of memory shared through a file, a slot an
-// invoker.
+/// How a soak run switches faults of its invokers and proxies while they run: a page of memory that the processes share
+/// through a file, with a part for each invoker.
 #pragma once
 
 #include <atomic>
@@ -8,42 +8,43 @@
 
 namespace plumkeel::soak {
 
-constexpr std::size_t most_invokers = 64;
+constexpr std::size_t max_invokers = 64;
 
-enum class Passing : std::uint32_t {
-    on,       // bytes pass both ways
-    held,     // the network is cut: bytes wait, both ways, and come late
-    unread,   // the proxy reads nothing from controllers: their sockets fill
-    refused,  // connections are reset as they come up
+/// Of the network between the controllers and an invoker.
+enum class NetworkState : std::uint32_t {
+    up,
+    partitioned,  ///< bytes of both directions are held back and arrive late
+    unread,       ///< the proxy reads nothing from controllers: their sockets fill
+    refusing,     ///< new connections are reset
 };
 
-// Rates are in answers of a million.
-struct Slot {
-    std::atomic<Passing> passing{Passing::on};
-    std::atomic<std::uint32_t> delay_ms{};        // of bytes towards the invoker
-    std::atomic<std::uint32_t> reset_count{};     // raised by one: the proxy resets all connections of the invoker
-    std::atomic<std::uint32_t> idle_end_count{};  // raised by one: those on which nothing is out are closed
-    std::atomic<std::uint32_t> failing{}, full{}, twice{}, unanswered{};
-    std::atomic<std::uint32_t> slowness{100};  // percent of the ordinary run time
+/// Rates are in millionths of the invoker's responses.
+struct InvokerControl {
+    std::atomic<NetworkState> network{NetworkState::up};
+    std::atomic<std::uint32_t> delay_ms{};          // of bytes towards the invoker
+    std::atomic<std::uint32_t> reset_count{};       // incremented: the proxy resets all connections of the invoker
+    std::atomic<std::uint32_t> idle_close_count{};  // incremented: it closes those on which no attempt is in flight
+    std::atomic<std::uint32_t> failing{}, rejecting{}, duplicating{}, unanswered{};
+    std::atomic<std::uint32_t> run_time_percent{100};
 };
 
-struct Control {
-    Slot slot[most_invokers];
+struct ControlPage {
+    InvokerControl invokers[max_invokers];
 };
 
 class ControlFile {
 public:
-    enum class Mode { make, open };
+    enum class Mode { create, open };
     ControlFile(std::string path, Mode mode);  // throws std::runtime_error
     ~ControlFile();
     ControlFile(const ControlFile&) = delete;
     ControlFile& operator=(const ControlFile&) = delete;
-    Slot& slot(std::size_t invoker) { return control_->slot[invoker % most_invokers]; }
+    InvokerControl& invoker(std::size_t number) { return page_->invokers[number % max_invokers]; }
     const std::string& path() const { return path_; }
 
 private:
     const std::string path_;
-    Control* control_{};
+    ControlPage* page_{};
 };
 
 }  // namespace plumkeel::soak
--- a/soak/events.cpp
+++ b/soak/events.cpp
@@ -15,25 +15,26 @@
 }
 
 EventFile::EventFile(const std::string& path)
-    : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {
-    if (file_ < 0) throw std::runtime_error(path + ": can't be written");
+    : descriptor_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {
+    if (descriptor_ < 0) throw std::runtime_error(path + ": cannot be written");
 }
 
 EventFile::~EventFile() {
-    ::close(file_);
+    ::close(descriptor_);
 }
 
-void EventFile::write(What what, std::uint64_t request, std::uint32_t invoker, std::int32_t value,
+void EventFile::write(EventType type, std::uint64_t request, std::uint32_t invoker, std::int32_t value,
                       std::uint32_t flags) {
-    const Event event{now_us(), request, what, invoker, value, flags};
-    if (::write(file_, &event, sizeof event) != sizeof event) throw std::runtime_error("events can't be written");
+    const Event event{now_us(), request, type, invoker, value, flags};
+    if (::write(descriptor_, &event, sizeof event) != sizeof event)
+        throw std::runtime_error("events cannot be written");
 }
 
 std::vector<Event> read_events(const std::string& path) {
-    std::vector<Event> out;
-    std::ifstream in(path, std::ios::binary);
-    for (Event event; in.read(reinterpret_cast<char*>(&event), sizeof event);) out.push_back(event);
-    return out;
+    std::vector<Event> events;
+    std::ifstream input(path, std::ios::binary);
+    for (Event event; input.read(reinterpret_cast<char*>(&event), sizeof event);) events.push_back(event);
+    return events;
 }
 
 }  // namespace plumkeel::soak
--- a/soak/events.hpp
+++ b/soak/events.hpp
@@ -1,5 +1,5 @@
-// What the processes of a soak run saw, as fixed records on the machine's common monotonic clock: each process appends
-// to a file of its own with one write a record, so that a killed one leaves all that it told.
+/// What the processes of a soak run saw, as records of fixed size on the machine's monotonic clock. Each process
+/// appends to a file of its own with one write a record, so that a killed process leaves a complete file.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,25 @@
 
 namespace plumkeel::soak {
 
-enum class What : std::uint32_t {
-    run_came,     // a proxy read an attempt whole from a controller; `value`: the time left that it tells, in ms
-    stop_came,    // and a word to give it up
-    run_began,    // an invoker took an attempt up
-    run_refused,  // or turned it away, as never run
-    run_ended,    // it answered
+enum class EventType : std::uint32_t {
+    attempt_received,  ///< a proxy read an attempt from a controller; `value`: the time left that it states, in ms
+    cancel_received,   ///< a proxy read a cancellation of an attempt
+    run_started,       ///< an invoker
+    run_rejected,      ///< an invoker answered that it did not run the attempt
+    run_ended,         ///< an invoker
 };
 
+/// The request was in a socket that the proxy did not read: when it was sent is not known.
+constexpr std::uint32_t time_uncertain = 1;
+
 struct Event {
-    std::int64_t at_us{};
+    std::int64_t time_us{};
     std::uint64_t request{};  // the client's id; 0: none
-    What what{};
-    std::uint32_t invoker{};  // its number in the list
+    EventType type{};
+    std::uint32_t invoker{};  // its number
     std::int32_t value{};
     std::uint32_t flags{};
 };
-constexpr std::uint32_t held_up = 1;  // it stood in a socket that the proxy did not read: its moment is not known
 
 class EventFile {
 public:
@@ -34,14 +36,15 @@
     ~EventFile();
     EventFile(const EventFile&) = delete;
     EventFile& operator=(const EventFile&) = delete;
-    void write(What what, std::uint64_t request, std::uint32_t invoker, std::int32_t value = 0,
+    void write(EventType type, std::uint64_t request, std::uint32_t invoker, std::int32_t value = 0,
                std::uint32_t flags = 0);
 
 private:
-    int file_;
+    int descriptor_;
 };
 
 std::vector<Event> read_events(const std::string& path);
-std::int64_t now_us();  // of the common clock
+/// The monotonic clock that all processes of the machine share.
+std::int64_t now_us();
 
 }  // namespace plumkeel::soak
--- a/soak/proxy.cpp
+++ b/soak/proxy.cpp
@@ -1,14 +1,8 @@
 #include "soak/proxy.hpp"
 
 #include <iostream>
-#include <map>
-#include <set>
 
-#include "net/socket_event_loop.hpp"
-#include "net/write_queue.hpp"
-#include "soak/control.hpp"
-#include "soak/events.hpp"
-#include "soak/lines.hpp"
+#include "soak/invoker_messages.hpp"
 
 namespace plumkeel::soak {
 namespace {
@@ -17,176 +11,163 @@
 using net::Task;
 using net::Time;
 
-constexpr Time look_every = 5ms, connect_limit = 1s;
-constexpr std::size_t held_most = 1024 * 1024;  // bytes of a direction that is held up; beyond, reading waits
-constexpr Time unsure_for = 200ms;              // what is read so soon after reading began again may have come before
+constexpr Time poll_interval = 5ms, connect_timeout = 1s;
+constexpr std::size_t held_limit = 1024 * 1024;  // bytes of one direction; beyond, nothing more is read
+constexpr std::size_t read_size = 16 * 1024;
+constexpr Time uncertain_time = 200ms;  // what is read so soon after a gap may have been sent before
 
-class Proxy {
-public:
-    explicit Proxy(const ProxyPlan& plan)
-        : plan_(plan), events_(plan.record), control_(plan.control, ControlFile::Mode::open) {}
+}  // namespace
 
-    net::Error open() {
-        for (const auto& way : plan_.ways) {
-            auto listened = loop_.listen(*net::Address::parse(way.listen));
-            if (listened.error) return listened.error;
-            loop_.spawn(accept(listened.listener, way));
-        }
-        look();
-        return {};
+NetworkProxy::NetworkProxy(const ProxyOptions& options)
+    : options_(options), events_(options.record), control_(options.control, ControlFile::Mode::open) {}
+
+net::Error NetworkProxy::open() {
+    for (const auto& route : options_.routes) {
+        auto listened = loop_.listen(*net::Address::parse(route.listen));
+        if (listened.error) return listened.error;
+        loop_.spawn(accept(listened.listener, route));
     }
-    void run() { loop_.run(); }
-
-private:
-    struct Connection {
-        std::uint32_t invoker{};
-        std::shared_ptr<net::Stream> near, far;  // of the controller, and of the invoker
-        std::shared_ptr<net::WriteQueue> to_near, to_far;
-        std::string held_near, held_far;  // bytes for them, while the network is cut
-        std::set<std::string> out;
-        bool ended{};
-    };
-
-    Slot& slot(std::uint32_t invoker) { return control_.slot(invoker); }
-
-    Task<> accept(std::shared_ptr<net::Listener> listener, ProxyPlan::Way way) {
-        for (;;) {
-            const auto accepted = co_await listener->accept();
-            if (accepted.error) continue;
-            if (slot(way.invoker).passing == Passing::refused) {
-                accepted.stream->reset();
-                continue;
-            }
-            loop_.spawn(pass(accepted.stream, way));
+    poll_controls();
+    return {};
+}
+
+Task<> NetworkProxy::accept(std::shared_ptr<net::Listener> listener, ProxyOptions::Route route) {
+    for (;;) {
+        const auto accepted = co_await listener->accept();
+        if (accepted.error) continue;
+        if (control(route.invoker).network == NetworkState::refusing) {
+            accepted.stream->reset();
+            continue;
         }
+        loop_.spawn(forward(accepted.stream, route));
     }
+}
 
-    Task<> pass(std::shared_ptr<net::Stream> near, ProxyPlan::Way way) {
-        const auto connection = std::make_shared<Connection>();
-        connection->invoker = way.invoker;
-        connection->near = near;
-        connection->to_near = std::make_shared<net::WriteQueue>(loop_, near);
-        const net::Address to = *net::Address::parse(way.to);
-        const auto connected = co_await loop_.connect(to, connect_limit);
-        if (connected.error) co_return near->reset();
-        connection->far = connected.stream;
-        connection->to_far = std::make_shared<net::WriteQueue>(loop_, connected.stream);
-        connections_.insert(connection);
-        loop_.spawn(read_far(connection));
-        co_await read_near(connection);
-        end(connection, false);
-    }
+Task<> NetworkProxy::forward(std::shared_ptr<net::Stream> controller_stream, ProxyOptions::Route route) {
+    const auto connection = std::make_shared<Connection>();
+    connection->invoker = route.invoker;
+    connection->controller_stream = controller_stream;
+    connection->to_controller = std::make_shared<net::WriteQueue>(loop_, controller_stream);
+    const net::Address target = *net::Address::parse(route.target);
+    const auto connected = co_await loop_.connect(target, connect_timeout);
+    if (connected.error) co_return controller_stream->reset();
+    connection->invoker_stream = connected.stream;
+    connection->to_invoker = std::make_shared<net::WriteQueue>(loop_, connected.stream);
+    connections_.insert(connection);
+    loop_.spawn(read_invoker(connection));
+    co_await read_controller(connection);
+    end(connection, false);
+}
 
-    Task<> read_near(std::shared_ptr<Connection> it) {
-        std::string got;
-        std::vector<char> room(16 * 1024);
-        Time unsure_until{};
-        while (!it->ended) {
-            bool waited = false;
-            while (!it->ended && (slot(it->invoker).passing == Passing::unread || it->held_far.size() > held_most)) {
-                co_await loop_.sleep(look_every);
-                waited = true;
-            }
-            if (waited) unsure_until = loop_.now() + unsure_for;
-            const net::TransferResult moved = co_await it->near->read(net::asio::buffer(room));
-            if (moved.error) co_return;
-            const std::string_view bytes(room.data(), moved.bytes);
-            got += bytes;
-            const bool unsure = loop_.now() < unsure_until || slot(it->invoker).passing == Passing::unread;
-            note(got, *it, unsure ? held_up : 0);
-            if (const std::uint32_t delay = slot(it->invoker).delay_ms; delay > 0)
-                co_await loop_.sleep(std::chrono::milliseconds(delay));
-            if (slot(it->invoker).passing == Passing::held || !it->held_far.empty())
-                it->held_far += bytes;
-            else
-                it->to_far->send(std::string(bytes));
-        }
+Task<> NetworkProxy::read_controller(std::shared_ptr<Connection> connection) {
+    std::string buffer;
+    std::vector<char> chunk(read_size);
+    Time uncertain_until{};
+    const InvokerControl& controls = control(connection->invoker);
+    while (!connection->ended) {
+        const bool waited = co_await wait_until_readable(connection);
+        if (waited) uncertain_until = loop_.now() + uncertain_time;
+        const net::TransferResult read = co_await connection->controller_stream->read(net::asio::buffer(chunk));
+        if (read.error) co_return;
+        const std::string_view bytes(chunk.data(), read.bytes);
+        buffer += bytes;
+        const bool uncertain = loop_.now() < uncertain_until || controls.network == NetworkState::unread;
+        record_messages(buffer, *connection, uncertain ? time_uncertain : 0);
+        if (const std::uint32_t delay = controls.delay_ms; delay > 0)
+            co_await loop_.sleep(std::chrono::milliseconds(delay));
+        if (controls.network == NetworkState::partitioned || !connection->held_for_invoker.empty())
+            connection->held_for_invoker += bytes;
+        else
+            connection->to_invoker->send(std::string(bytes));
     }
+}
 
-    void note(std::string& got, Connection& it, std::uint32_t flags) {
-        const auto has_body = [](const std::vector<std::string>& words) { return words.front() == "RUN"; };
-        while (const auto message = take_message(got, has_body)) {
-            if (message->words.size() < 2) continue;
-            const std::string& id = message->words[1];
-            if (message->words.front() == "RUN") {
-                events_.write(What::run_came, request_of(id), it.invoker, figure_of(message->words[2], "patience="),
-                              flags);
-                it.out.insert(id);
-            } else if (message->words.front() == "STOP") {
-                events_.write(What::stop_came, request_of(id), it.invoker, 0, flags);
-                it.out.erase(id);
-            }
-        }
+// Whether it had to wait.
+Task<bool> NetworkProxy::wait_until_readable(std::shared_ptr<Connection> connection) {
+    bool waited = false;
+    while (!connection->ended && (control(connection->invoker).network == NetworkState::unread ||
+                                  connection->held_for_invoker.size() > held_limit)) {
+        co_await loop_.sleep(poll_interval);
+        waited = true;
     }
+    co_return waited;
+}
 
-    Task<> read_far(std::shared_ptr<Connection> it) {
-        std::string got;
-        std::vector<char> room(16 * 1024);
-        while (!it->ended) {
-            const net::TransferResult moved = co_await it->far->read(net::asio::buffer(room));
-            if (moved.error) break;
-            const std::string_view bytes(room.data(), moved.bytes);
-            got += bytes;
-            while (const auto message = take_message(got, [](const auto&) { return true; }))
-                it->out.erase(message->words.front());
-            if (slot(it->invoker).passing == Passing::held || !it->held_near.empty())
-                it->held_near += bytes;
-            else
-                it->to_near->send(std::string(bytes));
+void NetworkProxy::record_messages(std::string& buffer, Connection& connection, std::uint32_t flags) {
+    while (const auto message = take_controller_message(buffer)) {
+        if (message->words.size() < 2) continue;
+        const std::string& id = message->words[1];
+        if (message->words.front() == run_message) {
+            const int remaining_ms = number_field(message->words[2], "patience=");
+            events_.write(EventType::attempt_received, request_id(id), connection.invoker, remaining_ms, flags);
+            connection.in_flight.insert(id);
+        } else if (message->words.front() == cancel_message) {
+            events_.write(EventType::cancel_received, request_id(id), connection.invoker, 0, flags);
+            connection.in_flight.erase(id);
         }
-        // A machine that is cut off says nothing of its end either.
-        while (!it->ended && slot(it->invoker).passing == Passing::held) co_await loop_.sleep(look_every);
-        end(it, true);
     }
+}
 
-    void end(const std::shared_ptr<Connection>& it, bool reset) {
-        if (std::exchange(it->ended, true)) return;
-        connections_.erase(it);
-        it->to_near->abandon();
-        it->to_far->abandon();
-        if (reset)
-            it->near->reset();
+Task<> NetworkProxy::read_invoker(std::shared_ptr<Connection> connection) {
+    std::string buffer;
+    std::vector<char> chunk(read_size);
+    const InvokerControl& controls = control(connection->invoker);
+    while (!connection->ended) {
+        const net::TransferResult read = co_await connection->invoker_stream->read(net::asio::buffer(chunk));
+        if (read.error) break;
+        const std::string_view bytes(chunk.data(), read.bytes);
+        buffer += bytes;
+        while (const auto message = take_message(buffer, [](const auto&) { return true; }))
+            connection->in_flight.erase(message->words.front());
+        if (controls.network == NetworkState::partitioned || !connection->held_for_controller.empty())
+            connection->held_for_controller += bytes;
         else
-            it->near->close();
-        it->far->close();
+            connection->to_controller->send(std::string(bytes));
     }
+    // A partitioned machine can't announce its end either.
+    while (!connection->ended && controls.network == NetworkState::partitioned) co_await loop_.sleep(poll_interval);
+    end(connection, true);
+}
 
-    void look() {
-        for (const auto& way : plan_.ways) {
-            Slot& mine = slot(way.invoker);
-            auto& [resets, idle_ends] = seen_[way.invoker];
-            const bool reset = mine.reset_count != resets, idle_end = mine.idle_end_count != idle_ends;
-            resets = mine.reset_count;
-            idle_ends = mine.idle_end_count;
-            for (const auto& each : std::set(connections_)) {
-                if (each->invoker != way.invoker) continue;
-                if (mine.passing != Passing::held) release(*each);
-                if (reset || (idle_end && each->out.empty())) end(each, reset);
-            }
-        }
-        loop_.call_at(loop_.now() + look_every, [this] { look(); });
-    }
+void NetworkProxy::end(const std::shared_ptr<Connection>& connection, bool reset) {
+    if (std::exchange(connection->ended, true)) return;
+    connections_.erase(connection);
+    connection->to_controller->abandon();
+    connection->to_invoker->abandon();
+    if (reset)
+        connection->controller_stream->reset();
+    else
+        connection->controller_stream->close();
+    connection->invoker_stream->close();
+}
 
-    static void release(Connection& it) {
-        if (!it.held_far.empty()) it.to_far->send(std::exchange(it.held_far, {}));
-        if (!it.held_near.empty()) it.to_near->send(std::exchange(it.held_near, {}));
+void NetworkProxy::poll_controls() {
+    for (const auto& route : options_.routes) {
+        const InvokerControl& controls = control(route.invoker);
+        SeenCounts& seen = seen_[route.invoker];
+        const bool reset = controls.reset_count != seen.resets;
+        const bool close_idle = controls.idle_close_count != seen.idle_closes;
+        seen = {controls.reset_count, controls.idle_close_count};
+        for (const auto& connection : std::set(connections_)) {
+            if (connection->invoker != route.invoker) continue;
+            if (controls.network != NetworkState::partitioned) release_held(*connection);
+            if (reset || (close_idle && connection->in_flight.empty())) end(connection, reset);
+        }
     }
+    loop_.call_at(loop_.now() + poll_interval, [this] { poll_controls(); });
+}
 
-    const ProxyPlan plan_;
-    net::SocketEventLoop loop_;
-    EventFile events_;
-    ControlFile control_;
-    std::set<std::shared_ptr<Connection>> connections_;
-    std::map<std::uint32_t, std::pair<std::uint32_t, std::uint32_t>>
-        seen_;  // of each invoker: resets and idle ends asked for
-};
-
-}  // namespace
+void NetworkProxy::release_held(Connection& connection) {
+    if (!connection.held_for_invoker.empty())
+        connection.to_invoker->send(std::exchange(connection.held_for_invoker, {}));
+    if (!connection.held_for_controller.empty())
+        connection.to_controller->send(std::exchange(connection.held_for_controller, {}));
+}
 
-int run_proxy(const ProxyPlan& plan) {
-    Proxy proxy(plan);
+int run_proxy(const ProxyOptions& options) {
+    NetworkProxy proxy(options);
     if (const net::Error error = proxy.open()) {
-        std::cerr << "the proxy can't listen: " << error.message() << '\n';
+        std::cerr << "the proxy cannot listen: " << error.message() << '\n';
         return 1;
     }
     proxy.run();
--- a/tests/soak_judge_test.cpp
+++ b/tests/soak_judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge of soak runs against doctored books: each rule is named when it is broken, and only then.
+/// The judge of soak runs against histories made by hand: each rule is reported when it is broken, and only then.
 #include <gtest/gtest.h>
 
 #include "soak/judge.hpp"
@@ -7,131 +7,134 @@
 namespace {
 
 constexpr std::int64_t ms = 1000, second = 1'000'000;
+constexpr std::uint32_t starting_invoker = 2;
 
-// One controller, two warm invokers, one that started late, and a request of each use that was served.
-Books good_books() {
-    Books books;
-    Life life;
-    life.ready = true;
-    books.controllers[0].push_back(life);
-    books.invokers[0] = {0, 0, never};
-    books.invokers[1] = {1, 0, never};
-    books.invokers[2] = {2, 10 * second, never};
-    books.slow_start = {0.16, 2.0, 6 * second, 2 * second};
-    for (const UseOf use : {UseOf::preview, UseOf::tagged, UseOf::ledger}) {
-        Request it;
-        it.id = books.requests.size() + 1;
-        it.use = use;
-        it.sent_us = 1 * second;
-        it.budget_ms = 1000;
-        it.answered_us = it.sent_us + 300 * ms;
-        it.answers = 1;
-        it.status = 200;
-        books.requests.push_back(it);
-        books.events.push_back({it.sent_us + 10 * ms, it.id, What::run_came, 0, 985, 0});
-        books.events.push_back({it.sent_us + 11 * ms, it.id, What::run_began, 0, 0, 0});
+// One controller, two warm invokers, one that started late, and a request of each class that was served.
+RunHistory valid_history() {
+    RunHistory history;
+    ControllerRun run;
+    run.ready = true;
+    history.controllers[0].push_back(run);
+    history.invokers[0] = {0, 0, never};
+    history.invokers[1] = {1, 0, never};
+    history.invokers[starting_invoker] = {starting_invoker, 10 * second, never};
+    history.slow_start = {0.16, 2.0, 6 * second, 2 * second};
+    for (const auto request_class : {RequestClass::preview, RequestClass::tagged, RequestClass::ledger}) {
+        Request request;
+        request.id = history.requests.size() + 1;
+        request.request_class = request_class;
+        request.sent_us = 1 * second;
+        request.budget_ms = 1000;
+        request.answered_us = request.sent_us + 300 * ms;
+        request.answers = 1;
+        request.status = 200;
+        history.requests.push_back(request);
+        history.events.push_back({request.sent_us + 10 * ms, request.id, EventType::attempt_received, 0, 985, 0});
+        history.events.push_back({request.sent_us + 11 * ms, request.id, EventType::run_started, 0, 0, 0});
     }
-    return books;
+    return history;
 }
 
-std::vector<std::string> rules_of(const Books& books) {
-    std::vector<std::string> out;
-    for (const Break& each : judge(books).breaks) out.push_back(each.rule);
-    return out;
-}
+using Rules = std::vector<Rule>;
 
-using Rules = std::vector<std::string>;
+Rules broken_rules(const RunHistory& history) {
+    Rules rules;
+    for (const Violation& violation : judge(history).violations) rules.push_back(violation.rule);
+    return rules;
+}
 
-TEST(SoakJudge, FindsNothingInGoodBooks) {
-    const Verdict verdict = judge(good_books());
-    EXPECT_TRUE(verdict.breaks.empty());
+TEST(SoakJudge, FindsNothingInValidHistory) {
+    const Verdict verdict = judge(valid_history());
+    EXPECT_TRUE(verdict.violations.empty());
     EXPECT_EQ(verdict.requests, 3u);
     EXPECT_EQ(verdict.served, 3u);
     EXPECT_EQ(verdict.attempts, 3u);
 }
 
-TEST(SoakJudge, NamesRequestsWithoutAnAnswerInTime) {
-    Books books = good_books();
-    books.requests[0].answered_us = never;
-    books.requests[0].answers = books.requests[0].status = 0;
-    EXPECT_EQ(rules_of(books), Rules{"lost"});
-    books.requests[0].cut_us = books.requests[0].sent_us + 100 * ms;
-    EXPECT_EQ(rules_of(books), Rules{"lost"});
-    books.requests[0].with_the_process = true;
-    EXPECT_EQ(rules_of(books), Rules{});
-    books = good_books();
-    books.requests[1].answered_us = books.requests[1].sent_us + 1501 * ms;
-    EXPECT_EQ(rules_of(books), Rules{"late"});
-    books.controllers[0][0].pauses.push_back({books.requests[1].sent_us, books.requests[1].sent_us + 1200 * ms});
-    EXPECT_EQ(rules_of(books), Rules{});  // it stood still
-    std::swap(books.controllers[0][0].pauses, books.own_pauses);
-    EXPECT_EQ(rules_of(books), Rules{});  // its client did
-    books.own_pauses.front().to_us -= 300 * ms;
-    EXPECT_EQ(rules_of(books), Rules{"late"});
+TEST(SoakJudge, FindsRequestsWithoutTimelyAnswer) {
+    RunHistory history = valid_history();
+    history.requests[0].answered_us = never;
+    history.requests[0].answers = history.requests[0].status = 0;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::lost});
+    history.requests[0].connection_lost_us = history.requests[0].sent_us + 100 * ms;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::lost});
+    history.requests[0].lost_with_process = true;
+    EXPECT_EQ(broken_rules(history), Rules{});
+    history = valid_history();
+    history.requests[1].answered_us = history.requests[1].sent_us + 1501 * ms;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::late});
+    history.controllers[0][0].pauses.push_back({history.requests[1].sent_us, history.requests[1].sent_us + 1200 * ms});
+    EXPECT_EQ(broken_rules(history), Rules{});  // the controller was paused
+    std::swap(history.controllers[0][0].pauses, history.client_pauses);
+    EXPECT_EQ(broken_rules(history), Rules{});  // the client was
+    history.client_pauses.front().to_us -= 300 * ms;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::late});
 }
 
-TEST(SoakJudge, NamesAnswersThatAreTooManyOrNotOurs) {
-    Books books = good_books();
-    books.requests[0].answers = 2;
-    books.requests[1].well = false;
-    EXPECT_EQ(rules_of(books), (Rules{"twice_answered", "unreadable"}));
+TEST(SoakJudge, FindsRepeatedAndInvalidAnswers) {
+    RunHistory history = valid_history();
+    history.requests[0].answers = 2;
+    history.requests[1].answer_valid = false;
+    EXPECT_EQ(broken_rules(history), (Rules{Rule::answered_twice, Rule::unreadable}));
 }
 
-TEST(SoakJudge, NamesEffectsThatCameTwiceOrWerePromisedAway) {
-    Books books = good_books();
+TEST(SoakJudge, FindsRepeatedRunsAndRunsOfRejectedRequests) {
+    RunHistory history = valid_history();
     for (const std::uint64_t id : {1, 2, 3})
-        books.events.push_back({1 * second + 50 * ms, id, What::run_began, 1, 0, 0});
-    EXPECT_EQ(rules_of(books), Rules{"duplicate"});  // of the one that may run but once
-    books = good_books();
-    for (Request& each : books.requests) each.status = 503;
-    EXPECT_EQ(rules_of(books), Rules{"refused_but_ran"});
+        history.events.push_back({1 * second + 50 * ms, id, EventType::run_started, 1, 0, 0});
+    EXPECT_EQ(broken_rules(history), Rules{Rule::duplicate});  // of the one that may run at most once
+    history = valid_history();
+    for (Request& request : history.requests) request.status = 503;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::rejected_but_ran});
 }
 
-TEST(SoakJudge, NamesAttemptsLongAfterTheClientOrWithTooMuchTime) {
-    Books books = good_books();
-    books.requests[0].gone_us = books.requests[0].sent_us + 100 * ms;
-    books.events.push_back({books.requests[0].gone_us + 90 * ms, 1, What::run_came, 1, 100, 0});
-    EXPECT_EQ(rules_of(books), Rules{});
-    books.events.push_back({books.requests[0].gone_us + 140 * ms, 1, What::run_came, 1, 100, 0});
-    EXPECT_EQ(rules_of(books), Rules{"after_client"});
-    books.events.back().flags = held_up;
-    EXPECT_EQ(rules_of(books), Rules{});
-    books = good_books();
-    books.events[0].value = 1200;
-    EXPECT_EQ(rules_of(books), Rules{"deadline"});
+TEST(SoakJudge, FindsAttemptsAfterClientLeftOrWithTooMuchTime) {
+    RunHistory history = valid_history();
+    history.requests[0].abandoned_us = history.requests[0].sent_us + 100 * ms;
+    history.events.push_back({history.requests[0].abandoned_us + 90 * ms, 1, EventType::attempt_received, 1, 100, 0});
+    EXPECT_EQ(broken_rules(history), Rules{});
+    history.events.push_back({history.requests[0].abandoned_us + 140 * ms, 1, EventType::attempt_received, 1, 100, 0});
+    EXPECT_EQ(broken_rules(history), Rules{Rule::after_client});
+    history.events.back().flags = time_uncertain;
+    EXPECT_EQ(broken_rules(history), Rules{});
+    history = valid_history();
+    history.events[0].value = 1200;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::deadline});
 }
 
-TEST(SoakJudge, NamesAttemptsToWhatDrains) {
-    Books books = good_books();
-    books.invokers[0].drained_told_us = books.events[0].at_us - 2000 * ms;
-    EXPECT_EQ(rules_of(books), Rules{});
-    books.invokers[0].drained_told_us = books.events[0].at_us - 2100 * ms;
-    EXPECT_EQ(rules_of(books), (Rules{"drain", "drain", "drain"}));
+TEST(SoakJudge, FindsAttemptsAtDrainedInvoker) {
+    RunHistory history = valid_history();
+    history.invokers[0].drained_us = history.events[0].time_us - 2000 * ms;
+    EXPECT_EQ(broken_rules(history), Rules{});
+    history.invokers[0].drained_us = history.events[0].time_us - 2100 * ms;
+    EXPECT_EQ(broken_rules(history), (Rules{Rule::drain, Rule::drain, Rule::drain}));
 }
 
-// A warm server is sent 24 in 2 s: one in slow start bears 2 x 0.17 x 24 soon after its start, and its slack: 20.
-TEST(SoakJudge, NamesAServerInSlowStartThatGetsTooMuch) {
-    const auto books_with = [](int at_once) {
-        Books books = good_books();
+// A warm invoker is sent 24 in 2 s: a starting one bears 2 x 0.17 x 24 soon after its start, and the slack: 20.
+TEST(SoakJudge, FindsOverloadOfStartingInvoker) {
+    const auto history_with = [](int attempts) {
+        RunHistory history = valid_history();
         for (int i = 0; i < 200; ++i)
-            for (const std::uint32_t invoker : {0u, 1u})
-                books.events.push_back({1 * second + i * 100 * ms, 0, What::run_came, invoker, 0, 0});
-        for (int i = 0; i < at_once; ++i) books.events.push_back({10 * second + 100 * ms, 0, What::run_came, 2, 0, 0});
-        return books;
+            for (const std::uint32_t warm_invoker : {0u, 1u})
+                history.events.push_back(
+                    {1 * second + i * 100 * ms, 0, EventType::attempt_received, warm_invoker, 0, 0});
+        for (int i = 0; i < attempts; ++i)
+            history.events.push_back({10 * second + 100 * ms, 0, EventType::attempt_received, starting_invoker, 0, 0});
+        return history;
     };
-    EXPECT_EQ(rules_of(books_with(18)), Rules{});
-    EXPECT_EQ(rules_of(books_with(22)), Rules{"slow_start"});
-    EXPECT_GT(judge(books_with(18)).nearest_slow_start, 0.8);
+    EXPECT_EQ(broken_rules(history_with(18)), Rules{});
+    EXPECT_EQ(broken_rules(history_with(22)), Rules{Rule::slow_start});
+    EXPECT_GT(judge(history_with(18)).peak_slow_start_load, 0.8);
 }
 
-TEST(SoakJudge, NamesCrashesAndWhatControllersTellThemselves) {
-    Books books = good_books();
-    books.controllers[0][0].crash = "ended with signal 11";
-    books.invariants_broken = 2;
-    EXPECT_EQ(rules_of(books), (Rules{"crash", "invariant"}));
-    books = good_books();
-    books.controllers[0][0].ready = false;
-    EXPECT_EQ(rules_of(books), Rules{"crash"});
+TEST(SoakJudge, FindsCrashesAndLoggedInvariantViolations) {
+    RunHistory history = valid_history();
+    history.controllers[0][0].crash = "ended with signal 11";
+    history.invariants_violated = 2;
+    EXPECT_EQ(broken_rules(history), (Rules{Rule::crash, Rule::invariant}));
+    history = valid_history();
+    history.controllers[0][0].ready = false;
+    EXPECT_EQ(broken_rules(history), Rules{Rule::crash});
 }
 
 }  // namespace
