--- a/scale/controller_process.cpp
+++ b/scale/controller_process.cpp
@@ -15,7 +15,7 @@
 
 namespace process = boost::process;
 
-constexpr std::string_view list_event = "\"list_changed\"";
+constexpr std::string_view list_event = "\"endpoints_updated\"";
 constexpr int stat_fields_before_times = 11;  // behind the program's name, see proc(5)
 
 }  // namespace
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,4 +1,5 @@
-// The wall clock steps while the monotonic clock runs on: what was told in Unix time stays what it was. Virtual time.
+// Steps of the wall clock while the monotonic clock runs on, in virtual time: start times, which are given in Unix
+// time, must keep their meaning.
 #include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
@@ -6,21 +7,21 @@
 
 struct Step {
     Time by;
-    bool everywhere;  // the clock that start times are told by steps as well
+    bool affects_invokers;  // the clock that the start times come from steps as well
 };
 
 class WallClockTest : public PlatformTest, public testing::WithParamInterface<Step> {
 protected:
-    // Starts are told in Unix milliseconds; the clock that they are read from may have been stepped too.
+    // A start time as discovery gives it, by a clock that may have been stepped too.
     std::uint64_t unix_ms(Time at) const {
-        return static_cast<std::uint64_t>((day + at + (GetParam().everywhere ? GetParam().by : Time{})) / 1ms);
+        return static_cast<std::uint64_t>((day + at + (GetParam().affects_invokers ? GetParam().by : Time{})) / 1ms);
     }
-    boost::json::object believed(const char* name) const {
+    boost::json::object estimate(const char* name) const {
         for (const auto& row : server->gateway().estimates())
             if (row.at("i").as_string() == name) return row.as_object();
         return {};
     }
-    static std::string slow_ramp() {
+    static std::string long_slow_start() {
         return replaced(replaced(default_config, R"("cold":1000.0)", R"("cold":16000.0)"), R"("cold_share":0.5)",
                         R"("cold_share":0.1)");
     }
@@ -28,42 +29,43 @@
     void SetUp() override { loop.step_wall_clock(day); }
 };
 
-// An invoker that starts after the step is cold for as long as the settings say, no shorter and no longer.
-TEST_P(WallClockTest, LeavesTheColdTimeOfALateStarterAsItIs) {
+// An invoker that starts after the step is in slow start for exactly as long as the settings say.
+TEST_P(WallClockTest, DoesNotChangeTheSlowStartOfALaterInvoker) {
     add_invoker(), add_invoker();
-    ScriptedDiscovery board(loop, "10.9.0.1");
-    open(slow_ramp());
+    ScriptedDiscovery discovery(loop, "10.9.0.1");
+    open(long_slow_start());
     loop.call_at(5s, [&] { loop.step_wall_clock(GetParam().by); });
-    loop.call_at(20s, [&] { board.send(frame(board.last_event = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}})); });
+    loop.call_at(20s, [&] {
+        discovery.send(frame(discovery.last_event = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}}));
+    });
     for (std::uint64_t i = 1; i <= 600; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 40 + 1));
     loop.run(21s);
-    EXPECT_TRUE(believed("s-00000002").contains("cold"));
+    EXPECT_TRUE(estimate("s-00000002").contains("cold"));
     loop.run(30s);
-    EXPECT_TRUE(believed("s-00000002").contains("cold"));
+    EXPECT_TRUE(estimate("s-00000002").contains("cold"));
     loop.run(45s);
-    EXPECT_FALSE(believed("s-00000002").contains("cold"));
+    EXPECT_FALSE(estimate("s-00000002").contains("cold"));
     loop.run(62s);
 }
 
-// The list tells again of an invoker whose start it told before: it has not started anew, and what was learned of it
-// stands.
-TEST_P(WallClockTest, DoesNotMakeAKnownInvokerLookRestarted) {
+// An invoker is listed again with the start time that it had before: it was not restarted, and its estimates are kept.
+TEST_P(WallClockTest, DoesNotMakeAKnownInvokerAppearRestarted) {
     add_invoker(), add_invoker();
-    ScriptedDiscovery board(loop, "10.9.0.1");
+    ScriptedDiscovery discovery(loop, "10.9.0.1");
     const std::string start = std::to_string((day - 60s) / 1ms);
     open(
         replaced(default_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
     for (std::uint64_t i = 1; i <= 60; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
     loop.run(5s);
-    ASSERT_TRUE(believed("s-00000001").contains("told"));
+    ASSERT_TRUE(estimate("s-00000001").contains("told"));
     loop.step_wall_clock(GetParam().by);
     loop.call_at(5001ms, [&] {
-        board.send(
-            frame(board.last_event = 2, 2, {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
+        discovery.send(frame(discovery.last_event = 2, 2,
+                             {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
     });
     loop.run(5002ms);
-    EXPECT_TRUE(believed("s-00000001").contains("told"));
-    EXPECT_FALSE(believed("s-00000001").contains("cold"));
+    EXPECT_TRUE(estimate("s-00000001").contains("told"));
+    EXPECT_FALSE(estimate("s-00000001").contains("cold"));
     loop.run(8s);
 }
 
