--- /dev/null
+++ b/benchmarks/gateway_load.cpp
@@ -0,0 +1,91 @@
+#include "benchmarks/gateway_load.hpp"
+
+#include <algorithm>
+
+#include "benchmarks/gateway_peers.hpp"
+#include "http/http.hpp"
+
+namespace plumkeel::benchmarks {
+namespace {
+
+using namespace std::chrono_literals;
+using net::Task;
+using net::Time;
+
+constexpr Time connect_timeout = 2s, end_margin = 200ms;
+constexpr Time connected_delay = 300ms, sent_delay = 1500ms;
+constexpr std::string_view request =
+    "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: p\r\nplumkeel-time-left: 60000\r\n"
+    "plumkeel-lanes: 10000\r\nContent-Type: text/plain\r\nContent-Length: 20\r\n\r\n01234567890123456789";
+constexpr std::string_view open_request =
+    "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: p\r\nplumkeel-time-left: 60000\r\n"
+    "plumkeel-lanes: 10000\r\nContent-Length: 20\r\n\r\n01234567890123456789";
+
+struct ClosedLoop {
+    net::SocketEventLoop loop;
+    net::Address target;
+    Time begin{}, end{};  // of what counts
+    std::vector<double> latencies_us;
+
+    Task<> run_client() {
+        auto connected = co_await loop.connect(target, connect_timeout);
+        if (connected.error) co_return;
+        http::Inbox inbox(connected.stream);
+        while (loop.now() < end) {
+            const Time sent_at = loop.now();
+            write(*connected.stream, request);
+            http::bh::response_parser<http::bh::string_body> parser;
+            parser.eager(true);
+            net::Error error;
+            while (!parser.is_done() && !error) {
+                error = co_await inbox.more();
+                if (!error) error = inbox.feed(parser);
+            }
+            if (error) co_return;
+            if (loop.now() > begin && parser.get().result_int() == 200)
+                latencies_us.push_back(static_cast<double>((loop.now() - sent_at).count()));
+        }
+    }
+};
+
+}  // namespace
+
+LoadFigures run_closed_loop(std::uint16_t port, int connections, Time length) {
+    ClosedLoop clients;
+    clients.target = {"127.0.0.1", port};
+    clients.begin = length / 4;
+    clients.end = length;
+    for (int i = 0; i < connections; ++i) clients.loop.spawn(clients.run_client());
+    clients.loop.call_at(length + end_margin, [&clients] { clients.loop.stop(); });
+    clients.loop.run();
+    std::vector<double>& latencies = clients.latencies_us;
+    if (latencies.empty()) return {};
+    std::sort(latencies.begin(), latencies.end());
+    const double counted = static_cast<double>(latencies.size());
+    const double counted_s = std::chrono::duration<double>(clients.end - clients.begin).count();
+    return {counted / counted_s, latencies[latencies.size() / 2], latencies[latencies.size() * 99 / 100],
+            counted * 4 / 3};
+}
+
+void OpenRequests::run(std::uint16_t port, int count, const std::function<void()>& on_connected,
+                       const std::function<void()>& on_sent) {
+    loop_.spawn(open(port, count, on_connected, on_sent));
+    loop_.run();
+}
+
+Task<> OpenRequests::open(std::uint16_t port, int count, const std::function<void()>& on_connected,
+                          const std::function<void()>& on_sent) {
+    const net::Address target{"127.0.0.1", port};
+    for (int i = 0; i < count; ++i) {
+        auto connected = co_await loop_.connect(target, connect_timeout);
+        if (!connected.error) streams_.push_back(connected.stream);
+    }
+    co_await loop_.sleep(connected_delay);
+    on_connected();
+    for (const auto& stream : streams_) write(*stream, open_request);
+    co_await loop_.sleep(sent_delay);
+    on_sent();
+    loop_.stop();
+}
+
+}  // namespace plumkeel::benchmarks
