--- a/emulator/promql/aggregation.cpp
+++ b/emulator/promql/aggregation.cpp
@@ -16,8 +16,7 @@
 }  // namespace
 
 std::optional<Kind> Aggregation::find(std::string_view name) {
-    const auto* const it =
-        std::find_if(std::begin(names), std::end(names), [&](const auto& each) { return each.first == name; });
+    const auto* const it = std::ranges::find_if(names, [&](const auto& each) { return each.first == name; });
     if (it == std::end(names)) return {};
     return it->second;
 }
--- a/emulator/promql/binary_operation.cpp
+++ b/emulator/promql/binary_operation.cpp
@@ -79,8 +79,7 @@
 }  // namespace
 
 std::optional<BinaryOperator> find_operator(std::string_view text) {
-    const auto* const it = std::find_if(std::begin(operators), std::end(operators),
-                                        [&](const OperatorInfo& each) { return each.text == text; });
+    const auto* const it = std::ranges::find(operators, text, &OperatorInfo::text);
     if (it == std::end(operators)) return {};
     return it->op;
 }
--- a/emulator/promql/functions.cpp
+++ b/emulator/promql/functions.cpp
@@ -50,7 +50,7 @@
 }
 
 double histogram_quantile(double quantile, std::vector<Bucket> buckets) {
-    std::sort(buckets.begin(), buckets.end());
+    std::ranges::sort(buckets);
     if (buckets.size() < 2 || !std::isinf(buckets.back().upper_bound)) return nan;
     make_monotonic(buckets);
     const double count = buckets.back().count;
--- a/emulator/promql/lexer.cpp
+++ b/emulator/promql/lexer.cpp
@@ -109,9 +109,8 @@
 
     Token symbol() {
         static constexpr std::string_view two_characters[] = {"==", "!=", ">=", "<=", "=~", "!~"};
-        const bool is_two =
-            std::any_of(std::begin(two_characters), std::end(two_characters),
-                        [&](std::string_view each) { return text_.substr(position_).starts_with(each); });
+        const bool is_two = std::ranges::any_of(
+            two_characters, [&](std::string_view each) { return text_.substr(position_).starts_with(each); });
         return take_until(Token::Kind::symbol, position_ + (is_two ? 2 : 1));
     }
 
@@ -131,13 +130,12 @@
                                                                     {"h", 3.6e6}, {"d", 8.64e7}, {"w", 6.048e8}};
     double total = 0;
     while (!text.empty()) {
-        const auto digits =
-            static_cast<std::size_t>(std::find_if_not(text.begin(), text.end(), is_digit) - text.begin());
+        const auto digits = static_cast<std::size_t>(std::ranges::find_if_not(text, is_digit) - text.begin());
         if (digits == 0) return {};
         const double count = std::stod(std::string(text.substr(0, digits)));
         text.remove_prefix(digits);
-        const auto* const unit = std::find_if(std::begin(units), std::end(units),
-                                              [&](const auto& each) { return text.starts_with(each.first); });
+        const auto* const unit =
+            std::ranges::find_if(units, [&](const auto& each) { return text.starts_with(each.first); });
         if (unit == std::end(units)) return {};
         total += count * unit->second;
         text.remove_prefix(unit->first.size());
--- a/emulator/promql/range_function.cpp
+++ b/emulator/promql/range_function.cpp
@@ -73,8 +73,7 @@
 }  // namespace
 
 std::optional<Kind> RangeFunction::find(std::string_view name) {
-    const auto* const it =
-        std::find_if(std::begin(names), std::end(names), [&](const auto& each) { return each.first == name; });
+    const auto* const it = std::ranges::find_if(names, [&](const auto& each) { return each.first == name; });
     if (it == std::end(names)) return {};
     return it->second;
 }
@@ -88,7 +87,6 @@
 }
 
 std::optional<double> RangeFunction::apply(const std::vector<Sample>& samples, std::int64_t ms) const {
-    const auto by_value = [](const Sample& a, const Sample& b) { return a.value < b.value; };
     const auto count = static_cast<double>(samples.size());
     const std::int64_t from_ms = ms - range_->range_ms();
     switch (kind_) {
@@ -97,9 +95,9 @@
         case Kind::increase:
             return extrapolated_increase(samples, from_ms, ms, 1);
         case Kind::max_over_time:
-            return std::max_element(samples.begin(), samples.end(), by_value)->value;
+            return std::ranges::max_element(samples, {}, &Sample::value)->value;
         case Kind::min_over_time:
-            return std::min_element(samples.begin(), samples.end(), by_value)->value;
+            return std::ranges::min_element(samples, {}, &Sample::value)->value;
         case Kind::avg_over_time:
             return sum(samples) / count;
         case Kind::sum_over_time:
--- a/emulator/promql/selector.cpp
+++ b/emulator/promql/selector.cpp
@@ -43,8 +43,7 @@
     : metric_name_(std::move(metric_name)), matchers_(std::move(matchers)), range_ms_(range_ms) {}
 
 bool VectorSelector::matches(const Series& series) const {
-    return std::all_of(matchers_.begin(), matchers_.end(),
-                       [&](const LabelMatcher& matcher) { return matcher.matches(series.labels); });
+    return std::ranges::all_of(matchers_, [&](const LabelMatcher& matcher) { return matcher.matches(series.labels); });
 }
 
 Vector VectorSelector::evaluate(const Database& data, std::int64_t ms) const {
@@ -52,8 +51,7 @@
     Vector result;
     for (const Series& series : data.named(metric_name_)) {
         if (!matches(series)) continue;
-        const auto end = std::upper_bound(series.samples.begin(), series.samples.end(), ms,
-                                          [](std::int64_t time, const Sample& sample) { return time < sample.ms; });
+        const auto end = std::ranges::upper_bound(series.samples, ms, {}, &Sample::ms);
         if (end == series.samples.begin()) continue;
         const Sample& newest = *(end - 1);
         if (newest.ms > ms - lookback_ms && !is_stale_marker(newest.value))
@@ -67,8 +65,7 @@
     for (const Series& series : data.named(metric_name_)) {
         if (!matches(series)) continue;
         std::vector<Sample> samples;
-        auto it = std::lower_bound(series.samples.begin(), series.samples.end(), ms - range_ms_,
-                                   [](const Sample& sample, std::int64_t time) { return sample.ms < time; });
+        auto it = std::ranges::lower_bound(series.samples, ms - range_ms_, {}, &Sample::ms);
         for (; it != series.samples.end() && it->ms <= ms; ++it)
             if (!is_stale_marker(it->value)) samples.push_back(*it);
         if (!samples.empty()) result.push_back({series.labels, std::move(samples)});
--- a/src/metrics/heavy_hitters.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -29,7 +29,7 @@
 // A linear search, but only a flood of new names makes it frequent. Among equal counts the first by name is replaced,
 // so that the order of hashing has no effect.
 HeavyHitters::Count HeavyHitters::replace_least_frequent() {
-    const auto least = std::min_element(counts_.begin(), counts_.end(), [](const auto& a, const auto& b) {
+    const auto least = std::ranges::min_element(counts_, [](const auto& a, const auto& b) {
         return a.second.count < b.second.count || (a.second.count == b.second.count && a.first < b.first);
     });
     Count count;
@@ -45,7 +45,7 @@
     if (reported)
         for (const std::string& name : reported_)
             if (!counts_.contains(name)) ranking.emplace_back(0.0, name);
-    std::sort(ranking.begin(), ranking.end(), [](const auto& a, const auto& b) {
+    std::ranges::sort(ranking, [](const auto& a, const auto& b) {
         return a.first > b.first || (a.first == b.first && a.second < b.second);
     });
     return ranking;
--- a/src/remote_write/durable_queue.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -81,7 +81,7 @@
 DurableQueue::~DurableQueue() {
     try {
         if (damaged_) repair();
-    } catch (const QueueError&) {
+    } catch (const QueueError&) {  // NOLINT(bugprone-empty-catch): a destructor can only give up
         // The disk still fails: the next run may find a scrape whose append() failed.
     }
     store_->sync_before_close();
--- a/src/remote_write/export_worker.cpp
+++ b/src/remote_write/export_worker.cpp
@@ -110,8 +110,8 @@
 }
 
 void ExportWorker::stop_when_sent(Time deadline) {
-    const bool pending = std::any_of(senders_.begin(), senders_.end(),
-                                     [&](const auto& sender) { return queue_.waiting(sender->name()) > 0; });
+    const bool pending =
+        std::ranges::any_of(senders_, [&](const auto& sender) { return queue_.waiting(sender->name()) > 0; });
     if (!pending || loop_.now() >= deadline) return loop_.stop();
     loop_.call_at(loop_.now() + stop_poll_interval, [this, deadline] { stop_when_sent(deadline); });
 }
--- a/src/remote_write/sample.cpp
+++ b/src/remote_write/sample.cpp
@@ -16,7 +16,7 @@
     Labels result = {{"__name__", name}};
     for (const auto& label : labels)
         if (!label.value.empty()) result.emplace_back(label.name, label.value);  // an empty label equals a missing one
-    std::sort(result.begin(), result.end());
+    std::ranges::sort(result);
     return result;
 }
 
@@ -24,7 +24,7 @@
                           double upper_bound) {
     Labels result = make_labels(name, labels);
     result.emplace_back("le", std::isinf(upper_bound) ? "+Inf" : fmt::format("{:g}", upper_bound));
-    std::sort(result.begin(), result.end());
+    std::ranges::sort(result);
     return result;
 }
 
