--- a/benchmarks/trace_size.cpp
+++ b/benchmarks/trace_size.cpp
@@ -9,6 +9,8 @@
 #include <filesystem>
 
 #include "trace/file.hpp"
+#include "trace/reader.hpp"
+#include "trace/writer.hpp"
 
 // Out of the page cache, as far as the kernel follows the advice.
 static void make_cold(const std::string& name) {
@@ -60,8 +62,8 @@
             {
                 FileSource source(name);
                 Reader reader(source);
-                blocks = reader.places().size();
-                reader.walk(record_of(i).at, [](const Record&) { return false; });
+                blocks = reader.blocks().size();
+                reader.for_each(record_of(i).at, [](const Record&) { return false; });
             }
             worst_time = std::max(worst_time, ms(from));
             make_cold(name);
@@ -69,7 +71,7 @@
             FileSource source(name);
             Reader reader(source);
             int found = 0;
-            reader.of_job(record_of(i).request, [&](const Record&) { return ++found < 4; });
+            reader.for_each_of_request(record_of(i).request, [&](const Record&) { return ++found < 4; });
             if (!found) return 1;
             worst_job = std::max(worst_job, ms(from));
         }
@@ -77,7 +79,7 @@
         Reader reader(source);
         int at = 0;
         bool exact = true;
-        reader.walk(Time::min(), [&](const Record& record) { return exact = exact && record == record_of(at++); });
+        reader.for_each(Time::min(), [&](const Record& record) { return exact = exact && record == record_of(at++); });
         exact = exact && at == count;
         fmt::print("{:>9}K {:>12.1f} {:>8.2f} {:>7} {:>10.0f} {:>12.1f} {:>10.1f} {:>8}\n", block >> 10,
                    static_cast<double>(bytes) / count, static_cast<double>(raw) / static_cast<double>(bytes), blocks,
@@ -101,14 +103,15 @@
         FileSource source(name);
         Reader reader(source);
         const double opened = ms(from);
-        const double memory = static_cast<double>(reader.places().capacity() * sizeof(BlockLocation));
+        const double memory = static_cast<double>(reader.blocks().capacity() * sizeof(BlockLocation));
         double worst_job = 0;
         for (int part = 0; part < 20; ++part) {
             make_cold(name);
             from = Clock::now();
             int found = 0;
-            reader.of_job(record_of(static_cast<int>(static_cast<long long>(records - 1) * part / 19)).request,
-                          [&](const Record&) { return ++found < 4; });
+            reader.for_each_of_request(
+                record_of(static_cast<int>(static_cast<long long>(records - 1) * part / 19)).request,
+                [&](const Record&) { return ++found < 4; });
             worst_job = std::max(worst_job, ms(from));
         }
         fmt::print("{:>12} {:>10.0f} {:>16.0f} {:>20.1f} {:>10.1f} {:>12.1f}\n", records,
--- a/src/cli/progress.cpp
+++ b/src/cli/progress.cpp
@@ -6,19 +6,24 @@
 #include <cstdio>
 
 namespace plumkeel::cli {
+namespace {
 
-Progress::Progress(std::string what) : what_(std::move(what)), shown_(isatty(STDERR_FILENO) == 1) {}
+constexpr int bar_width = 40;
+
+}  // namespace
+
+Progress::Progress(std::string label) : label_(std::move(label)), is_terminal_(isatty(STDERR_FILENO) == 1) {}
 
 Progress::~Progress() {
-    if (drawn_ >= 0) fmt::print(stderr, "\r\033[K");
+    if (drawn_percent_ >= 0) fmt::print(stderr, "\r\033[K");
 }
 
-void Progress::at(double part) {
-    const int now = static_cast<int>(part * 100);
-    if (!shown_ || now == drawn_) return;
-    drawn_ = now;
-    const int width = 40, done = now * width / 100;
-    fmt::print(stderr, "\r{} [{:#<{}}{:.<{}}] {:3}%", what_, "", done, "", width - done, now);
+void Progress::update(double share) {
+    const int percent = static_cast<int>(share * 100);
+    if (!is_terminal_ || percent == drawn_percent_) return;
+    drawn_percent_ = percent;
+    const int done = percent * bar_width / 100;
+    fmt::print(stderr, "\r{} [{:#<{}}{:.<{}}] {:3}%", label_, "", done, "", bar_width - done, percent);
     std::fflush(stderr);
 }
 
--- a/src/cli/trace.hpp
+++ b/src/cli/trace.hpp
@@ -1,4 +1,5 @@
-// The commands that read traces back.
+/// \file
+/// The command `plumkeel trace`, which reads traces.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,8 +7,8 @@
 
 namespace plumkeel::cli {
 
-// Adds `trace` with its commands; the returned function runs the one that was given and returns the exit status.
-// It throws trace::Fault or CharterFault.
+/// Adds `trace` with its commands. The returned function runs the one that was given and returns the exit status; it
+/// throws trace::TraceError or ConfigError.
 std::function<int()> add_trace(CLI::App& app);
 
 }  // namespace plumkeel::cli
--- /dev/null
+++ b/src/cli/trace_export.cpp
@@ -0,0 +1,71 @@
+/// \file
+/// `plumkeel trace export`.
+#include <fmt/format.h>
+
+#include <cstdio>
+#include <fstream>
+#include <iostream>
+
+#include "cli/trace_input.hpp"
+#include "trace_analysis/history_export.hpp"
+#include "trace_analysis/summary.hpp"
+
+namespace plumkeel::cli {
+namespace {
+
+using trace_analysis::NameTable;
+using trace_analysis::RequestHistory;
+
+/// One JSON object a line. Returns the number of requests.
+std::uint64_t export_json(TraceInput& input, const trace_analysis::HistoryFilter& filter, std::ostream& out) {
+    std::uint64_t requests = 0;
+    for_each_history(input, filter, "exporting", [&](const RequestHistory& history, const NameTable& names) {
+        ++requests;
+        out << trace_analysis::to_json(history, names) << '\n';
+        return true;
+    });
+    return requests;
+}
+
+/// One JSON array of trace events. Returns the number of requests.
+std::uint64_t export_chrome(TraceInput& input, const trace_analysis::HistoryFilter& filter, std::ostream& out) {
+    std::uint64_t requests = 0;
+    trace_analysis::Summary summary;  // for its annotations
+    out << "[\n";
+    for_each_history(
+        input, filter, "exporting",
+        [&](const RequestHistory& history, const NameTable& names) {
+            ++requests;
+            out << trace_analysis::to_chrome_events(history, names);
+            return true;
+        },
+        [&](const trace::Record& record, const NameTable& names) { summary.add_annotations(record, names); });
+    for (const trace_analysis::Annotation& annotation : summary.annotations())
+        out << trace_analysis::to_chrome_event(annotation.at, annotation.what);
+    out << "{}]\n";  // ends the list, whose entries all have a comma behind them
+    return requests;
+}
+
+}  // namespace
+
+int export_requests(const TraceOptions& options) {
+    const trace_analysis::HistoryFilter filter = filter_of(options);
+    if (options.format != "json" && options.format != "chrome")
+        throw trace::TraceError("--format " + options.format + ": must be json or chrome");
+    const bool to_standard_output = options.output == "-";
+    std::ofstream file;
+    if (!to_standard_output) {
+        file.open(options.output);
+        if (!file) throw trace::TraceError(options.output + ": cannot be written");
+    }
+    std::ostream& out = to_standard_output ? std::cout : file;
+    TraceInput input(options, filter.from);
+    const std::uint64_t requests =
+        options.format == "chrome" ? export_chrome(input, filter, out) : export_json(input, filter, out);
+    out.flush();
+    if (!out) throw trace::TraceError(options.output + ": could not be written completely");
+    fmt::print(stderr, "{} requests\n", requests);
+    return 0;
+}
+
+}  // namespace plumkeel::cli
--- a/src/simulator_adapter/traced.hpp
+++ b/src/simulator_adapter/traced.hpp
@@ -10,6 +10,7 @@
 
 #include "trace/file.hpp"
 #include "trace/recording_scheduler.hpp"
+#include "trace/writer.hpp"
 
 namespace plumkeel {
 
--- a/src/trace/file.hpp
+++ b/src/trace/file.hpp
@@ -1,4 +1,5 @@
-// Trace files on disk.
+/// \file
+/// Trace files on disk.
 #pragma once
 
 #include <functional>
@@ -9,34 +10,41 @@
 
 namespace plumkeel::trace {
 
-// Appends by write(2); an error of the disk is thrown as Fault, with the file named.
+/// Appends to a new file with write(2). Throws TraceError that names the file and the system's error.
 class FileSink : public Sink {
 public:
-    explicit FileSink(std::string name);  // made anew; an existing file of the name is a Fault
+    /// Creates the file; one that exists already is an error.
+    explicit FileSink(std::string name);
     ~FileSink() override;
     FileSink(const FileSink&) = delete;
+    FileSink& operator=(const FileSink&) = delete;
+
     void append(std::string_view bytes) override;
 
 private:
     const std::string name_;
-    int file_;
+    int descriptor_;
 };
 
-// Where the recorder gets its sinks; another one in tests.
+/// Makes the sink of a new file. The recorder takes one, so that tests can replace the disk.
 using MakeSink = std::function<std::unique_ptr<Sink>(const std::string& name)>;
 
+/// Reads from a file. Throws TraceError that names the file and the system's error.
 class FileSource : public Source {
 public:
     explicit FileSource(std::string name);
     ~FileSource() override;
     FileSource(const FileSource&) = delete;
+    FileSource& operator=(const FileSource&) = delete;
+
+    /// The size when the file was opened: a writer may still append.
     std::uint64_t size() const override { return size_; }
     std::string read(std::uint64_t offset, std::size_t bytes) const override;
 
 private:
     const std::string name_;
-    int file_;
-    std::uint64_t size_{};  // as it was when opened: a writer may still append
+    int descriptor_;
+    std::uint64_t size_{};
 };
 
 }  // namespace plumkeel::trace
--- a/src/trace/names.cpp
+++ b/src/trace/names.cpp
@@ -1,82 +1,84 @@
 #include "trace/names.hpp"
 
-#include <iterator>
-#include <string>
+#include <cstddef>
 
 namespace plumkeel::trace {
 namespace {
 
-template <class T, std::size_t n>
-std::string_view pick(const std::string_view (&words)[n], T value) {
-    const auto at = static_cast<std::size_t>(value);
-    return at < n ? words[at] : "?";
-}
-
-constexpr std::string_view states[] = {"fresh",    "hopping", "parked",      "streaming",
-                                       "honoured", "bounced", "written off", "abandoned"};
-constexpr std::string_view endings[] = {"honoured",   "errored", "turned away", "unreachable", "never sent",
-                                        "not loaded", "overdue", "cut off",     "called off"};
-constexpr std::string_view notes[] = {"", "on a copy that stood there", "after a load that it began",
-                                      "after a load that it joined", "its load broke"};
-constexpr std::string_view whys[] = {
+// Each table is in the order of its enumeration in scheduler/types.hpp.
+constexpr std::string_view state_names[] = {"received",  "in flight", "parked", "streaming",
+                                            "succeeded", "rejected",  "failed", "cancelled"};
+constexpr std::string_view state_export_names[] = {"fresh",    "hopping", "parked",      "streaming",
+                                                   "honoured", "bounced", "written off", "abandoned"};
+constexpr std::string_view outcome_names[] = {"succeeded",   "failed",          "rejected",
+                                              "unreachable", "never sent",      "load failed",
+                                              "timed out",   "connection lost", "cancelled"};
+constexpr std::string_view outcome_export_names[] = {"honoured",    "errored",    "turned away",
+                                                     "unreachable", "never sent", "not loaded",
+                                                     "overdue",     "cut off",    "called off"};
+constexpr std::string_view load_event_names[] = {"", "on a loaded copy", "after a load that it started",
+                                                 "after a load that it joined", "its load failed"};
+constexpr std::string_view decision_reasons[] = {
     "",
-    "of those weighed it would answer first, or nearly so",
-    "all that hold the function are crowded, and this one is calm: it loads a further copy",
-    "its invoker does not answer",
-    "no invoker may be sent it now",
-    "it would be late only for the jobs ahead of it",
-    "its function's one load is out",
-    "all lanes of the function's copies are taken",
-    "a copy of its function was ordered",
-    "the ration of loads is used up, or nothing may be loaded on demand",
-    "its hop came back without having run: it waits for the next resend",
-    "it has had all the hops that it may have",
-    "too many jobs are parked",
-    "it was parked for as long as any job may be",
-    "its time is up",
-    "it may have run, and may not run again anywhere",
-    "its answer came",
-    "its answer has begun",
-    "its answer was cut short, and part of it was passed on",
-    "its client left",
+    "it was estimated to respond first, or nearly so",
+    "all invokers that hold the function are loaded, and this one is not: it loads a further copy",
+    "its invoker does not respond",
+    "no invoker is eligible",
+    "it would miss its latency target only because of requests ahead of it",
+    "the one allowed load of its function is in progress",
+    "all copies of its function are at their concurrency limit",
+    "a preload of its function was sent",
+    "the load budget is exhausted, or on-demand loading is disabled",
+    "its attempt ended without having run: it waits for the next retry",
+    "it has used all its attempts",
+    "too many requests are parked",
+    "it was parked for the longest time allowed",
+    "its deadline has passed",
+    "it may have run, and must not run again anywhere",
+    "its response arrived",
+    "its response has started",
+    "its response was interrupted after a part was forwarded",
+    "its client disconnected",
 };
-constexpr std::string_view bars[] = {
+constexpr std::string_view exclusion_reasons[] = {
     "",
     "not ready, or draining",
-    "cold: its budget of jobs is used up",
-    "doubted: it was silent or broke off",
-    "coming back: it has as many as it is eased in with",
-    "the job may not run there, having been sent out before",
-    "it turned a job away just now",
-    "it had no room for a new copy just now",
+    "slow start: its request budget is used up",
+    "unhealthy: it did not respond or its connection broke",
+    "recovering: it has as many requests as allowed until it is healthy",
+    "the request must not run there, after its earlier attempts",
+    "it rejected a request just now",
+    "it had no capacity for a new copy just now",
 };
 
+template <class T, std::size_t size>
+std::string_view word_of(const std::string_view (&words)[size], T value) {
+    const auto index = static_cast<std::size_t>(value);
+    return index < size ? words[index] : "?";
+}
+
 }  // namespace
 
 std::string_view name_of(RequestState state) {
-    return pick(states, state);
+    return word_of(state_names, state);
 }
-std::string_view name_of(AttemptOutcome ending) {
-    return pick(endings, ending);
+std::string_view name_of(AttemptOutcome outcome) {
+    return word_of(outcome_names, outcome);
 }
-std::string_view name_of(LoadEvent note) {
-    return pick(notes, note);
+std::string_view name_of(LoadEvent event) {
+    return word_of(load_event_names, event);
 }
-std::string_view describe(DecisionReason why) {
-    return pick(whys, why);
+std::string_view describe(DecisionReason reason) {
+    return word_of(decision_reasons, reason);
 }
-std::string_view describe(ExclusionReason bar) {
-    return pick(bars, bar);
+std::string_view describe(ExclusionReason reason) {
+    return word_of(exclusion_reasons, reason);
 }
-
-std::optional<RequestState> parse_outcome(std::string_view word) {
-    std::string plain(word);
-    for (char& c : plain)
-        if (c == '-') c = ' ';
-    for (std::size_t i = 0; i < std::size(states); ++i)
-        if (states[i] == plain && static_cast<RequestState>(i) >= RequestState::succeeded)
-            return static_cast<RequestState>(i);
-    return {};
+std::string_view export_name(RequestState state) {
+    return word_of(state_export_names, state);
+}
+std::string_view export_name(AttemptOutcome outcome) {
+    return word_of(outcome_export_names, outcome);
 }
 
 }  // namespace plumkeel::trace
--- a/src/trace/names.hpp
+++ b/src/trace/names.hpp
@@ -1,7 +1,8 @@
-// What a trace's values are named, for a person and in the tools' options. A value from a newer writer is "?".
+/// \file
+/// The words for a trace's values: for people, in the options of the tools, and in exported JSON. A value that only a
+/// newer writer knows is "?".
 #pragma once
 
-#include <optional>
 #include <string_view>
 
 #include "scheduler/types.hpp"
@@ -9,12 +10,13 @@
 namespace plumkeel::trace {
 
 std::string_view name_of(RequestState state);
-std::string_view name_of(AttemptOutcome ending);
-std::string_view name_of(LoadEvent note);
-std::string_view describe(DecisionReason why);   // a clause: "because ..."
-std::string_view describe(ExclusionReason bar);  // a clause: "passed over: ..."
+std::string_view name_of(AttemptOutcome outcome);
+std::string_view name_of(LoadEvent event);          ///< A clause; empty for LoadEvent::none.
+std::string_view describe(DecisionReason reason);   ///< A clause that explains a decision.
+std::string_view describe(ExclusionReason reason);  ///< A clause that explains why an invoker was excluded.
 
-// An outcome by its word, spaces or hyphens alike.
-std::optional<RequestState> parse_outcome(std::string_view word);
+/// The words of exported JSON. Scripts match on them, so they stay as the first version of the export had them.
+std::string_view export_name(RequestState state);
+std::string_view export_name(AttemptOutcome outcome);
 
 }  // namespace plumkeel::trace
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -6,18 +6,23 @@
 #include <filesystem>
 #include <utility>
 
+#include "trace/writer.hpp"
+
 namespace plumkeel::trace {
 namespace {
 
 constexpr std::size_t batch_bytes = 64 * 1024;
-constexpr std::size_t kept_names_bytes = 1024 * 1024;  // of dropped batches; past it their names are lost as well
+/// Of names in dropped batches; those beyond are lost as well.
+constexpr std::size_t max_kept_names_bytes = 1024 * 1024;
+/// The sampler's share of the memory, for the records of open requests.
+constexpr std::size_t sampler_memory_divisor = 4;
 
 bool is_name(const Record& record) {
-    return record.type > 0 && record.type <= last_name_type && record.type != RecordType::gap;
+    return is_name_type(record.type) && record.type != RecordType::gap;
 }
 
-// When a file of an earlier run was written last, since the Unix epoch.
-Time last_of(const std::filesystem::path& file) {
+/// Since the Unix epoch.
+Time modified_at(const std::filesystem::path& file) {
     std::error_code ignored;
     const auto time = std::filesystem::last_write_time(file, ignored);
     return std::chrono::duration_cast<Time>(std::chrono::file_clock::to_sys(time).time_since_epoch());
@@ -25,164 +30,149 @@
 
 }  // namespace
 
-struct Recorder::File {
-    File(std::unique_ptr<Sink> where, Time begun, std::size_t block, Time at)
-        : sink(std::move(where)), writer(*sink, begun, block), first(at) {}
+struct Recorder::OpenFile {
+    OpenFile(std::unique_ptr<Sink> destination, Time start_time, std::size_t block_bytes, Time at)
+        : sink(std::move(destination)), writer(*sink, start_time, block_bytes), opened_at(at) {}
     std::unique_ptr<Sink> sink;
     Writer writer;
-    Time first;
+    Time opened_at;
 };
 
-Recorder::Recorder(RecorderConfig rules, std::string name, Time begun, MakeSink make_sink)
-    : rules_(std::move(rules)),
+Recorder::Recorder(RecorderConfig config, std::string name, Time start_time, MakeSink make_sink)
+    : config_(std::move(config)),
       name_(std::move(name)),
-      begun_(begun),
+      start_time_(start_time),
       make_sink_(make_sink ? std::move(make_sink)
                            : [](const std::string& file) { return std::make_unique<FileSink>(file); }) {
-    std::error_code ignored;
-    std::filesystem::create_directories(rules_.folder, ignored);
-    // Files of earlier runs count as well: else each restart would leave its own behind for ever.
-    for (const auto& entry : std::filesystem::directory_iterator(rules_.folder, ignored))
-        if (entry.path().extension() == ".trace" && entry.path().filename().string().starts_with(name_ + "-"))
-            files_.push_back({entry.path(), last_of(entry.path())});
-    std::sort(files_.begin(), files_.end(), [](const Written& a, const Written& b) { return a.name < b.name; });
-    if (rules_.sample_ratio < 1) sampler_.emplace(rules_.sample_ratio, rules_.max_memory_bytes / 4);
-    begin_file(Time{});
+    find_earlier_files();
+    if (config_.sample_ratio < 1)
+        sampler_.emplace(config_.sample_ratio, config_.max_memory_bytes / sampler_memory_divisor);
+    open_file(Time{});
     first_file_ = files_.back().name;
     thread_ = std::thread([this] { run(); });
 }
 
+/// Files of earlier runs count as well, else each restart would leave its own behind for ever.
+void Recorder::find_earlier_files() {
+    std::error_code ignored;
+    std::filesystem::create_directories(config_.folder, ignored);
+    for (const auto& entry : std::filesystem::directory_iterator(config_.folder, ignored))
+        if (entry.path().extension() == ".trace" && entry.path().filename().string().starts_with(name_ + "-"))
+            files_.push_back({entry.path(), modified_at(entry.path())});
+    std::sort(files_.begin(), files_.end(), [](const StoredFile& a, const StoredFile& b) { return a.name < b.name; });
+}
+
 Recorder::~Recorder() {
     flush();
     {
-        const std::lock_guard held(lock_);
-        ending_ = true;
+        const std::lock_guard lock(mutex_);
+        stopping_ = true;
     }
     wake_.notify_one();
     thread_.join();
     try {
-        if (sampler_ && at_work_) sampler_->finish([&](const Record& record) { put(record); });
+        if (sampler_ && open_file_) sampler_->finish([&](const Record& record) { write_record(record); });
     } catch (const TraceError&) {
-        // The disk does not take them: the jobs still open are missing.
+        // The disk does not store them: the requests that are still open are missing.
     }
     close_file();
 }
 
-void Recorder::Batch::add(const Record& record) {
-    entries.push_back({record.at, record.request, static_cast<std::uint32_t>(record.body.size()), record.type});
-    bodies += record.body;
-}
-
-void Recorder::Batch::walk(const std::function<void(const Record&)>& each) const {
-    Record record;
-    std::size_t from = 0;
-    for (const Entry& entry : entries) {
-        record.at = entry.at;
-        record.type = entry.kind;
-        record.request = entry.request;
-        record.body.assign(bodies, from, entry.length);
-        from += entry.length;
-        each(record);
-    }
-}
-
 void Recorder::offer(const Record& record) {
-    if (gathering_.entries.capacity() == 0) {
-        gathering_.entries.reserve(batch_bytes / 32);
-        gathering_.bodies.reserve(batch_bytes);
-    }
-    gathering_.add(record);
-    if (gathering_.bytes() >= batch_bytes) flush();
+    if (!batch_.has_memory()) batch_.reserve(batch_bytes);
+    batch_.add(record);
+    if (batch_.bytes() >= batch_bytes) flush();
 }
 
 void Recorder::flush() {
-    if (gathering_.entries.empty()) return;
-    Batch batch = std::exchange(gathering_, {});
-    const std::lock_guard held(lock_);
-    if (waiting_bytes_ + batch.bytes() > rules_.max_memory_bytes) {
-        dropped_here_.records += batch.entries.size();
-        dropped_here_.bytes += batch.bytes();
-        dropped_ += batch.entries.size();
-        return keep_names(batch);
+    if (batch_.empty()) return;
+    RecordBatch batch = std::exchange(batch_, {});
+    const std::lock_guard lock(mutex_);
+    if (queued_bytes_ + batch.bytes() > config_.max_memory_bytes) {
+        dropped_since_last_.records += batch.size();
+        dropped_since_last_.bytes += batch.bytes();
+        dropped_ += batch.size();
+        return keep_names_of(batch);
     }
-    if (dropped_here_.records > 0) {
-        const Time at = batch.entries.front().at;
-        Batch first;
-        first.add({at, RecordType::gap, 0, pack(std::exchange(dropped_here_, {}))});
-        std::exchange(names_, {}).walk([&](const Record& record) {
-            first.add({at, record.type, record.request, record.body});
+    if (dropped_since_last_.records > 0) {
+        const Time at = batch.first_time();
+        RecordBatch gap_and_names;
+        gap_and_names.add({at, RecordType::gap, 0, pack(std::exchange(dropped_since_last_, {}))});
+        std::exchange(names_of_dropped_, {}).for_each([&](const Record& record) {
+            gap_and_names.add({at, record.type, record.request, record.body});
         });
-        hand_over(std::move(first));
+        enqueue(std::move(gap_and_names));
     }
-    hand_over(std::move(batch));
+    enqueue(std::move(batch));
     wake_.notify_one();
 }
 
-void Recorder::hand_over(Batch batch) {
-    waiting_bytes_ += batch.bytes();
-    waiting_.push_back(std::move(batch));
+/// The mutex must be held.
+void Recorder::enqueue(RecordBatch batch) {
+    queued_bytes_ += batch.bytes();
+    queue_.push_back(std::move(batch));
 }
 
-// Without its names, what comes after a gap would be told in numbers only.
-void Recorder::keep_names(const Batch& dropped) {
-    dropped.walk([this](const Record& record) {
-        if (is_name(record) && names_.bytes() < kept_names_bytes) names_.add(record);
+/// Without the names, what follows the gap could be shown by numbers only.
+void Recorder::keep_names_of(const RecordBatch& dropped) {
+    dropped.for_each([this](const Record& record) {
+        if (is_name(record) && names_of_dropped_.bytes() < max_kept_names_bytes) names_of_dropped_.add(record);
     });
 }
 
 void Recorder::run() {
     for (;;) {
-        Batch batch;
+        RecordBatch batch;
         {
-            std::unique_lock held(lock_);
-            wake_.wait(held, [this] { return ending_ || !waiting_.empty(); });
-            if (waiting_.empty()) return;
-            batch = std::move(waiting_.front());
-            waiting_.pop_front();
+            std::unique_lock lock(mutex_);
+            wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+            if (queue_.empty()) return;
+            batch = std::move(queue_.front());
+            queue_.pop_front();
         }
         write(batch);
-        const std::lock_guard held(lock_);
-        waiting_bytes_ -= batch.bytes();  // only now: what is being written still takes its memory
+        const std::lock_guard lock(mutex_);
+        queued_bytes_ -= batch.bytes();  // only now: while it is being written it still takes its memory
     }
 }
 
-// A disk that is full or broken costs this batch; the next one tries a file of its own.
-void Recorder::write(const Batch& batch) {
-    const Time at = batch.entries.front().at;
+/// If the disk is full or fails, the batch is lost; the next one opens a file of its own.
+void Recorder::write(const RecordBatch& batch) {
+    const Time at = batch.first_time();
     try {
-        if (!at_work_) begin_file(at);
-        if (lost_.records > 0)  // deciding again must not run on over what the disk did not take
-            put({at, RecordType::gap, 0, pack(lost_)});
-        batch.walk([this](const Record& record) {
+        if (!open_file_) open_file(at);
+        // A replay must not continue past what the disk did not store.
+        if (lost_.records > 0) write_record({at, RecordType::gap, 0, pack(lost_)});
+        batch.for_each([this](const Record& record) {
             if (sampler_)
-                sampler_->feed(record, [this](const Record& kept) { put(kept); });
+                sampler_->feed(record, [this](const Record& kept) { write_record(kept); });
             else
-                put(record);
+                write_record(record);
         });
-        at_work_->writer.flush();
+        open_file_->writer.flush();
         lost_ = {};
-        written_ += batch.entries.size();
-        const Time last = batch.entries.back().at;
-        files_.back().last = begun_ + last;
-        const bool old = rules_.max_file_age > Time{} && last - at_work_->first >= rules_.max_file_age;
-        if (at_work_->writer.offset() >= rules_.max_file_bytes || old) close_file();
+        written_ += batch.size();
+        const Time last = batch.last_time();
+        files_.back().last_written = start_time_ + last;
+        const bool too_old = config_.max_file_age > Time{} && last - open_file_->opened_at >= config_.max_file_age;
+        if (open_file_->writer.offset() >= config_.max_file_bytes || too_old) close_file();
     } catch (const TraceError&) {
-        at_work_.reset();
-        batch.walk([this](const Record& record) { carry(record); });
-        dropped_ += batch.entries.size();
-        lost_.records += batch.entries.size();
+        open_file_.reset();
+        batch.for_each([this](const Record& record) { track_name(record); });
+        dropped_ += batch.size();
+        lost_.records += batch.size();
         lost_.bytes += batch.bytes();
     }
 }
 
-void Recorder::put(const Record& record) {
-    carry(record);
-    at_work_->writer.add(record);
-    ++told_;
+void Recorder::write_record(const Record& record) {
+    track_name(record);
+    open_file_->writer.add(record);
+    ++records_written_;
 }
 
-// What each further file has to begin with.
-void Recorder::carry(const Record& record) {
+/// Keeps what each further file has to start with.
+void Recorder::track_name(const Record& record) {
     if (!is_name(record)) return;
     if (record.type == RecordType::settings) settings_ = record;
     if (record.type == RecordType::function_known) functions_[unpack<NameRecord>(record.body).number] = record;
@@ -190,22 +180,26 @@
     if (record.type == RecordType::invoker_known) invokers_[unpack<NameRecord>(record.body).number] = record;
 }
 
-void Recorder::begin_file(Time at) {
-    const std::string file = fmt::format("{}/{}-{}-{:04}.trace", rules_.folder, name_, begun_.count() / 1000, number_);
-    at_work_ = std::make_unique<File>(make_sink_(file), begun_, rules_.block_bytes, at);
-    files_.push_back({file, begun_ + at});
-    remove_old(begun_ + at);
-    if (number_++ == 0) return;
-    const std::uint64_t again = functions_.size() + invokers_.size() + (settings_ ? 1 : 0);
-    at_work_->writer.add({at, RecordType::resumed, 0, pack(Resumed{told_, again, ""})});
-    if (settings_) at_work_->writer.add({at, settings_->type, 0, settings_->body});
-    for (const auto* known : {&functions_, &invokers_})
-        for (const auto& [number, record] : *known) at_work_->writer.add({at, record.type, 0, record.body});
-}
-
-void Recorder::remove_old(Time now) {
-    while (files_.size() > 1 && (files_.size() > rules_.max_files ||
-                                 (rules_.max_age > Time{} && files_.front().last + rules_.max_age < now))) {
+void Recorder::open_file(Time at) {
+    const std::string file =
+        fmt::format("{}/{}-{}-{:04}.trace", config_.folder, name_, start_time_.count() / 1000, next_file_number_);
+    open_file_ = std::make_unique<OpenFile>(make_sink_(file), start_time_, config_.block_bytes, at);
+    files_.push_back({file, start_time_ + at});
+    remove_old_files(start_time_ + at);
+    if (next_file_number_++ == 0) return;
+    Writer& writer = open_file_->writer;
+    const std::uint64_t repeated_names = functions_.size() + invokers_.size() + (settings_ ? 1 : 0);
+    writer.add({at, RecordType::resumed, 0, pack(Resumed{records_written_, repeated_names, ""})});
+    if (settings_) writer.add({at, settings_->type, 0, settings_->body});
+    for (const auto* names : {&functions_, &invokers_})
+        for (const auto& [number, record] : *names) writer.add({at, record.type, 0, record.body});
+}
+
+void Recorder::remove_old_files(Time now) {
+    const auto is_expired = [&](const StoredFile& file) {
+        return config_.max_age > Time{} && file.last_written + config_.max_age < now;
+    };
+    while (files_.size() > 1 && (files_.size() > config_.max_files || is_expired(files_.front()))) {
         std::error_code ignored;
         std::filesystem::remove(files_.front().name, ignored);
         files_.pop_front();
@@ -213,13 +207,13 @@
 }
 
 void Recorder::close_file() {
-    if (!at_work_) return;
+    if (!open_file_) return;
     try {
-        at_work_->writer.finish();
+        open_file_->writer.finish();
     } catch (const TraceError&) {
-        // It is read up to the damage.
+        // The file is readable up to the damage.
     }
-    at_work_.reset();
+    open_file_.reset();
 }
 
 }  // namespace plumkeel::trace
--- a/src/trace/recording_scheduler.hpp
+++ b/src/trace/recording_scheduler.hpp
@@ -1,10 +1,8 @@
-// The calls into the decision module as records: what it was told, and what it answered. A Watched controller
-// writes them as they happen; Again feeds them to a fresh Controller and compares every answer.
+/// \file
+/// A Scheduler whose calls and results are recorded.
 #pragma once
 
 #include <functional>
-#include <map>
-#include <memory>
 #include <unordered_map>
 
 #include "scheduler/scheduler.hpp"
@@ -14,84 +12,53 @@
 
 using RecordCallback = std::function<void(const Record&)>;
 
-// A Controller with the same calls, each told to `recorded` with its answer. With none it costs one branch.
+/// A Scheduler with the same calls. Each call is passed to the callback as a record, followed by records of what came
+/// of it. Without a callback it costs one branch a call.
 class RecordingScheduler {
 public:
-    // Use cases and tenants by their objects, numbered as in `start`. `reasons`: with the invokers weighed for each
-    // job, else with the reason in a word.
+    /// Request classes and tenants are identified by their objects, in the order of `start`. With `record_candidates`
+    /// the transitions hold the invokers that were considered, else only the reason.
     RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes,
-                       std::vector<const Tenant*> tenants, RecordCallback recorded, bool reasons = false);
+                       std::vector<const Tenant*> tenants, RecordCallback callback, bool record_candidates = false);
 
     Actions submit(Time now, Request& request);
     Actions response_started(Time now, Attempt& attempt);
-    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome ending, LoadEvent note, int concurrent_requests,
-                          const LoadReport& report);
+    Actions attempt_ended(Time now, Attempt& attempt, AttemptOutcome outcome, LoadEvent load_event,
+                          int concurrent_requests, const LoadReport& report);
     Actions client_disconnected(Time now, Request& request);
     Actions endpoints_changed(Time now, const std::vector<Invoker*>& changed, bool complete);
-    // Recorded as the whole list without them, which means the same.
-    Actions endpoints_removed(Time now, const std::vector<Invoker*>& gone,
-                              const std::function<std::vector<Invoker*>()>& still_listed);
+    /// Recorded as a complete list without the removed endpoints, which means the same. `remaining` is called only if
+    /// there is a callback.
+    Actions endpoints_removed(Time now, const std::vector<Invoker*>& removed,
+                              const std::function<std::vector<Invoker*>()>& remaining);
     Actions endpoint_stream_lost(Time now);
-    Actions health_check_ended(Time now, Invoker& invoker, bool came, const LoadReport& report);
-    Actions preload_ended(Time now, Function& function, Invoker& invoker, AttemptOutcome ending, int copies);
+    Actions health_check_ended(Time now, Invoker& invoker, bool answered, const LoadReport& report);
+    Actions preload_ended(Time now, Function& function, Invoker& invoker, AttemptOutcome outcome, int copies);
     Actions wake(Time now);
     std::size_t parked_count() const { return scheduler_.parked_count(); }
 
 private:
-    void record_list(Time now, const std::vector<Invoker*>& told, bool complete);
+    void record_endpoints(Time now, const std::vector<Invoker*>& endpoints, bool complete);
+    /// Introduces the function or invoker with a record if it has no number yet.
     std::uint64_t number_of(const Function& function, Time now);
     std::uint64_t number_of(const Invoker& invoker, Time now);
     template <class T>
-    void record(Time now, RecordType kind, std::uint64_t request, const T& told);
-    void record(Time now, RecordType kind, std::uint64_t request);
-    Actions tell(Time now, std::uint64_t request, Actions results);
+    void record(Time now, RecordType type, std::uint64_t request, const T& contents);
+    void record(Time now, RecordType type, std::uint64_t request);
+    Actions record_results(Time now, std::uint64_t request, Actions actions);
 
     Scheduler scheduler_;
-    RecordCallback recorded_;
-    std::unordered_map<const RequestClass*, std::uint64_t> use_cases_;
-    std::unordered_map<const Tenant*, std::uint64_t> tenants_;
-    std::unordered_map<const Function*, std::uint64_t> functions_;
-    std::unordered_map<const Invoker*, std::uint64_t> invokers_;
-    std::unordered_map<const InvokerType*, std::uint64_t> kinds_;  // told apart by their objects alone
-    std::uint64_t functions_known_{}, invokers_known_{};
-    // Used again for each record, so that recording allocates nothing.
+    RecordCallback callback_;
+    std::unordered_map<const RequestClass*, std::uint64_t> request_class_numbers_;
+    std::unordered_map<const Tenant*, std::uint64_t> tenant_numbers_;
+    std::unordered_map<const Function*, std::uint64_t> function_numbers_;
+    std::unordered_map<const Invoker*, std::uint64_t> invoker_numbers_;
+    std::unordered_map<const InvokerType*, std::uint64_t> invoker_type_numbers_;
+    std::uint64_t next_function_number_{}, next_invoker_number_{};
+    // Reused for each record, so that recording does not allocate.
     Record record_;
-    ActionsRecord answer_;
-    TransitionRecord turned_;
+    ActionsRecord actions_record_;
+    TransitionRecord transition_record_;
 };
 
-struct Difference {
-    std::uint64_t call{};            // its number in the trace
-    Record record;                   // the call
-    std::string recorded, replayed;  // the answers, in words
-};
-
-struct Comparison {
-    std::uint64_t calls{}, requests{};
-    std::optional<Difference> first;
-    std::uint64_t different_calls{}, different_requests{};  // jobs that went elsewhere or were answered otherwise
-    // The first of these jobs with their ways then and now: hops and outcome.
-    std::map<std::uint64_t, std::pair<std::string, std::string>> diverged;
-};
-
-// Decides a trace again. `change` may alter what the controller is given at its start. After the first
-// difference the recorded ends of hops may no longer fit: what can't be told to the fresh controller any more is
-// left out, and the jobs' ways are compared all the same.
-class Replayer {
-public:
-    // `reasons` is told every job's change of state by the fresh controller, with all that was weighed.
-    explicit Replayer(std::function<void(Start&)> change = {}, RecordCallback reasons = {});
-    ~Replayer();
-    // Throws Fault where the trace, or this part of it, can't be decided again.
-    void feed(const Record& record);
-    Comparison compare();
-
-private:
-    struct State;
-    std::unique_ptr<State> state_;
-};
-
-// An answer in words, for a person.
-std::string describe(const ActionsRecord& answer);
-
 }  // namespace plumkeel::trace
--- a/src/trace/records.hpp
+++ b/src/trace/records.hpp
@@ -1,6 +1,7 @@
-// What the records of a trace tell: a struct each kind, packed into a record's body and unpacked from it. The one
-// place that knows the bodies of docs/trace-format.md. Unpacking throws Fault where the body is not as it should
-// be, and allocates no more than the body holds.
+/// \file
+/// The contents of a trace's records: a struct for each type, packed into a record's body and unpacked from it. The
+/// only code that knows the bodies of docs/trace-format.md. Functions, invokers, request classes and tenants are
+/// referred to by the numbers under which earlier records introduced them.
 #pragma once
 
 #include "scheduler/types.hpp"
@@ -8,7 +9,7 @@
 
 namespace plumkeel::trace {
 
-// Kinds of records. 1 to 7 are needed to understand the others: the index knows the blocks that hold any.
+/// The types of records. Those up to last_name_type are needed to interpret the others.
 enum RecordType : std::uint8_t {
     settings = 1,
     function_known = 2,
@@ -18,6 +19,7 @@
     resumed = 6,
     merged = 7,
     sampled_request = 9,
+    // Calls into the scheduler.
     submit = 10,
     response_started,
     attempt_ended,
@@ -27,42 +29,46 @@
     health_check_ended,
     preload_ended,
     wake,
-    actions = 30,     // the Results of the call before it
-    transition = 31,  // a job's change of state in the call before it, and why
+    // What came of the call before.
+    actions = 30,
+    transition = 31,
 };
 
-// What the controller was given at its start, in the order in which the records number them.
+/// What the scheduler was given at its start; request classes and tenants in the order that numbers them.
 struct Start {
-    std::string name;
+    std::string name;  ///< Of the controller.
     std::uint64_t seed{};
     SafetyRules rules;
     Capabilities capabilities;
     std::vector<std::pair<std::string, RequestClass>> request_classes;
-    std::vector<std::pair<std::string, double>> tenants;  // with their shares
+    std::vector<std::pair<std::string, double>> tenants;  ///< With their quotas per second.
 };
 
-struct NameRecord {  // a function or an invoker
+/// Introduces a function or an invoker.
+struct NameRecord {
     std::uint64_t number{};
     std::string name;
 };
 
+/// The scheduler has forgotten a function; its number is not used again.
 struct FunctionReleased {
     std::uint64_t number{};
 };
 
-struct Gap {  // what the recorder dropped
+/// Records that the recorder dropped, or that the disk did not store, are missing here.
+struct Gap {
     std::uint64_t records{}, bytes{};
 };
 
-// The file goes on from an earlier one, or is a part of one: names told again follow.
+/// The first record of a file that continues an earlier one, or was derived from others.
 struct Resumed {
-    std::uint64_t before{};  // records of this trace in earlier files
-    std::uint64_t again{};   // how many records of names, told again, follow; not counted elsewhere
-    std::string part;        // empty: whole; else how it was made of others, and that it can't be decided again
+    std::uint64_t earlier_records{};  ///< Records of this trace in earlier files.
+    std::uint64_t repeated_names{};   ///< How many records follow that repeat names; they are counted nowhere else.
+    std::string derivation;           ///< Empty, or how the file was derived; it then cannot be replayed.
 };
 
-// The trace holds the records of several controllers; a job's number is its own there, times their count, plus
-// the controller's place in the list.
+/// The trace holds several controllers' records. A request's number is its own one times their count, plus the
+/// controller's index in the list.
 struct Merged {
     std::vector<std::string> controllers;
 };
@@ -73,15 +79,18 @@
     std::string body;
 };
 
-struct SampledRequest {  // a sampled job's records, told when it ended
+/// All records of one request, written when it ended, in a trace that holds a sample.
+struct SampledRequest {
     std::vector<NestedRecord> records;
 };
 
 struct RequestSubmitted {
-    std::uint64_t request_class{}, tenant{}, function{};  // tenant: 0 for none, else its number and 1
-    int concurrency{};
+    std::uint64_t request_class{};
+    std::uint64_t tenant{};  ///< 0 for none, else its number plus 1.
+    std::uint64_t function{};
+    int concurrency{};  ///< Requests that one loaded copy of the function runs at a time.
     std::optional<Time> declared_load_time;
-    Time remaining{};
+    Time remaining{};  ///< Until the client gives up.
     bool is_client_retry{};
 };
 
@@ -104,12 +113,12 @@
     std::string zone;
     std::uint64_t type{};
     int cell{};
-    std::optional<Time> started_at;
+    std::optional<Time> started_at;  ///< Absent if long ago.
 };
 
 struct EndpointsChanged {
-    bool complete{};
-    std::uint64_t controller{};  // in a merged trace, which one was told; else 0
+    bool complete{};             ///< The whole list; else only the endpoints that changed.
+    std::uint64_t controller{};  ///< In a merged trace the receiving controller's index, else 0.
     std::vector<EndpointRecord> changed;
 };
 
@@ -125,6 +134,7 @@
     int copies{};
 };
 
+/// The scheduler's Actions, by number instead of by pointer.
 struct ActionsRecord {
     struct Cancelled {
         std::uint64_t request{}, attempt{};
@@ -152,30 +162,35 @@
     Time next_wake{};
 };
 
+/// A request's change of state, with the scheduler's reason.
 struct TransitionRecord {
     struct Sent {
         std::uint64_t attempt{}, invoker{};
-        bool starts_load{}, warm{};  // it brings its function's one load; a copy was taken to stand there
+        bool starts_load{};  ///< The attempt makes the invoker load the function.
+        bool warm{};         ///< The invoker was estimated to have a loaded copy.
     };
+    /// An invoker that was considered. The fields after `invoker` but for `exclusion` are set only if it is eligible.
     struct Candidate {
         std::uint64_t invoker{};
-        Time finish{}, contention{};
+        Time finish{};      ///< Estimated time to the response.
+        Time contention{};  ///< The part of it caused by other requests.
         bool warm{};
         ExclusionReason exclusion{};
     };
     RequestState to{};
     DecisionReason reason{};
-    Time retry_after{};  // a bounce's retry-after
+    Time retry_after{};  ///< Of a rejection.
     std::optional<Sent> sent;
     std::vector<Candidate> candidates;
 };
 
-// One pair for each of the above.
+/// Encodes any of the structs above that is a record's whole body.
 template <class T>
-std::string pack(const T& told);
-// The same into a string that is used again and again: nothing is allocated once it is large enough.
+std::string pack(const T& value);
+/// The same into a string that is reused: nothing is allocated once it is large enough.
 template <class T>
-void pack_into(std::string& body, const T& told);
+void pack_into(std::string& body, const T& value);
+/// Throws TraceError if the body is malformed; allocates no more than the body accounts for.
 template <class T>
 T unpack(std::string_view body);
 
--- a/src/trace/sampler.cpp
+++ b/src/trace/sampler.cpp
@@ -2,61 +2,65 @@
 
 #include <xxhash.h>
 
+#include <algorithm>
+
 namespace plumkeel::trace {
 
-Sampler::Sampler(double part, std::size_t bytes) : part_(part), most_bytes_(bytes) {}
+Sampler::Sampler(double ratio, std::size_t max_bytes) : ratio_(ratio), max_bytes_(max_bytes) {}
 
-// By the job's number alone, so that it does not depend on what else goes on.
-bool Sampler::chosen(std::uint64_t request) const {
-    const std::uint64_t dice = XXH3_64bits(&request, sizeof request);
-    return static_cast<double>(dice >> 11) * 0x1p-53 < part_;
+/// Depends on the request's number alone, so that the choice is the same whatever else is recorded.
+bool Sampler::is_sampled(std::uint64_t request) const {
+    const std::uint64_t hash = XXH3_64bits(&request, sizeof request);
+    return static_cast<double>(hash >> 11) * 0x1p-53 < ratio_;
 }
 
-void Sampler::feed(const Record& record, const Emit& emit) {
+void Sampler::feed(const Record& record, const RecordCallback& keep) {
     if (record.type == RecordType::actions || record.type == RecordType::wake) return;
     if (record.type == RecordType::settings) start_ = unpack<Start>(record.body);
-    if (!record.request) return emit(record);
+    if (!record.request) return keep(record);
 
     auto it = open_.find(record.request);
     if (it == open_.end()) {
-        if (record.type != RecordType::submit) return;  // told of already, or taken before the trace began
+        // Otherwise it is closed already, or was submitted before the trace began.
+        if (record.type != RecordType::submit) return;
         it = open_.try_emplace(record.request).first;
-        it->second.order = ++taken_;
-        by_age_.emplace(taken_, record.request);
+        it->second.order = ++submitted_;
+        by_age_.emplace(submitted_, record.request);
     }
-    Open& request = it->second;
-    note(request, record);
+    OpenRequest& request = it->second;
+    update(request, record);
     const std::size_t bytes = sizeof(NestedRecord) + record.body.size();
-    request.story.records.push_back({record.at, record.type, record.body});
+    request.sample.records.push_back({record.at, record.type, record.body});
     request.bytes += bytes;
     bytes_ += bytes;
-    if (request.ended && request.out == 0) tell(record.request, record.at, emit);
-    while (bytes_ > most_bytes_ && !open_.empty()) {
+    if (request.ended && request.attempts_in_flight == 0) close(record.request, record.at, keep);
+    while (bytes_ > max_bytes_ && !open_.empty()) {
         const std::uint64_t oldest = by_age_.begin()->second;
-        open_.at(oldest).badly = true;
-        tell(oldest, record.at, emit);
+        open_.at(oldest).ended_badly = true;
+        close(oldest, record.at, keep);
     }
 }
 
-void Sampler::note(Open& request, const Record& record) {
+void Sampler::update(OpenRequest& request, const Record& record) {
     switch (record.type) {
         case RecordType::submit: {
-            const auto told = unpack<RequestSubmitted>(record.body);
-            request.late = record.at + told.remaining;
-            if (told.request_class < start_.request_classes.size())
-                request.late = std::min(request.late,
-                                        record.at + start_.request_classes[told.request_class].second.latency_target);
+            const auto submitted = unpack<RequestSubmitted>(record.body);
+            request.late_after = record.at + submitted.remaining;
+            if (submitted.request_class < start_.request_classes.size()) {
+                const RequestClass& request_class = start_.request_classes[submitted.request_class].second;
+                request.late_after = std::min(request.late_after, record.at + request_class.latency_target);
+            }
             break;
         }
         case RecordType::attempt_ended:
-            if (request.out > 0) --request.out;
+            if (request.attempts_in_flight > 0) --request.attempts_in_flight;
             break;
         case RecordType::transition: {
-            const auto told = unpack<TransitionRecord>(record.body);
-            if (told.sent) ++request.out;
-            if (told.to < RequestState::succeeded) break;
+            const auto transition = unpack<TransitionRecord>(record.body);
+            if (transition.sent) ++request.attempts_in_flight;
+            if (transition.to < RequestState::succeeded) break;
             request.ended = true;
-            request.badly = told.to != RequestState::succeeded || record.at > request.late;
+            request.ended_badly = transition.to != RequestState::succeeded || record.at > request.late_after;
             break;
         }
         default:
@@ -64,20 +68,21 @@
     }
 }
 
-void Sampler::tell(std::uint64_t id, Time at, const Emit& emit) {
+void Sampler::close(std::uint64_t id, Time at, const RecordCallback& keep) {
     const auto it = open_.find(id);
-    Open& request = it->second;
-    if (request.badly || chosen(id)) emit({at, RecordType::sampled_request, id, pack(request.story)});
+    OpenRequest& request = it->second;
+    if (request.ended_badly || is_sampled(id)) keep({at, RecordType::sampled_request, id, pack(request.sample)});
     bytes_ -= request.bytes;
     by_age_.erase(request.order);
     open_.erase(it);
 }
 
-void Sampler::finish(const Emit& emit) {
+void Sampler::finish(const RecordCallback& keep) {
     while (!by_age_.empty()) {
         const std::uint64_t oldest = by_age_.begin()->second;
-        open_.at(oldest).badly = true;  // nobody knows how it ended
-        tell(oldest, open_.at(oldest).story.records.back().at, emit);
+        OpenRequest& request = open_.at(oldest);
+        request.ended_badly = true;  // how it ended is not known
+        close(oldest, request.sample.records.back().at, keep);
     }
 }
 
--- a/src/trace/sampler.hpp
+++ b/src/trace/sampler.hpp
@@ -1,10 +1,8 @@
-// Which jobs' records are kept where a trace holds only a sample: a part of all jobs, and all that ended badly.
-// Pure. What concerns no one job is kept but for the wakings; answers to calls are not, since a sample can't be
-// decided again.
+/// \file
+/// Chooses what is kept of a trace that holds only a sample of the requests. Free of I/O.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <unordered_map>
@@ -13,35 +11,39 @@
 
 namespace plumkeel::trace {
 
+/// Keeps a share of all requests, and all that ended badly: without success, or after their latency target. Records
+/// that concern no request are kept except for wakes and actions, which serve only replay, and a sample cannot be
+/// replayed.
 class Sampler {
 public:
-    // `part` of the jobs, from 0 to 1. Past `bytes` of open jobs' records the oldest job is told as far as it is
-    // known, whatever comes of it.
-    Sampler(double part, std::size_t bytes);
+    using RecordCallback = std::function<void(const Record&)>;
 
-    using Emit = std::function<void(const Record&)>;
-    void feed(const Record& record, const Emit& emit);
-    void finish(const Emit& emit);  // tells of all jobs that are still open
+    /// `ratio` of the requests is kept, from 0 to 1. When the records of open requests exceed `max_bytes`, the oldest
+    /// request is kept as far as it is known.
+    Sampler(double ratio, std::size_t max_bytes);
+
+    void feed(const Record& record, const RecordCallback& keep);
+    void finish(const RecordCallback& keep);  ///< Keeps all requests that are still open.
 
 private:
-    struct Open {
-        SampledRequest story;
+    struct OpenRequest {
+        SampledRequest sample;
         std::size_t bytes{};
         std::uint64_t order{};
-        int out{};  // hops
-        bool ended{}, badly{};
-        Time late{};  // an answer after this is late
+        int attempts_in_flight{};
+        bool ended{}, ended_badly{};
+        Time late_after{};  // when its latency target is missed
     };
-    bool chosen(std::uint64_t request) const;
-    void note(Open& request, const Record& record);
-    void tell(std::uint64_t id, Time at, const Emit& emit);
+    bool is_sampled(std::uint64_t request) const;
+    void update(OpenRequest& request, const Record& record);
+    void close(std::uint64_t id, Time at, const RecordCallback& keep);
 
-    const double part_;
-    const std::size_t most_bytes_;
+    const double ratio_;
+    const std::size_t max_bytes_;
     Start start_;
-    std::unordered_map<std::uint64_t, Open> open_;
-    std::map<std::uint64_t, std::uint64_t> by_age_;  // order of arrival to job
-    std::uint64_t taken_{};
+    std::unordered_map<std::uint64_t, OpenRequest> open_;
+    std::map<std::uint64_t, std::uint64_t> by_age_;  // request by order of submission
+    std::uint64_t submitted_{};
     std::size_t bytes_{};
 };
 
--- a/src/trace_analysis/chart.cpp
+++ b/src/trace_analysis/chart.cpp
@@ -1,213 +1,169 @@
 #include "trace_analysis/chart.hpp"
 
 #include <fmt/format.h>
-#include <plplot/plplot.h>
 
 #include <algorithm>
-#include <array>
 #include <fstream>
 
+#include "trace_analysis/plot_page.hpp"
+
 namespace plumkeel::trace_analysis {
 namespace {
 
-constexpr std::size_t most_columns = 150, most_invokers = 10, most_told = 16;
-enum Colour : int { paper, ink, grey, honoured, late, bounced, written_off, abandoned, unfinished, first_invoker };
+constexpr std::size_t max_columns = 150, max_invokers = 10, max_notes = 16;
+/// Annotations closer than this part of the width share a line.
+constexpr double min_line_distance = 1.0 / 400;
 
-struct Rgb {
-    int r, g, b;
-};
-constexpr std::array<Rgb, 19> colours = {{{255, 255, 255},
-                                          {30, 30, 30},
-                                          {150, 150, 150},
-                                          {120, 180, 120},
-                                          {225, 190, 70},
-                                          {110, 150, 210},
-                                          {190, 50, 50},
-                                          {160, 160, 160},
-                                          {215, 215, 215},
-                                          {31, 119, 180},
-                                          {255, 127, 14},
-                                          {44, 160, 44},
-                                          {214, 39, 40},
-                                          {148, 103, 189},
-                                          {140, 86, 75},
-                                          {227, 119, 194},
-                                          {90, 90, 90},
-                                          {188, 189, 34},
-                                          {23, 190, 207}}};
-
-struct Column {  // some seconds together
-    Outcomes ended;
-    std::uint64_t parked{};
+/// Some seconds together.
+struct Column {
+    OutcomeCounts ended;
+    std::uint64_t parked{};  // at most, at the end of a second
     std::map<std::string, std::uint64_t> attempts;
 };
 
-// PLplot takes '#' for the start of a command in a text.
-std::string plain(std::string text) {
-    for (std::size_t at = 0; (at = text.find('#', at)) != std::string::npos; at += 2) text.insert(at, "#");
-    return text;
-}
+struct TimeLine {
+    std::size_t seconds_per_column{};
+    std::vector<Column> columns;
 
-class Drawing {
-public:
-    Drawing(const Summary& summary, const std::string& title, const std::string& file) : summary_(summary) {
-        const std::size_t seconds = summary.seconds().size();
-        step_ = std::max<std::size_t>(1, (seconds + most_columns - 1) / most_columns);
-        columns_.resize((seconds + step_ - 1) / step_);
-        for (std::size_t i = 0; i < seconds; ++i) {
-            const SecondStats& s = summary.seconds()[i];
-            Column& c = columns_[i / step_];
-            c.ended.add(s.ended);
-            c.parked = std::max(c.parked, s.parked);
-            for (const auto& [name, n] : s.attempts) c.attempts[name] += n;
-        }
-        plsdev("svg");
-        plsfnam(file.c_str());
-        plspage(0, 0, 1000, 1100, 0, 0);
-        plscmap0n(static_cast<PLINT>(colours.size()));
-        for (std::size_t i = 0; i < colours.size(); ++i)
-            plscol0(static_cast<PLINT>(i), colours[i].r, colours[i].g, colours[i].b);
-        plinit();
-        pladv(0);
-        plschr(0, 0.45);
-        outcomes(title);
-        parked();
-        invokers();
-        told_marks();
-        plend();
+    double begin(std::size_t column) const { return static_cast<double>(column * seconds_per_column); }
+    double end(std::size_t column) const { return begin(column + 1); }
+    double middle(std::size_t column) const {
+        return (static_cast<double>(column) + 0.5) * static_cast<double>(seconds_per_column);
     }
-
-private:
-    double width() const { return static_cast<double>(columns_.size() * step_); }
-
-    void panel(double bottom, double top, double most, const char* what, bool last) {
-        plvpor(0.09, 0.82, bottom, top);
-        plwind(0, width(), 0, std::max(1.0, most * 1.08));
-        plcol0(ink);
-        plbox(last ? "bcnst" : "bcst", 0, 0, "bcnstv", 0, 0);
-        plmtex("l", 6.5, 0.5, 0.5, what);
-        if (last) plmtex("b", 3.2, 0.5, 0.5, "seconds since the trace began");
+    double width() const { return begin(columns.size()); }
+    double per_second(std::uint64_t count) const {
+        return static_cast<double>(count) / static_cast<double>(seconds_per_column);
     }
-
-    void marks(double most) {
-        plcol0(grey);
-        pllsty(2);
-        double before = -1;
-        for (const Annotation& mark : summary_.annotations()) {
-            const double x = static_cast<double>(mark.at.count()) / 1e6;
-            if (x - before < width() / 400) continue;  // one line for what falls together
-            before = x;
-            pljoin(x, 0, x, std::max(1.0, most * 1.08));
-        }
-        pllsty(1);
+    double attempts_per_second(std::size_t column, const std::string& invoker) const {
+        const auto it = columns[column].attempts.find(invoker);
+        return it == columns[column].attempts.end() ? 0 : per_second(it->second);
     }
+};
 
-    void box(double x0, double x1, double y0, double y1, int colour) {
-        const PLFLT x[] = {x0, x1, x1, x0}, y[] = {y0, y0, y1, y1};
-        plcol0(colour);
-        plfill(4, x, y);
+TimeLine time_line_of(const Summary& summary) {
+    const std::vector<SecondStats>& seconds = summary.seconds();
+    TimeLine line;
+    line.seconds_per_column = std::max<std::size_t>(1, (seconds.size() + max_columns - 1) / max_columns);
+    line.columns.resize((seconds.size() + line.seconds_per_column - 1) / line.seconds_per_column);
+    for (std::size_t i = 0; i < seconds.size(); ++i) {
+        Column& column = line.columns[i / line.seconds_per_column];
+        column.ended.add(seconds[i].ended);
+        column.parked = std::max(column.parked, seconds[i].parked);
+        for (const auto& [invoker, count] : seconds[i].attempts) column.attempts[invoker] += count;
     }
+    return line;
+}
 
-    void key(double height, int row, int colour, const std::string& words) {
-        plvpor(0.83, 1.0, 0.0, 1.0);
-        plwind(0, 1, 0, 1);
-        const double y = height - 0.018 * row;
-        box(0, 0.06, y - 0.004, y + 0.006, colour);
-        plcol0(ink);
-        plptex(0.1, y, 1, 0, 0, plain(words).c_str());
+void draw_annotation_lines(PlotPage& page, const PlotPage::Panel& panel, const Summary& summary) {
+    std::vector<double> lines;
+    for (const Annotation& annotation : summary.annotations()) {
+        const double x = static_cast<double>(annotation.at.count()) / 1e6;
+        if (x - (lines.empty() ? -1 : lines.back()) >= panel.width_s * min_line_distance) lines.push_back(x);
     }
+    page.vertical_lines(lines, panel);
+}
 
-    void outcomes(const std::string& title) {
-        double most = 0;
-        for (const Column& c : columns_)
-            most = std::max(most, static_cast<double>(c.ended.total()) / static_cast<double>(step_));
-        panel(0.69, 0.95, most, "jobs ended a second", false);
-        plmtex("t", 1.5, 0.5, 0.5, plain(title).c_str());
-        for (std::size_t i = 0; i < columns_.size(); ++i) {
-            const Outcomes& o = columns_[i].ended;
-            double y = 0;
-            const std::pair<std::uint64_t, int> parts[] = {{o.succeeded, honoured},  {o.late, late},
-                                                           {o.rejected, bounced},    {o.failed, written_off},
-                                                           {o.cancelled, abandoned}, {o.unfinished, unfinished}};
-            for (const auto& [n, colour] : parts) {
-                const double up = y + static_cast<double>(n) / static_cast<double>(step_);
-                if (n) box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), y, up, colour);
-                y = up;
-            }
+void draw_outcomes(PlotPage& page, const TimeLine& line, const Summary& summary, const std::string& title) {
+    double max = 0;
+    for (const Column& column : line.columns) max = std::max(max, line.per_second(column.ended.total()));
+    const PlotPage::Panel panel{0.69, 0.95, line.width(), max, "requests ended a second", false};
+    page.begin_panel(panel);
+    page.title(title);
+    for (std::size_t i = 0; i < line.columns.size(); ++i) {
+        const OutcomeCounts& counts = line.columns[i].ended;
+        const std::pair<std::uint64_t, Colour> stack[] = {
+            {counts.succeeded, succeeded_colour}, {counts.late, late_colour},
+            {counts.rejected, rejected_colour},   {counts.failed, failed_colour},
+            {counts.cancelled, cancelled_colour}, {counts.unfinished, unfinished_colour}};
+        double bottom = 0;
+        for (const auto& [count, colour] : stack) {
+            const double top = bottom + line.per_second(count);
+            if (count) page.box(line.begin(i), line.end(i), bottom, top, colour);
+            bottom = top;
         }
-        marks(most);
-        const char* words[] = {"honoured", "late", "bounced", "written off", "abandoned", "unfinished"};
-        for (int i = 0; i < 6; ++i) key(0.94, i, honoured + i, words[i]);
     }
-
-    void parked() {
-        double most = 0;
-        for (const Column& c : columns_) most = std::max(most, static_cast<double>(c.parked));
-        panel(0.49, 0.66, most, "jobs parked", false);
-        for (std::size_t i = 0; i < columns_.size(); ++i)
-            if (columns_[i].parked)
-                box(static_cast<double>(i * step_), static_cast<double>((i + 1) * step_), 0,
-                    static_cast<double>(columns_[i].parked), bounced);
-        marks(most);
+    draw_annotation_lines(page, panel, summary);
+    constexpr FinalOutcome outcomes[] = {FinalOutcome::succeeded, FinalOutcome::late,      FinalOutcome::rejected,
+                                         FinalOutcome::failed,    FinalOutcome::cancelled, FinalOutcome::unfinished};
+    int row = 0;
+    for (const FinalOutcome outcome : outcomes) {
+        page.legend_entry(0.94, row, succeeded_colour + row, std::string(name_of(outcome)));
+        ++row;
     }
+}
 
-    void invokers() {
-        std::vector<std::pair<std::uint64_t, std::string>> by_hops;
-        for (const auto& [name, attempts] : summary_.invokers()) by_hops.emplace_back(attempts.sent, name);
-        std::stable_sort(by_hops.begin(), by_hops.end(),
-                         [](const auto& a, const auto& b) { return a.first > b.first; });
-        if (by_hops.size() > most_invokers) by_hops.resize(most_invokers);
-        double most = 0;
-        for (const Column& c : columns_)
-            for (const auto& [n, name] : by_hops)
-                if (const auto it = c.attempts.find(name); it != c.attempts.end())
-                    most = std::max(most, static_cast<double>(it->second) / static_cast<double>(step_));
-        panel(0.24, 0.46, most, "hops sent a second", true);
-        marks(most);
-        plwidth(1.5);
-        int colour = first_invoker;
-        for (const auto& [n, name] : by_hops) {
-            std::vector<PLFLT> x, y;
-            for (std::size_t i = 0; i < columns_.size(); ++i) {
-                const auto it = columns_[i].attempts.find(name);
-                x.push_back((static_cast<double>(i) + 0.5) * static_cast<double>(step_));
-                y.push_back(it == columns_[i].attempts.end()
-                                ? 0
-                                : static_cast<double>(it->second) / static_cast<double>(step_));
-            }
-            plcol0(colour++);
-            plline(static_cast<PLINT>(x.size()), x.data(), y.data());
-        }
-        plwidth(1);
-        for (std::size_t i = 0; i < by_hops.size(); ++i)
-            key(0.45, static_cast<int>(i), first_invoker + static_cast<int>(i), by_hops[i].second);
-    }
+void draw_parked(PlotPage& page, const TimeLine& line, const Summary& summary) {
+    double max = 0;
+    for (const Column& column : line.columns) max = std::max(max, static_cast<double>(column.parked));
+    const PlotPage::Panel panel{0.49, 0.66, line.width(), max, "requests parked", false};
+    page.begin_panel(panel);
+    for (std::size_t i = 0; i < line.columns.size(); ++i)
+        if (const std::uint64_t parked = line.columns[i].parked)
+            page.box(line.begin(i), line.end(i), 0, static_cast<double>(parked), rejected_colour);
+    draw_annotation_lines(page, panel, summary);
+}
+
+/// Those with the most attempts.
+std::vector<std::string> busiest_invokers(const Summary& summary) {
+    std::vector<std::pair<std::uint64_t, std::string>> by_attempts;
+    for (const auto& [name, stats] : summary.invokers()) by_attempts.emplace_back(stats.sent, name);
+    std::stable_sort(by_attempts.begin(), by_attempts.end(),
+                     [](const auto& a, const auto& b) { return a.first > b.first; });
+    if (by_attempts.size() > max_invokers) by_attempts.resize(max_invokers);
+    std::vector<std::string> names;
+    for (const auto& [count, name] : by_attempts) names.push_back(name);
+    return names;
+}
 
-    void told_marks() {
-        plvpor(0.05, 0.98, 0.0, 0.18);
-        plwind(0, 1, 0, 1);
-        plcol0(ink);
-        const auto& all = summary_.annotations();
-        for (std::size_t i = 0; i < std::min(all.size(), most_told); ++i) {
-            const std::string words =
-                fmt::format("{:.2f} s  {}", static_cast<double>(all[i].at.count()) / 1e6, all[i].what);
-            plptex(i % 2 ? 0.52 : 0.04, 0.92 - 0.11 * static_cast<double>(i / 2), 1, 0, 0, plain(words).c_str());
+void draw_attempts(PlotPage& page, const TimeLine& line, const Summary& summary) {
+    const std::vector<std::string> invokers = busiest_invokers(summary);
+    double max = 0;
+    for (std::size_t i = 0; i < line.columns.size(); ++i)
+        for (const std::string& invoker : invokers) max = std::max(max, line.attempts_per_second(i, invoker));
+    const PlotPage::Panel panel{0.24, 0.46, line.width(), max, "attempts sent a second", true};
+    page.begin_panel(panel);
+    draw_annotation_lines(page, panel, summary);
+    int colour = first_invoker_colour;
+    for (const std::string& invoker : invokers) {
+        std::vector<double> x, y;
+        for (std::size_t i = 0; i < line.columns.size(); ++i) {
+            x.push_back(line.middle(i));
+            y.push_back(line.attempts_per_second(i, invoker));
         }
-        if (all.size() > most_told)
-            plptex(0.04, 0.03, 1, 0, 0, fmt::format("and {} further marks", all.size() - most_told).c_str());
+        page.curve(x, y, colour++);
     }
+    int row = 0;
+    for (const std::string& invoker : invokers) {
+        page.legend_entry(0.45, row, first_invoker_colour + row, invoker);
+        ++row;
+    }
+}
 
-    const Summary& summary_;
-    std::size_t step_{};
-    std::vector<Column> columns_;
-};
+void write_annotations(PlotPage& page, const Summary& summary) {
+    page.begin_notes();
+    const std::vector<Annotation>& annotations = summary.annotations();
+    const std::size_t shown = std::min(annotations.size(), max_notes);
+    for (std::size_t i = 0; i < shown; ++i) {  // in two columns
+        const double at_s = static_cast<double>(annotations[i].at.count()) / 1e6;
+        page.note(i % 2 ? 0.52 : 0.04, 0.92 - 0.11 * static_cast<double>(i / 2),
+                  fmt::format("{:.2f} s  {}", at_s, annotations[i].what));
+    }
+    if (annotations.size() > shown)
+        page.note(0.04, 0.03, fmt::format("and {} more annotations", annotations.size() - shown));
+}
 
 }  // namespace
 
 void draw_summary(const Summary& summary, const std::string& title, const std::string& file) {
     if (summary.seconds().empty()) throw trace::TraceError("there is nothing to draw");
-    if (!std::ofstream(file)) throw trace::TraceError(file + ": can't be written");  // PLplot would ask on the terminal
-    Drawing(summary, title, file);
+    // PLplot asks on the terminal for another name if it cannot write the file.
+    if (!std::ofstream(file)) throw trace::TraceError(file + ": cannot be written");
+    const TimeLine line = time_line_of(summary);
+    PlotPage page(file);
+    draw_outcomes(page, line, summary, title);
+    draw_parked(page, line, summary);
+    draw_attempts(page, line, summary);
+    write_annotations(page, summary);
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/chart.hpp
+++ b/src/trace_analysis/chart.hpp
@@ -1,5 +1,5 @@
-// A summary as a picture (SVG): jobs by outcome over time, parked jobs, hops by invoker, and marks where the list
-// changed or invokers fell. Draws with PLplot.
+/// \file
+/// A summary as a picture.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace plumkeel::trace_analysis {
 
-// Throws trace::Fault where there is nothing to draw or the file can't be written.
+/// Writes an SVG file with requests by outcome, parked requests and attempts by invoker over time, and the annotations.
+/// Throws TraceError if there is nothing to draw or the file cannot be written.
 void draw_summary(const Summary& summary, const std::string& title, const std::string& file);
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/endpoint_diff.cpp
+++ b/src/trace_analysis/endpoint_diff.cpp
@@ -2,30 +2,29 @@
 
 namespace plumkeel::trace_analysis {
 
-std::vector<EndpointDiff::EndpointChange> EndpointDiff::feed(const trace::EndpointsChanged& told,
-                                                             const NameTable& names) {
-    std::vector<EndpointChange> news;
-    std::map<std::string, trace::EndpointRecord> now;
-    for (const trace::EndpointRecord& entry : told.changed) now[names.invoker(entry.invoker)] = entry;
-    for (const auto& [who, entry] : now) {
-        const auto it = facts_.find(who);
-        if (it == facts_.end())
-            news.push_back({EndpointChangeType::listed, who});
-        else if (it->second.ready != entry.ready)
-            news.push_back({entry.ready ? EndpointChangeType::ready : EndpointChangeType::drains, who});
-        else if (it->second.started_at != entry.started_at)
-            news.push_back({EndpointChangeType::started, who});
+std::vector<EndpointChange> EndpointDiff::feed(const trace::EndpointsChanged& list, const NameTable& names) {
+    std::vector<EndpointChange> changes;
+    std::map<std::string, trace::EndpointRecord> received;
+    for (const trace::EndpointRecord& endpoint : list.changed) received[names.invoker(endpoint.invoker)] = endpoint;
+    for (const auto& [invoker, endpoint] : received) {
+        const auto it = endpoints_.find(invoker);
+        if (it == endpoints_.end())
+            changes.push_back({EndpointChangeType::listed, invoker});
+        else if (it->second.ready != endpoint.ready)
+            changes.push_back({endpoint.ready ? EndpointChangeType::ready : EndpointChangeType::draining, invoker});
+        else if (it->second.started_at != endpoint.started_at)
+            changes.push_back({EndpointChangeType::restarted, invoker});
     }
-    if (told.complete) {
-        for (const auto& [who, entry] : facts_)
-            if (!now.count(who)) news.push_back({EndpointChangeType::gone, who});
-        facts_ = std::move(now);
+    if (list.complete) {
+        for (const auto& [invoker, endpoint] : endpoints_)
+            if (!received.count(invoker)) changes.push_back({EndpointChangeType::removed, invoker});
+        endpoints_ = std::move(received);
     } else {
-        for (auto& [who, entry] : now) facts_[who] = entry;
+        for (auto& [invoker, endpoint] : received) endpoints_[invoker] = endpoint;
     }
-    if (!begun_) news.clear();
-    begun_ = begun_ || !facts_.empty();
-    return news;
+    if (!has_endpoints_) changes.clear();
+    has_endpoints_ = has_endpoints_ || !endpoints_.empty();
+    return changes;
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/endpoint_diff.hpp
+++ b/src/trace_analysis/endpoint_diff.hpp
@@ -1,6 +1,8 @@
-// What a list of invokers tells that the one before it did not. Pure.
+/// \file
+/// What changed from one list of endpoints to the next.
 #pragma once
 
+#include <compare>
 #include <map>
 #include <string>
 #include <vector>
@@ -9,21 +11,25 @@
 
 namespace plumkeel::trace_analysis {
 
-enum class EndpointChangeType { listed, ready, drains, started, gone };
+enum class EndpointChangeType { listed, ready, draining, restarted, removed };
+
+struct EndpointChange {
+    EndpointChangeType type{};
+    std::string invoker;
+
+    auto operator<=>(const EndpointChange&) const = default;
+};
 
 class EndpointDiff {
 public:
-    struct EndpointChange {
-        EndpointChangeType change{};
-        std::string who;
-    };
-    // Nothing for the first list that names anyone.
-    std::vector<EndpointChange> feed(const trace::EndpointsChanged& told, const NameTable& names);
-    bool begun() const { return begun_; }
+    /// Returns the changes that the next list brings; none for the first list that names an endpoint.
+    std::vector<EndpointChange> feed(const trace::EndpointsChanged& list, const NameTable& names);
+    /// Whether a list has named an endpoint.
+    bool has_endpoints() const { return has_endpoints_; }
 
 private:
-    std::map<std::string, trace::EndpointRecord> facts_;
-    bool begun_{};
+    std::map<std::string, trace::EndpointRecord> endpoints_;
+    bool has_endpoints_{};
 };
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/merged_stream.hpp
+++ b/src/trace_analysis/merged_stream.hpp
@@ -1,86 +1,75 @@
-// Traces as streams of records: the files of one controller in their order, without what two of them tell twice;
-// and several controllers' as one.
+/// \file
+/// The traces of several controllers as one.
 #pragma once
 
-#include <deque>
 #include <memory>
-#include <string>
-#include <vector>
+#include <unordered_map>
 
-#include "trace/format.hpp"
-#include "trace_analysis/name_table.hpp"
+#include "trace_analysis/controller_trace.hpp"
 
 namespace plumkeel::trace_analysis {
 
-class RecordStream {
+/// Gives each name one number, and introduces it with a record when it is first met.
+class NameNumbering {
 public:
-    virtual ~RecordStream() = default;
-    virtual std::optional<Record> next() = 0;
-    virtual Time begun() const = 0;        // of its records' times, since the Unix epoch
-    virtual double part_read() const = 0;  // from 0 to 1
-};
+    /// `type` is that of the records; they are appended to `out`, which must outlive the numbering.
+    NameNumbering(std::uint8_t type, std::vector<Record>& out) : type_(type), out_(out) {}
+    std::uint64_t number(const std::string& name, Time at);
 
-// Opens a source by name; in service trace::FileSource.
-using OpenSource = std::function<std::unique_ptr<trace::Source>(const std::string& name)>;
+private:
+    const std::uint8_t type_;
+    std::vector<Record>& out_;
+    std::unordered_map<std::string, std::uint64_t> numbers_;
+};
 
-// One controller's trace. Where records are damaged or missing between files it tells a gap.
-class ControllerTrace : public RecordStream {
+/// Several controllers' records in the order of their corrected time, with one numbering of requests, functions and
+/// invokers; records of the same time are in the order of the controllers. Actions and wakes are left out: they serve
+/// only replay, and a merged trace cannot be replayed.
+class MergedStream : public RecordStream {
 public:
-    struct File {
-        std::string name;
-        std::unique_ptr<trace::Source> source;
-        std::unique_ptr<trace::Reader> reader;
-        trace::Resumed resumed;  // as it begins; of a first file nothing
-    };
+    /// `offsets` are added to the controllers' clocks. With `from`, starts at that time, after all names. The traces
+    /// must outlive the stream. Throws TraceError if there are none.
+    MergedStream(std::vector<ControllerTrace*> traces, const std::vector<Time>& offsets, std::optional<Time> from = {});
 
     std::optional<Record> next() override;
-    Time begun() const override { return files_.front().reader->begun(); }
-    double part_read() const override;
-    // Back to the start; with `from`, to the block that holds that moment, and all names are told first.
-    void rewind(std::optional<Time> from = {});
-
-    const trace::Start& start() const { return start_; }
-    std::string controller() const { return start_.name; }
-    const std::vector<File>& files() const { return files_; }
-    // Records that are in none of the files, as far as those read so far show.
-    std::uint64_t missing() const { return missing_; }
+    Time start_time() const override { return start_time_; }
+    double progress() const override;
 
 private:
-    friend std::vector<std::unique_ptr<ControllerTrace>> open_all(const std::vector<std::string>&, const OpenSource&);
-
-    std::vector<File> files_;
-    trace::Start start_;
-    std::size_t file_{}, place_{}, at_{};
-    std::vector<Record> block_;
-    std::uint64_t read_{};   // records of the trace, counted over its files
-    std::uint64_t skip_{};   // of the present file, told by an earlier one already
-    std::uint64_t again_{};  // names told again, still to come
-    std::uint64_t missing_{};
-    bool in_file_{};
-    std::size_t damage_told_{};  // of the present file
-    std::deque<Record> prelude_;
-
-    void enter_file(std::optional<Record>& first);
-    bool next_block(std::optional<Record>& first);
-};
-
-// The files by controller, in the order of their start. Throws Fault that names the file.
-std::vector<std::unique_ptr<ControllerTrace>> open_all(const std::vector<std::string>& files, const OpenSource& open);
-OpenSource files_on_disk();
-
-// Several controllers' records in the order of their time, corrected by `offsets` (added to each one's clock);
-// like moments in the order of the controllers. Their numbers of jobs, functions, invokers and so on are made
-// one; what serves only deciding again is left out.
-std::unique_ptr<RecordStream> merge_traces(std::vector<ControllerTrace*> parts, const std::vector<Time>& offsets,
-                                           std::optional<Time> from = {});
+    struct Source {
+        Source(ControllerTrace& from, Time start) : trace(from), start_time(start), names(true) {}
+        ControllerTrace& trace;
+        Time start_time;
+        NameTable names;
+        std::vector<std::uint64_t> request_classes, tenants;  // merged number by own number
+        std::optional<Record> head;
+        bool at_end{};
+    };
 
-struct ClockOffset {
-    Time offset{};       // to add to this controller's clock to have the first one's
-    std::size_t from{};  // how many happenings that both saw tell it; 0: none, and the offset is 0
-    Time spread{};       // half of those differ by no more than this from it
+    void write_first_records();
+    Source* earliest_source();
+    void advance(Source& source);
+    void add(const Source& source, Record record);
+    std::uint64_t index_of(const Source& source) const;
+    std::uint64_t merged_function(const Source& source, std::uint64_t number, Time at);
+    std::uint64_t merged_invoker(const Source& source, std::uint64_t number, Time at);
+
+    /// The body with all numbers replaced by those of the merged trace.
+    std::string renumber_body(const Source& source, std::uint8_t type, Time at, const std::string& body);
+    template <class T>
+    std::string renumber_as(const Source& source, Time at, const std::string& body);
+    void renumber(const Source& source, Time at, trace::SampledRequest& sample);
+    void renumber(const Source& source, Time at, trace::RequestSubmitted& submitted);
+    void renumber(const Source& source, Time at, trace::TransitionRecord& transition);
+    void renumber(const Source& source, Time at, trace::EndpointsChanged& list);
+    void renumber(const Source& source, Time at, trace::HealthCheckEnded& ended);
+    void renumber(const Source& source, Time at, trace::PreloadEnded& ended);
+
+    std::vector<Source> sources_;
+    Time start_time_{};
+    std::vector<Record> ready_;  // to be passed on next, from next_ready_ on
+    std::size_t next_ready_{};
+    NameNumbering functions_{trace::function_known, ready_}, invokers_{trace::invoker_known, ready_};
 };
 
-// From what several controllers saw: hops cut off by the same death of an invoker, and changes of the list.
-std::vector<ClockOffset> estimate_offsets(const std::vector<ControllerTrace*>& parts);
-
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/name_table.cpp
+++ b/src/trace_analysis/name_table.cpp
@@ -3,9 +3,10 @@
 namespace plumkeel::trace_analysis {
 namespace {
 
-std::string find(const std::unordered_map<std::uint64_t, std::string>& names, std::uint64_t number, const char* what) {
+std::string name_or_number(const std::unordered_map<std::uint64_t, std::string>& names, std::uint64_t number,
+                           const char* kind) {
     const auto it = names.find(number);
-    return it == names.end() ? std::string(what) + " #" + std::to_string(number) : it->second;
+    return it == names.end() ? std::string(kind) + " #" + std::to_string(number) : it->second;
 }
 
 }  // namespace
@@ -16,7 +17,7 @@
             start_ = trace::unpack<trace::Start>(record.body);
             return true;
         case trace::merged:
-            merged_ = trace::unpack<trace::Merged>(record.body).controllers;
+            controllers_ = trace::unpack<trace::Merged>(record.body).controllers;
             return true;
         case trace::function_known: {
             auto known = trace::unpack<trace::NameRecord>(record.body);
@@ -29,7 +30,7 @@
             return true;
         }
         case trace::function_released:
-            if (!all_) functions_.erase(trace::unpack<trace::FunctionReleased>(record.body).number);
+            if (!keep_released_) functions_.erase(trace::unpack<trace::FunctionReleased>(record.body).number);
             return true;
         case trace::resumed:
             return true;
@@ -40,7 +41,7 @@
 
 std::string NameTable::request_class(std::uint64_t number) const {
     return number < start_.request_classes.size() ? start_.request_classes[number].first
-                                                  : "use case #" + std::to_string(number);
+                                                  : "request class #" + std::to_string(number);
 }
 
 std::string NameTable::tenant(std::uint64_t number) const {
@@ -49,15 +50,15 @@
 }
 
 std::string NameTable::function(std::uint64_t number) const {
-    return find(functions_, number, "function");
+    return name_or_number(functions_, number, "function");
 }
 std::string NameTable::invoker(std::uint64_t number) const {
-    return find(invokers_, number, "invoker");
+    return name_or_number(invokers_, number, "invoker");
 }
 
 std::string NameTable::request(std::uint64_t number) const {
-    if (merged_.empty()) return std::to_string(number);
-    return std::to_string(number / merged_.size()) + "@" + merged_[number % merged_.size()];
+    if (controllers_.empty()) return std::to_string(number);
+    return std::to_string(number / controllers_.size()) + "@" + controllers_[number % controllers_.size()];
 }
 
 Time NameTable::latency_target(std::uint64_t request_class) const {
--- a/src/trace_analysis/pseudonymizer.cpp
+++ b/src/trace_analysis/pseudonymizer.cpp
@@ -5,67 +5,72 @@
 #include <openssl/hmac.h>
 
 namespace plumkeel::trace_analysis {
+namespace {
+
+constexpr std::size_t min_key_bytes = 16;
+constexpr int token_hash_bytes = 8;
+/// Stored in Resumed::derivation, and thereby part of the files.
+constexpr const char* pseudonymized_derivation = "without its names";
+
+template <class T, class Edit>
+Record edited(Record record, Edit edit) {
+    auto value = trace::unpack<T>(record.body);
+    edit(value);
+    record.body = trace::pack(value);
+    return record;
+}
+
+}  // namespace
 
 Pseudonymizer::Pseudonymizer(std::string key) : key_(std::move(key)) {
-    if (key_.size() < 16) throw trace::TraceError("the key is under 16 bytes: its tokens could be guessed");
+    if (key_.size() < min_key_bytes)
+        throw trace::TraceError(fmt::format("the key has {} bytes, at least {} are needed: its tokens could be guessed",
+                                            key_.size(), min_key_bytes));
 }
 
-// The role is hashed as well: a tenant and a function of one name must not be seen to be alike.
-std::string Pseudonymizer::token(std::string_view role, const std::string& name) {
+/// The role is hashed as well, so that a tenant and a function of the same name do not look alike.
+std::string Pseudonymizer::token(std::string_view role, const std::string& name) const {
     if (name.empty()) return {};
     const std::string text = fmt::format("{}:{}", role, name);
-    unsigned char sum[EVP_MAX_MD_SIZE];
-    unsigned int length = 0;
+    unsigned char hash[EVP_MAX_MD_SIZE];
+    unsigned int hash_bytes = 0;
     if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
-              reinterpret_cast<const unsigned char*>(text.data()), text.size(), sum, &length))
-        throw trace::TraceError("the names can't be hashed");
+              reinterpret_cast<const unsigned char*>(text.data()), text.size(), hash, &hash_bytes))
+        throw trace::TraceError("cannot hash the names");
     std::string out(role);
     out += '-';
-    for (int i = 0; i < 8; ++i) out += fmt::format("{:02x}", sum[i]);
+    for (int i = 0; i < token_hash_bytes; ++i) out += fmt::format("{:02x}", hash[i]);
     return out;
 }
 
-std::optional<Record> Pseudonymizer::pseudonymize(const Record& record) {
-    Record out = record;
+std::optional<Record> Pseudonymizer::pseudonymize(const Record& record) const {
     switch (record.type) {
-        case trace::settings: {
-            auto told = trace::unpack<trace::Start>(record.body);
-            told.name = token("controller", told.name);
-            told.seed = 0;
-            for (auto& [name, use] : told.request_classes) name = token("use-case", name);
-            for (auto& [name, share] : told.tenants) name = token("tenant", name);
-            out.body = trace::pack(told);
-            return out;
-        }
-        case trace::merged: {
-            auto told = trace::unpack<trace::Merged>(record.body);
-            for (std::string& name : told.controllers) name = token("controller", name);
-            out.body = trace::pack(told);
-            return out;
-        }
+        case trace::settings:
+            return edited<trace::Start>(record, [&](trace::Start& start) {
+                start.name = token("controller", start.name);
+                start.seed = 0;
+                // The roles are hashed: changing them would change the tokens of a key.
+                for (auto& [name, request_class] : start.request_classes) name = token("use-case", name);
+                for (auto& [name, quota] : start.tenants) name = token("tenant", name);
+            });
+        case trace::merged:
+            return edited<trace::Merged>(record, [&](trace::Merged& merged) {
+                for (std::string& name : merged.controllers) name = token("controller", name);
+            });
         case trace::function_known:
-        case trace::invoker_known: {
-            auto told = trace::unpack<trace::NameRecord>(record.body);
-            told.name = token(record.type == trace::function_known ? "function" : "invoker", told.name);
-            out.body = trace::pack(told);
-            return out;
-        }
-        case trace::endpoints_changed: {
-            auto told = trace::unpack<trace::EndpointsChanged>(record.body);
-            for (auto& each : told.changed) each.zone = token("zone", each.zone);
-            out.body = trace::pack(told);
-            return out;
-        }
-        case trace::resumed: {
-            auto told = trace::unpack<trace::Resumed>(record.body);
-            if (!told.part.empty()) told.part += ", and ";
-            told.part += "without its names";
-            out.body = trace::pack(told);
-            return out;
-        }
-        case trace::actions:
-        case trace::wake:
-            return {};
+        case trace::invoker_known:
+            return edited<trace::NameRecord>(record, [&](trace::NameRecord& known) {
+                known.name = token(record.type == trace::function_known ? "function" : "invoker", known.name);
+            });
+        case trace::endpoints_changed:
+            return edited<trace::EndpointsChanged>(record, [&](trace::EndpointsChanged& list) {
+                for (trace::EndpointRecord& endpoint : list.changed) endpoint.zone = token("zone", endpoint.zone);
+            });
+        case trace::resumed:
+            return edited<trace::Resumed>(record, [](trace::Resumed& resumed) {
+                if (!resumed.derivation.empty()) resumed.derivation += ", and ";
+                resumed.derivation += pseudonymized_derivation;
+            });
         case trace::gap:
         case trace::function_released:
         case trace::sampled_request:
@@ -77,9 +82,11 @@
         case trace::health_check_ended:
         case trace::preload_ended:
         case trace::transition:
-            return out;  // numbers and times only
+            return record;  // holds numbers and times only
+        case trace::actions:
+        case trace::wake:
         default:
-            return {};  // of a newer writer: who knows what it holds
+            return {};
     }
 }
 
--- a/src/trace_analysis/pseudonymizer.hpp
+++ b/src/trace_analysis/pseudonymizer.hpp
@@ -1,5 +1,6 @@
-// Names replaced by tokens of a keyed hash: the same name has the same token within a key, and without the key no
-// token tells its name. What a trace holds besides names are numbers and times; bodies of jobs are never in it.
+/// \file
+/// Replaces the names in a trace by tokens, so that it can be given away. What a trace holds besides names are numbers
+/// and times; it never holds bodies of requests.
 #pragma once
 
 #include <optional>
@@ -9,14 +10,18 @@
 
 namespace plumkeel::trace_analysis {
 
+/// Tokens are keyed hashes: with one key, equal names have equal tokens; without the key, a token does not reveal its
+/// name.
 class Pseudonymizer {
 public:
-    // Throws Fault where the key is under 16 bytes.
+    /// Throws TraceError if the key is too short to be safe.
     explicit Pseudonymizer(std::string key);
 
-    // The record without names; nothing where it serves only deciding again, which goes by names.
-    std::optional<Record> pseudonymize(const Record& record);
-    std::string token(std::string_view role, const std::string& name);  // such as "function-3f9a0c1b2d4e5f60"
+    /// The record without names. Nothing for actions and wakes, which serve only replay (and that depends on the
+    /// names), and for types that this build does not know, as they may hold names.
+    std::optional<Record> pseudonymize(const Record& record) const;
+    /// As "function-3f9a0c1b2d4e5f60"; empty for an empty name.
+    std::string token(std::string_view role, const std::string& name) const;
 
 private:
     const std::string key_;
--- a/src/trace_analysis/request_history.hpp
+++ b/src/trace_analysis/request_history.hpp
@@ -1,12 +1,11 @@
-// What a job met, put together from its records: when it was taken, its hops, its changes of state and why, how
-// it ended. Pure.
+/// \file
+/// What happened to one request: its submission, attempts, changes of state and outcome.
 #pragma once
 
-#include <deque>
-#include <functional>
-#include <map>
 #include <optional>
-#include <unordered_map>
+#include <string>
+#include <string_view>
+#include <vector>
 
 #include "trace_analysis/name_table.hpp"
 
@@ -16,10 +15,10 @@
     std::uint64_t number{};
     std::string invoker;
     Time sent_at{};
-    std::optional<Time> ended_at;
+    std::optional<Time> ended_at;  ///< Absent if it was in flight at the end of the trace.
     AttemptOutcome outcome{};
     LoadEvent load_event{};
-    bool starts_load{}, warm{};
+    bool starts_load{}, warm{};  ///< As in TransitionRecord::Sent.
 };
 
 struct StateTransition {
@@ -27,67 +26,43 @@
     trace::TransitionRecord transition;
 };
 
+/// How a request ended, as seen by its client.
+enum class FinalOutcome {
+    succeeded,  ///< Within its latency target.
+    late,       ///< Succeeded after it.
+    rejected,
+    failed,
+    cancelled,
+    unfinished,  ///< It was open at the end of the trace.
+    unknown,     ///< A state that only a newer writer knows.
+};
+
+std::string_view name_of(FinalOutcome outcome);
+/// The words of exported JSON, see trace::export_name.
+std::string_view export_name(FinalOutcome outcome);
+
 struct RequestHistory {
     std::uint64_t request{};
-    bool begun{};  // false: taken before the trace began, or in a gap; then the next fields are not known
+    /// False if it was submitted before the trace began, or in a gap. Then `received_at` is the time of its first
+    /// record, and the fields down to `is_client_retry` are not known.
+    bool submission_recorded{};
     Time received_at{};
     std::string request_class, tenant, function;
-    Time latency_target{}, deadline{};  // spans from `taken`; promised is 0 where the use case is not known
+    Time latency_target{};  ///< From `received_at`; 0 if the request class is not known.
+    Time deadline{};        ///< From `received_at`.
     bool is_client_retry{};
     std::vector<AttemptHistory> attempts;
     std::vector<StateTransition> transitions;
     std::optional<RequestState> outcome;
-    Time ended_at{};  // its outcome's, else that of the last that is known
+    Time ended_at{};  ///< The time of its outcome, else of its last record.
 
     bool is_late() const { return latency_target > Time{} && ended_at - received_at > latency_target; }
-    bool ended_badly() const { return outcome != RequestState::succeeded || is_late(); }
+    bool ended_badly() const { return final_outcome() != FinalOutcome::succeeded; }
     Time duration() const { return ended_at - received_at; }
-    Time parked_time() const;          // for how long, in all
-    std::string outcome_name() const;  // "honoured", "late" and so on; "unfinished" where the trace ends before it
-};
-
-// Feed it all records of one trace in order; tells each tale when its job is closed.
-class HistoryBuilder {
-public:
-    using Each = std::function<void(const RequestHistory&)>;
-    // At most `most_open` jobs at once; past them the oldest is told as it is then.
-    // `all_names`: as Names has it.
-    explicit HistoryBuilder(Each each, bool all_names = false, std::size_t most_open = 1'000'000);
-
-    void feed(const Record& record);
-    void finish();  // tells those that are still open
-    const NameTable& names() const { return names_; }
-    // The longest that any client so far meant to wait.
-    Time max_remaining() const { return max_remaining_; }
-
-private:
-    struct Open {
-        RequestHistory history;
-        std::uint64_t order{};
-        int out{};
-    };
-    Open& open(const Record& record);
-    void emit(std::uint64_t request);
-    void turned(Open& open, const Record& record);
-
-    Each each_;
-    const std::size_t most_open_;
-    NameTable names_;
-    std::unordered_map<std::uint64_t, Open> open_;
-    std::map<std::uint64_t, std::uint64_t> by_age_;
-    std::uint64_t known_{};
-    Time max_remaining_{};
-};
-
-// Which jobs are meant; what is not set does not matter.
-struct HistoryFilter {
-    std::optional<Time> from, to;                          // taken at or after, and before
-    std::string request_class, tenant, function, invoker;  // invoker: any of its hops went there
-    std::string outcome;  // as outcome_word(), or "badly" for all but those honoured in time
-
-    bool matches(const RequestHistory& history) const;
-    // Throws Fault where the outcome is no such word.
-    void check() const;
+    Time parked_time() const;  ///< In all.
+    /// When the state that `transitions[index]` began was left.
+    Time end_of_state(std::size_t index) const;
+    FinalOutcome final_outcome() const;
 };
 
 }  // namespace plumkeel::trace_analysis
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -5,6 +5,7 @@
 
 #include "http/http.hpp"
 #include "net/simulated_event_loop.hpp"
+#include "trace/replayer.hpp"
 #include "web/server.hpp"
 
 namespace plumkeel::gateway {
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -13,8 +13,11 @@
 #include "net/simulated_event_loop.hpp"
 #include "remote_write/sender.hpp"
 #include "tests/platform_fixture.hpp"
-#include "tests/toy_trace.hpp"
+#include "tests/simulated_trace.hpp"
 #include "trace/file.hpp"
+#include "trace/reader.hpp"
+#include "trace/replayer.hpp"
+#include "trace/writer.hpp"
 
 namespace plumkeel::platform {
 namespace {
@@ -195,7 +198,7 @@
 // A trace written then is read, told and decided again without a difference.
 TEST(GoldenFiles, ATraceOfAnEarlierVersionIsDecidedAgain) {
     const std::string path = golden_path("decisions.trace");
-    const std::vector<trace::Record> today = toy_trace({"toy", 3, 240, {}, true});
+    const std::vector<trace::Record> today = simulated_trace({"toy", 3, 240, {}, true});
     if (writes_golden()) {
         std::filesystem::remove(path);
         trace::FileSink sink(path);
@@ -206,10 +209,10 @@
     const trace::FileSource source(path);
     trace::Reader reader(source);
     EXPECT_TRUE(reader.finished());
-    EXPECT_EQ(reader.begun(), Time(1'700'000'000'000'000));
+    EXPECT_EQ(reader.start_time(), Time(1'700'000'000'000'000));
     std::vector<trace::Record> then;
     trace::Replayer again;
-    reader.walk({}, [&](const trace::Record& record) {
+    reader.for_each({}, [&](const trace::Record& record) {
         then.push_back(record);
         again.feed(record);
         return true;
--- a/tests/memory_file.hpp
+++ b/tests/memory_file.hpp
@@ -1,4 +1,5 @@
-// A trace file in memory, to write and to read.
+/// \file
+/// A trace file in memory, to write and to read.
 #pragma once
 
 #include "trace/format.hpp"
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -13,6 +13,7 @@
 #include "net/simulated_event_loop.hpp"
 #include "platform/platform_server.hpp"
 #include "platform_settings/fields.hpp"
+#include "trace/replayer.hpp"
 
 namespace plumkeel::platform {
 
