--- a/src/cli/trace_input.cpp
+++ b/src/cli/trace_input.cpp
@@ -86,29 +86,29 @@
     return *traces_.front();
 }
 
-void TraceInput::for_each(const char* label, const RecordVisitor& visit) {
+void TraceInput::for_each(const char* label, const RecordVisitor& visitor) {
     Progress progress(label);
     std::uint64_t count = 0;
     while (const auto record = stream().next()) {
-        if (!visit(*record)) return;
+        if (!visitor(*record)) return;
         if (++count % records_per_progress_update == 0) progress.update(stream().progress());
     }
 }
 
 void for_each_history(TraceInput& input, const trace_analysis::HistoryFilter& filter, const char* label,
-                      const std::function<bool(const RequestHistory&, const NameTable&)>& visit,
-                      const std::function<void(const Record&, const NameTable&)>& visit_record) {
+                      const std::function<bool(const RequestHistory&, const NameTable&)>& on_history,
+                      const std::function<void(const Record&, const NameTable&)>& on_record) {
     bool wants_more = true;
     const NameTable* names = nullptr;
     HistoryBuilder builder(
         [&](const RequestHistory& history) {
-            if (wants_more && filter.matches(history)) wants_more = visit(history, *names);
+            if (wants_more && filter.matches(history)) wants_more = on_history(history, *names);
         },
         true);
     names = &builder.names();
     input.for_each(label, [&](const Record& record) {
         builder.feed(record);
-        if (visit_record) visit_record(record, *names);
+        if (on_record) on_record(record, *names);
         const bool is_past_filter = filter.to && record.at > *filter.to + builder.max_remaining() + deadline_tolerance;
         return wants_more && !is_past_filter;
     });
--- a/src/cli/trace_input.hpp
+++ b/src/cli/trace_input.hpp
@@ -35,20 +35,20 @@
     trace_analysis::RecordStream& stream();
     std::vector<std::unique_ptr<trace_analysis::ControllerTrace>>& traces() { return traces_; }
 
-    /// All records, with a progress bar; `visit` returns false to stop.
-    void for_each(const char* label, const RecordVisitor& visit);
+    /// All records, with a progress bar; `visitor` returns false to stop.
+    void for_each(const char* label, const RecordVisitor& visitor);
 
 private:
     std::vector<std::unique_ptr<trace_analysis::ControllerTrace>> traces_;
     std::unique_ptr<trace_analysis::RecordStream> merged_;
 };
 
-/// Calls `visit` for the histories that match, in the order in which they ended; it returns false to stop. Stops by
-/// itself where no later record can concern a request within the filter's time. `visit_record`, if any, gets every
+/// Calls `on_history` for the histories that match, in the order in which they ended; it returns false to stop. Stops
+/// by itself where no later record can concern a request within the filter's time. `on_record`, if any, gets every
 /// record on the way.
 void for_each_history(
     TraceInput& input, const trace_analysis::HistoryFilter& filter, const char* label,
-    const std::function<bool(const trace_analysis::RequestHistory&, const trace_analysis::NameTable&)>& visit,
-    const std::function<void(const trace::Record&, const trace_analysis::NameTable&)>& visit_record = {});
+    const std::function<bool(const trace_analysis::RequestHistory&, const trace_analysis::NameTable&)>& on_history,
+    const std::function<void(const trace::Record&, const trace_analysis::NameTable&)>& on_record = {});
 
 }  // namespace plumkeel::cli
--- a/src/trace/reader.cpp
+++ b/src/trace/reader.cpp
@@ -120,32 +120,32 @@
     return false;
 }
 
-void Reader::for_each(Time from, const Visitor& visit) {
+void Reader::for_each(Time from, const Visitor& visitor) {
     const auto begin = std::partition_point(blocks_.begin(), blocks_.end(),
                                             [&](const BlockLocation& block) { return block.last < from; });
     std::vector<Record> records;
     for (auto block = begin; block != blocks_.end(); ++block) {
         if (!read_records(*block, records)) continue;
         for (const Record& record : records)
-            if (record.at >= from && !visit(record)) return;
+            if (record.at >= from && !visitor(record)) return;
     }
 }
 
-void Reader::for_each_of_request(std::uint64_t request, const Visitor& visit) {
+void Reader::for_each_of_request(std::uint64_t request, const Visitor& visitor) {
     std::vector<Record> records;
     for (const BlockLocation& block : blocks_) {
         if (request < block.min_request || request > block.max_request || !read_records(block, records)) continue;
         for (const Record& record : records)
-            if (record.request == request && !visit(record)) return;
+            if (record.request == request && !visitor(record)) return;
     }
 }
 
-void Reader::for_each_name(const Visitor& visit) {
+void Reader::for_each_name(const Visitor& visitor) {
     std::vector<Record> records;
     for (const BlockLocation& block : blocks_) {
         if (!block.has_names || !read_records(block, records)) continue;
         for (const Record& record : records)
-            if (is_name_type(record.type) && !visit(record)) return;
+            if (is_name_type(record.type) && !visitor(record)) return;
     }
 }
 
--- a/src/trace/reader.hpp
+++ b/src/trace/reader.hpp
@@ -25,11 +25,11 @@
     const std::vector<BlockLocation>& blocks() const { return blocks_; }
 
     /// All records from the time `from` on, in order.
-    void for_each(Time from, const Visitor& visit);
+    void for_each(Time from, const Visitor& visitor);
     /// All records of one request, in order.
-    void for_each_of_request(std::uint64_t request, const Visitor& visit);
+    void for_each_of_request(std::uint64_t request, const Visitor& visitor);
     /// All records of name types, in order.
-    void for_each_name(const Visitor& visit);
+    void for_each_name(const Visitor& visitor);
     /// The records of the next intact block from index `block` on, which is advanced past it. Empty at the end.
     std::vector<Record> next_block(std::size_t& block);
 
--- a/src/trace/record_batch.cpp
+++ b/src/trace/record_batch.cpp
@@ -18,7 +18,7 @@
     bodies_ += record.body;
 }
 
-void RecordBatch::for_each(const std::function<void(const Record&)>& visit) const {
+void RecordBatch::for_each(const std::function<void(const Record&)>& visitor) const {
     Record record;
     std::size_t offset = 0;
     for (const Entry& entry : entries_) {
@@ -27,7 +27,7 @@
         record.request = entry.request;
         record.body.assign(bodies_, offset, entry.body_bytes);
         offset += entry.body_bytes;
-        visit(record);
+        visitor(record);
     }
 }
 
--- a/src/trace/record_batch.hpp
+++ b/src/trace/record_batch.hpp
@@ -23,7 +23,7 @@
     bool has_memory() const { return entries_.capacity() > 0; }
     Time first_time() const { return entries_.front().at; }
     Time last_time() const { return entries_.back().at; }
-    void for_each(const std::function<void(const Record&)>& visit) const;
+    void for_each(const std::function<void(const Record&)>& visitor) const;
 
 private:
     struct Entry {
--- a/src/trace/replayer.cpp
+++ b/src/trace/replayer.cpp
@@ -19,7 +19,7 @@
 
 Replayer::~Replayer() = default;
 
-void Replayer::check_replayable(const Record& record) const {
+void Replayer::check_can_be_replayed(const Record& record) const {
     switch (record.type) {
         case RecordType::resumed:
             if (const auto resumed = unpack<Resumed>(record.body); !resumed.derivation.empty())
@@ -38,7 +38,7 @@
 }
 
 void Replayer::feed(const Record& record) {
-    check_replayable(record);
+    check_can_be_replayed(record);
     if (record.type == RecordType::resumed) return;
     if (record.type == RecordType::settings) {
         if (scheduler_) return;  // repeated by a later file
--- a/src/trace/replayer.hpp
+++ b/src/trace/replayer.hpp
@@ -50,7 +50,7 @@
 
 private:
     class ReplayedScheduler;
-    void check_replayable(const Record& record) const;
+    void check_can_be_replayed(const Record& record) const;
     void replay_call(const Record& record);
     void compare_actions(const Record& record);
     void add_paths(const ActionsRecord& actions, std::string RequestPaths::*path);
