--- a/emulator/clients.cpp
+++ b/emulator/clients.cpp
@@ -189,11 +189,11 @@
                                        request.bytes_back);
         http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
         head.add("Host", address.text()).add("Connection", "close").add(field::request_class, request.use->name);
-        head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.use->lanes});
+        head.add(field::remaining, left / 1ms).add(field::concurrency, std::int64_t{request.use->lanes});
         head.add(field::memory, std::int64_t{request.use->memory});
         if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
-        if (request.use->repeat == "referenced") head.add(field::mark, request.origin);
-        if (request.tries > 0) head.add(field::again, "1");
+        if (request.use->repeat == "referenced") head.add(field::idempotency_key, request.origin);
+        if (request.tries > 0) head.add(field::client_retry, "1");
         head.add("Content-Length", static_cast<std::int64_t>(body.size()));
         // Some leave before the time that they told.
         Time patience = left + 300ms;
@@ -214,7 +214,7 @@
         boost::json::object line{{"id", id}, {"origin", request.origin}};
         if (!got.error) {
             outcome = http::field(got.answer, field::outcome);
-            if (const auto objection = http::field(got.answer, field::objection); !objection.empty()) {
+            if (const auto objection = http::field(got.answer, field::rejection_reason); !objection.empty()) {
                 line["objection"] = objection;
                 if (outcome.empty()) outcome = "objected";
             }
--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -176,8 +176,8 @@
         attempt->attempt = http::field(message, field::attempt);
         attempt->function = path[2];
         attempt->request_class = http::field(message, field::request_class);
-        attempt->mark = http::field(message, field::mark);
-        attempt->lanes = http::number<int>(http::field(message, field::lanes)).value_or(1);
+        attempt->mark = http::field(message, field::idempotency_key);
+        attempt->lanes = http::number<int>(http::field(message, field::concurrency)).value_or(1);
         attempt->memory = http::number<int>(http::field(message, field::memory)).value_or(300);
         std::istringstream(message.body()) >> attempt->origin >> attempt->work_ms >> attempt->load_ms >>
             attempt->bytes_back;
@@ -328,7 +328,7 @@
                 const std::string body(std::max<std::size_t>(attempt->bytes_back, 2), 'x');
                 const std::string head =
                     head_of(200,
-                            {{std::string(field::note), note_word(attempt->note)},
+                            {{std::string(field::load_event), note_word(attempt->note)},
                              {std::string(field::concurrent_requests), std::to_string(attempt->concurrent_requests)}},
                             body.size());
                 const bool in_head = chance_.next() < cut_head_, in_body = !in_head && chance_.next() < cut_body_;
@@ -414,8 +414,8 @@
 
     void answer_word(const Hop& attempt, const std::string& word, LoadEvent told) {
         note("answer", attempt, word);
-        answer(attempt.talk, 503, {{std::string(field::never_ran), word}, {std::string(field::note), note_word(told)}},
-               "");
+        answer(attempt.talk, 503,
+               {{std::string(field::never_ran), word}, {std::string(field::load_event), note_word(told)}}, "");
     }
 
     static std::string note_word(LoadEvent told) {
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -56,16 +56,16 @@
     std::string body = read_body(request.body);
     http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
     head.add("Host", at).add("Connection", "close").add(field::request_class, request.request_class);
-    head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.lanes});
+    head.add(field::remaining, left / 1ms).add(field::concurrency, std::int64_t{request.lanes});
     if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
-    if (!request.mark.empty()) head.add(field::mark, request.mark);
+    if (!request.mark.empty()) head.add(field::idempotency_key, request.mark);
     if (request.memory > 0) head.add(field::memory, std::int64_t{request.memory});
-    if (request.again) head.add(field::again, "1");
+    if (request.again) head.add(field::client_retry, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body.size()));
     const auto answer = ask(at, head.done(), std::move(body), left + 2s);
     if (!answer) return 1;
     const std::string_view outcome = http::field(*answer, field::outcome);
-    const std::string_view objection = http::field(*answer, field::objection);
+    const std::string_view objection = http::field(*answer, field::rejection_reason);
     std::cerr << (objection.empty() ? outcome : objection) << ", status " << answer->result_int();
     if (const auto attempts = http::field(*answer, field::attempts); !attempts.empty())
         std::cerr << ", hops " << attempts;
--- a/src/invoker_protocol/codec.cpp
+++ b/src/invoker_protocol/codec.cpp
@@ -11,41 +11,53 @@
 namespace plumkeel::invoker_protocol {
 namespace {
 
+constexpr int max_concurrency = 1000;
+constexpr double max_report_value = 1e9;
+
+constexpr std::pair<std::string_view, ResponseResult> results[] = {
+    {"data", ResponseResult::succeeded}, {"absent", ResponseResult::load_failed}, {"full", ResponseResult::rejected},
+    {"failed", ResponseResult::failed},  {"moot", ResponseResult::never_ran},     {"well", ResponseResult::healthy},
+    {"ill", ResponseResult::unhealthy},
+};
+
+std::optional<ResponseResult> parse_result(std::string_view word) {
+    for (const auto& [name, result] : results)
+        if (name == word) return result;
+    return {};
+}
+
 template <class Number>
-std::optional<Number> number(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return {};
     return value;
 }
 
+// Removes everything up to the first separator, and returns it without the separator.
+std::string_view take_until(std::string_view& text, char separator) {
+    const auto end = std::min(text.find(separator), text.size());
+    const std::string_view taken = text.substr(0, end);
+    text.remove_prefix(std::min(end + 1, text.size()));
+    return taken;
+}
+
 // The value of a name in "a=1,b=2", or empty.
 std::string_view value_of(std::string_view fields, std::string_view name) {
     while (!fields.empty()) {
-        const auto end = std::min(fields.find(','), fields.size());
-        const std::string_view field = fields.substr(0, end);
-        fields.remove_prefix(std::min(end + 1, fields.size()));
+        const std::string_view field = take_until(fields, ',');
         if (field.size() > name.size() && field.starts_with(name) && field[name.size()] == '=')
             return field.substr(name.size() + 1);
     }
     return {};
 }
 
-std::string_view take_word(std::string_view& line) {
-    const auto end = std::min(line.find(' '), line.size());
-    const std::string_view word = line.substr(0, end);
-    line.remove_prefix(std::min(end + 1, line.size()));
-    return word;
-}
-
-constexpr std::string_view known_words[] = {"data", "absent", "full", "failed", "moot", "well", "ill"};
-
 }  // namespace
 
 std::string encode_run(std::string_view id, std::string_view request_class, std::string_view function,
-                       std::string_view idempotency_key, std::int64_t patience_ms, std::size_t body_bytes) {
+                       std::string_view idempotency_key, std::int64_t remaining_ms, std::size_t body_bytes) {
     return fmt::format("RUN {} sort={},asset={}{}{},patience={} {}\r\n", id, request_class, function,
-                       idempotency_key.empty() ? "" : ",op=", idempotency_key, std::max<std::int64_t>(1, patience_ms),
+                       idempotency_key.empty() ? "" : ",op=", idempotency_key, std::max<std::int64_t>(1, remaining_ms),
                        body_bytes);
 }
 
@@ -57,71 +69,114 @@
     return fmt::format("{} {}\r\n", with_report ? "INFO" : "NOOP", tag);
 }
 
-const char* name_of(ResponseError broken) {
-    static constexpr const char* words[] = {"none", "line_too_long", "not_a_line", "length", "too_big", "no_end"};
-    return words[static_cast<int>(broken)];
+std::string_view wire_name(ResponseResult result) {
+    for (const auto& [name, each] : results)
+        if (each == result) return name;
+    return {};
+}
+
+bool is_probe_result(ResponseResult result) {
+    return result == ResponseResult::healthy || result == ResponseResult::unhealthy;
+}
+
+AttemptOutcome outcome_of(ResponseResult result) {
+    switch (result) {
+        case ResponseResult::succeeded:
+        case ResponseResult::healthy:
+            return AttemptOutcome::succeeded;
+        case ResponseResult::load_failed:
+            return AttemptOutcome::load_failed;
+        case ResponseResult::rejected:
+            return AttemptOutcome::rejected;
+        case ResponseResult::never_ran:
+            return AttemptOutcome::never_sent;
+        case ResponseResult::failed:
+        case ResponseResult::unhealthy:
+            break;
+    }
+    return AttemptOutcome::failed;
+}
+
+const char* name_of(ResponseError error) {
+    switch (error) {
+        case ResponseError::none:
+            return "none";
+        case ResponseError::line_too_long:
+            return "line_too_long";
+        case ResponseError::malformed_line:
+            return "malformed_line";
+        case ResponseError::malformed_length:
+            return "malformed_length";
+        case ResponseError::body_too_long:
+            return "body_too_long";
+        case ResponseError::body_end_missing:
+            return "body_end_missing";
+    }
+    return "unknown";
 }
 
-bool ResponseDecoder::next(std::string_view& bytes, ResponseMessage& answer) {
+bool ResponseDecoder::next(std::string_view& bytes, ResponseMessage& response) {
     if (error_ != ResponseError::none) return false;
     while (!bytes.empty()) {
         if (!in_body_) {
-            const auto end = bytes.find('\n');
-            const std::string_view part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end + 1);
-            if (line_.size() + part.size() > max_line_) return fault(ResponseError::line_too_long);
-            line_ += part;
-            bytes.remove_prefix(part.size());
-            if (end == std::string_view::npos) return false;
-            if (!read_line()) return false;
+            if (!read_line(bytes)) return false;
             continue;
         }
-        const std::size_t wanted = body_left_ > body_end.size() ? body_left_ - body_end.size() : 0;
-        if (wanted > 0) {
-            const std::string_view part = bytes.substr(0, wanted);
-            pending_.body += part;
-            body_left_ -= part.size();
-            bytes.remove_prefix(part.size());
-            continue;
-        }
-        // Only where its line end stands does the length fit: what stops short or runs over is never an answer.
-        if (bytes[0] != body_end[body_end.size() - body_left_]) return fault(ResponseError::no_end);
+        if (read_body(bytes)) continue;
+        // Only where the body's end is found is the length right: a body that is shorter or longer is no response.
+        if (bytes[0] != body_end[body_end.size() - body_bytes_left_]) return fail(ResponseError::body_end_missing);
         bytes.remove_prefix(1);
-        if (--body_left_ > 0) continue;
+        if (--body_bytes_left_ > 0) continue;
         in_body_ = false;
-        answer = std::move(pending_);
+        response = std::move(pending_);
         pending_ = {};
         return true;
     }
     return false;
 }
 
-bool ResponseDecoder::read_line() {
+// False: the line is not complete, or malformed.
+bool ResponseDecoder::read_line(std::string_view& bytes) {
+    const auto end = bytes.find('\n');
+    const std::string_view part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end + 1);
+    if (line_.size() + part.size() > max_line_) return fail(ResponseError::line_too_long);
+    line_ += part;
+    bytes.remove_prefix(part.size());
+    return end != std::string_view::npos && parse_line();
+}
+
+// "<id> <result> <fields> <body length>"
+bool ResponseDecoder::parse_line() {
     std::string_view line = line_;
-    if (!line.ends_with("\r\n")) return fault(ResponseError::not_a_line);
+    if (!line.ends_with("\r\n")) return fail(ResponseError::malformed_line);
     line.remove_suffix(2);
-    const bool printable = std::all_of(line.begin(), line.end(), [](char c) { return c > 0x1f && c < 0x7f; });
-    const std::string_view id = take_word(line), word = take_word(line), fields = take_word(line),
-                           length = take_word(line);
-    const bool known = std::find(std::begin(known_words), std::end(known_words), word) != std::end(known_words);
-    if (!printable || id.empty() || !known || fields.empty() || !line.empty()) return fault(ResponseError::not_a_line);
-    const auto bytes = number<std::uint64_t>(length);
-    if (!bytes) return fault(ResponseError::length);
-    if (*bytes > max_body_) return fault(ResponseError::too_big);
+    const bool is_printable = std::all_of(line.begin(), line.end(), [](char c) { return c > 0x1f && c < 0x7f; });
+    const std::string_view id = take_until(line, ' ');
+    const auto result = parse_result(take_until(line, ' '));
+    const std::string_view fields = take_until(line, ' ');
+    const std::string_view length = take_until(line, ' ');
+    if (!is_printable || id.empty() || !result || fields.empty() || !line.empty())
+        return fail(ResponseError::malformed_line);
+    const auto body_bytes = parse_number<std::uint64_t>(length);
+    if (!body_bytes) return fail(ResponseError::malformed_length);
+    if (*body_bytes > max_body_) return fail(ResponseError::body_too_long);
     pending_.id = id;
-    pending_.result = word;
+    pending_.result = *result;
     pending_.fields = fields;
-    body_left_ = static_cast<std::size_t>(*bytes) + body_end.size();
+    body_bytes_left_ = static_cast<std::size_t>(*body_bytes) + body_end.size();
     in_body_ = true;
     line_.clear();
     return true;
 }
 
-AttemptOutcome parse_outcome(std::string_view word) {
-    if (word == "data") return AttemptOutcome::succeeded;
-    if (word == "absent") return AttemptOutcome::load_failed;
-    if (word == "full") return AttemptOutcome::rejected;
-    if (word == "moot") return AttemptOutcome::never_sent;
-    return AttemptOutcome::failed;
+// False: the body is complete, but for its end.
+bool ResponseDecoder::read_body(std::string_view& bytes) {
+    if (body_bytes_left_ <= body_end.size()) return false;
+    const std::string_view part = bytes.substr(0, body_bytes_left_ - body_end.size());
+    pending_.body += part;
+    body_bytes_left_ -= part.size();
+    bytes.remove_prefix(part.size());
+    return true;
 }
 
 LoadEvent parse_load_event(std::string_view fields) {
@@ -134,23 +189,22 @@
 }
 
 int parse_concurrency(std::string_view fields) {
-    return std::clamp(number<int>(value_of(fields, "peers_in")).value_or(0), 0, 1000);
+    return std::clamp(parse_number<int>(value_of(fields, "peers_in")).value_or(0), 0, max_concurrency);
 }
 
+// "name:value;name:value"
 LoadReport parse_report(std::string_view fields, const std::vector<std::string>& names) {
-    LoadReport out;
+    LoadReport report;
     std::string_view list = value_of(fields, "l");
     while (!list.empty()) {
-        const auto end = std::min(list.find(';'), list.size());
-        const std::string_view each = list.substr(0, end);
-        list.remove_prefix(std::min(end + 1, list.size()));
-        const auto colon = std::min(each.find(':'), each.size());
-        const auto value = number<double>(each.substr(std::min(colon + 1, each.size())));
-        const std::string name(each.substr(0, colon));
-        if (value && *value >= 0 && *value < 1e9 && std::find(names.begin(), names.end(), name) != names.end())
-            platform_settings::put_figure(out, name, *value);
+        std::string_view figure = take_until(list, ';');
+        const std::string name(take_until(figure, ':'));
+        const auto value = parse_number<double>(figure);
+        const bool is_valid = value && *value >= 0 && *value < max_report_value;
+        if (is_valid && std::find(names.begin(), names.end(), name) != names.end())
+            platform_settings::put_figure(report, name, *value);
     }
-    return out;
+    return report;
 }
 
 }  // namespace plumkeel::invoker_protocol
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -2,45 +2,76 @@
 
 #include <fmt/format.h>
 
+#include "gateway/graceful_close.hpp"
 #include "web/protocol.hpp"
 #include "web/server.hpp"
 
 namespace plumkeel::web {
 
 using namespace std::chrono_literals;
+using gateway::IncomingRequest;
 namespace bh = http::bh;
 namespace field = protocol::field;
 
-constexpr Time lingering = 1s;
+namespace {
 
-Connection::Connection(Server& service, std::uint64_t number, std::shared_ptr<net::Stream> stream)
-    : server_(service),
-      gateway_(service.gateway()),
-      number_(number),
+constexpr std::size_t inbox_bytes = 128 * 1024;
+constexpr std::size_t max_pending_bytes = 64 * 1024;  // of responses: while more is pending no request is read
+constexpr Time body_read_timeout = 3s;                // without a byte for so long a body is too slow at any rate
+constexpr Time linger_time = 1s;                      // between the last byte written and the close
+constexpr unsigned http_1_1 = 11;                     // as Beast numbers it
+constexpr std::string_view api_version = "v1";        // the first part of all paths
+
+std::int64_t in_seconds_rounded_up(Time span) {
+    return (span + 1s - Time(1)) / 1s;
+}
+
+// "/v1/<page>"
+bool is_page(const RequestParser& parser, const std::vector<std::string>& path) {
+    return parser.get().method() == bh::verb::get && path.size() == 2 && path[0] == api_version;
+}
+
+// "/v1/jobs/<function>"
+bool is_run(const RequestParser& parser, const std::vector<std::string>& path) {
+    return path.size() == 3 && path[0] == api_version && path[1] == "jobs" && parser.get().method() == bh::verb::post;
+}
+
+RejectionReason parse_failure(const net::Error& error) {
+    return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
+}
+
+}  // namespace
+
+Connection::Connection(Server& server, std::uint64_t id, std::shared_ptr<net::Stream> stream)
+    : server_(server),
+      gateway_(server.gateway()),
+      id_(id),
       stream_(std::move(stream)),
-      write_queue_(std::make_shared<net::WriteQueue>(service.loop(), stream_)),
-      inbox_(stream_, 128 * 1024),
-      answered_(service.loop()),
-      limit_(service.loop(), [this] { too_slow(); }),
-      reading_(service.loop(), [this] { see_reading(); }) {}
+      write_queue_(std::make_shared<net::WriteQueue>(server.loop(), stream_)),
+      inbox_(stream_, inbox_bytes),
+      finished_(server.loop()),
+      read_timer_(server.loop(), [this] { on_read_timeout(); }),
+      unread_timer_(server.loop(), [this] { check_unread_response(); }) {}
 
 net::EventLoop& Connection::loop() const {
     return gateway_.loop();
 }
 
 void Connection::start() {
-    loop().spawn(live(shared_from_this()));
+    loop().spawn(run(shared_from_this()));
 }
 
-net::Task<> Connection::live(std::shared_ptr<Connection> self) {
-    bool further = true;
-    while (further) further = co_await one_job();
-    unbound();
-    reading_.clear();
+// ---------------------------------------------------------------- reading
+
+net::Task<> Connection::run(std::shared_ptr<Connection> self) {
+    bool is_usable = true;
+    while (is_usable) is_usable = co_await serve_request();
+    clear_read_timeout();
+    unread_timer_.clear();
     if (request_) gateway_.client_disconnected(*std::exchange(request_, nullptr));
-    // What is unread when a connection closes makes its system send a reset, which may overtake our last
-    // answer: so what still comes is read and thrown away for a moment.
-    while (leaving_) {
+    // Closing a connection with unread input makes the system send a reset, which may overtake the last response: so
+    // what still arrives is read and discarded for a moment.
+    while (closing_) {
         inbox_.discard();
         const net::Error error = co_await inbox_.more();
         if (error) break;
@@ -50,209 +81,180 @@
     server_.connection_closed(self);
 }
 
-// From a job's head to its answer. False: the connection is done with.
-net::Task<bool> Connection::one_job() {
-    Parser parser;
+// From a request's head to its response. False: the connection can't be used further.
+net::Task<bool> Connection::serve_request() {
+    RequestParser parser;
     parser.header_limit(static_cast<std::uint32_t>(gateway_.admission().limits().max_head_bytes));
     parser.body_limit(gateway_.admission().limits().max_body_bytes);
-    bool nobody = false;
-    RejectionReason objection = co_await read_head(parser, nobody);
-    if (nobody || leaving_) co_return false;
-    if (objection != RejectionReason::none) {
-        object(objection);
+    bool disconnected = false;
+    RejectionReason reason = co_await read_head(parser, disconnected);
+    if (disconnected || closing_) co_return false;
+    if (reason != RejectionReason::none) {
+        reject(reason);
         co_return false;
     }
-    keep_ = parser.keep_alive();
-    chunked_ = parser.get().version() >= 11;
+    keep_alive_ = parser.keep_alive();
+    chunked_ = parser.get().version() >= http_1_1;
     const auto path = http::path_of(http::view(parser.get().target()));
-    const bool plain = parser.get().method() == bh::verb::get && path.size() == 2 && path[0] == "v1";
-    if (plain && !parser.is_done()) {
-        object(RejectionReason::malformed);
-        co_return false;
-    }
-    const bool measured = plain && path[1] == "metrics" && gateway_.metrics();
-    if (plain && (path[1] == "status" || path[1] == "health" || measured)) {
-        if (measured)
-            say_plain(200, "text/plain; version=0.0.4", gateway_.metrics()->exposition());
-        else if (path[1] == "status")
-            say_plain(200, "application/json", boost::json::serialize(server_.status()) + "\n");
-        else
-            say_plain(gateway_.admission().closing() ? 503 : 200, "text/plain",
-                      gateway_.admission().closing() ? "closing\n" : "ok\n");
-        co_return !leaving_;
+    if (is_page(parser, path)) {
+        if (!parser.is_done()) {
+            reject(RejectionReason::malformed);
+            co_return false;
+        }
+        if (write_page(path[1])) co_return !closing_;
     }
-    IncomingRequest wanted;
-    if (path.size() != 3 || path[0] != "v1" || path[1] != "jobs" || parser.get().method() != bh::verb::post)
-        objection = RejectionReason::no_such_path;
-    else
-        wanted.function = path[2];
-    if (objection == RejectionReason::none) objection = understand(parser, wanted);
-    if (objection == RejectionReason::none)
-        objection = gateway_.admission().admit_body(parser.content_length().value_or(0));
-    MemoryReservation held(gateway_.admission());
-    if (objection == RejectionReason::none) objection = co_await read_body(parser, nobody, held);
-    if (nobody || leaving_) co_return false;
-    if (objection == RejectionReason::none) objection = held.grow_to(parser.get().body().size());
-    if (objection == RejectionReason::none) objection = gateway_.admission().admit_request();
-    if (objection != RejectionReason::none) {
-        object(objection);
+    IncomingRequest request;
+    reason = co_await read_request(parser, path, disconnected, request);
+    if (disconnected || closing_) co_return false;
+    if (reason != RejectionReason::none) {
+        reject(reason);
         co_return false;
     }
-    wanted.body = std::move(parser.get().body());
-    wanted.held_bytes = held.release();
-    wanted.waited = gateway_.waited_unread();
-    request_ = gateway_.submit(std::move(wanted), shared_from_this());
-    co_return co_await await_answer();
+    request.waited = gateway_.waited_unread();
+    request_ = gateway_.submit(std::move(request), shared_from_this());
+    co_return co_await wait_finished();
 }
 
-net::Task<RejectionReason> Connection::read_head(Parser& parser, bool& nobody) {
-    const auto& rules = gateway_.admission().limits();
-    co_await write_queue_->wait_below(64 * 1024);  // who reads no answers gets no further jobs in
-    bool begun = false;
-    if (inbox_.held() == 0) bound(rules.idle_timeout, RejectionReason::none);
+// From the head to the complete body. Without a reason to reject it, the request counts as open.
+net::Task<RejectionReason> Connection::read_request(RequestParser& parser, const std::vector<std::string>& path,
+                                                    bool& disconnected, IncomingRequest& request) {
+    if (!is_run(parser, path)) co_return RejectionReason::no_such_path;
+    Admission& admission = gateway_.admission();
+    request.function = path[2];
+    RejectionReason reason = parse_request(parser, gateway_.config(), admission, request);
+    if (reason == RejectionReason::none) reason = admission.admit_body(parser.content_length().value_or(0));
+    MemoryReservation reservation(admission);
+    if (reason == RejectionReason::none) reason = co_await read_body(parser, disconnected, reservation);
+    if (disconnected || closing_) co_return RejectionReason::none;
+    if (reason == RejectionReason::none) reason = reservation.grow_to(parser.get().body().size());
+    if (reason == RejectionReason::none) reason = admission.admit_request();
+    if (reason != RejectionReason::none) co_return reason;
+    request.body = std::move(parser.get().body());
+    request.held_bytes = reservation.release();
+    co_return RejectionReason::none;
+}
+
+net::Task<RejectionReason> Connection::read_head(RequestParser& parser, bool& disconnected) {
+    const AdmissionLimits& limits = gateway_.admission().limits();
+    co_await write_queue_->wait_below(max_pending_bytes);
+    bool has_begun = false;
+    if (inbox_.held() == 0) set_read_timeout(limits.idle_timeout, RejectionReason::none);
     while (!parser.is_header_done()) {
-        if (begun || inbox_.held() == 0) {
+        if (has_begun || inbox_.held() == 0) {
             const net::Error error = co_await inbox_.more();
             if (error) {
-                nobody = true;
+                disconnected = true;
                 break;
             }
-            if (leaving_) co_return RejectionReason::none;
+            if (closing_) co_return RejectionReason::none;
         }
         if (const net::Error error = inbox_.feed(parser)) {
-            unbound();
-            if (error == bh::error::header_limit) co_return RejectionReason::head_too_big;
-            co_return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
+            clear_read_timeout();
+            co_return error == bh::error::header_limit ? RejectionReason::head_too_big : parse_failure(error);
         }
-        if (!std::exchange(begun, true) && !parser.is_header_done())
-            bound(rules.head_timeout, RejectionReason::head_too_slow);
+        if (!std::exchange(has_begun, true) && !parser.is_header_done())
+            set_read_timeout(limits.head_timeout, RejectionReason::head_too_slow);
     }
-    unbound();
+    clear_read_timeout();
     co_return RejectionReason::none;
 }
 
-net::Task<RejectionReason> Connection::read_body(Parser& parser, bool& nobody, MemoryReservation& held) {
+net::Task<RejectionReason> Connection::read_body(RequestParser& parser, bool& disconnected,
+                                                 MemoryReservation& reservation) {
     if (parser.is_done()) co_return RejectionReason::none;
-    // Counted from the head on, or as it comes: many half-sent bodies must not get past the bound together.
-    const RejectionReason no_room = held.grow_to(parser.content_length().value_or(0));
-    if (no_room != RejectionReason::none) co_return no_room;
+    // Reserved from the head on, or as it arrives: many incomplete bodies must not exceed the limit together.
+    const RejectionReason no_memory = reservation.grow_to(parser.content_length().value_or(0));
+    if (no_memory != RejectionReason::none) co_return no_memory;
     if (http::beast::iequals(parser.get()[bh::field::expect], "100-continue"))
         write_queue_->send("HTTP/1.1 100 Continue\r\n\r\n");
     const Time since = loop().now();
     parser.eager(true);
-    bool first = inbox_.held() > 0;
+    bool has_unparsed = inbox_.held() > 0;
     while (!parser.is_done()) {
-        if (!std::exchange(first, false)) {
-            bound(3s, RejectionReason::body_too_slow);  // nothing at all for so long is too slow for any rate
+        if (!std::exchange(has_unparsed, false)) {
+            set_read_timeout(body_read_timeout, RejectionReason::body_too_slow);
             const net::Error error = co_await inbox_.more();
-            unbound();
-            if (error) {
-                nobody = true;
-                co_return RejectionReason::none;
-            }
-            if (leaving_) co_return RejectionReason::none;
+            clear_read_timeout();
+            disconnected = static_cast<bool>(error);
+            if (disconnected || closing_) co_return RejectionReason::none;
         }
-        if (const net::Error error = inbox_.feed(parser))
-            co_return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
-        const RejectionReason full = held.grow_to(parser.get().body().size());
+        if (const net::Error error = inbox_.feed(parser)) co_return parse_failure(error);
+        const std::size_t received = parser.get().body().size();
+        const RejectionReason full = reservation.grow_to(received);
         if (full != RejectionReason::none) co_return full;
-        const auto slow = gateway_.admission().check_body_rate(since, loop().now(), parser.get().body().size());
+        const RejectionReason slow = gateway_.admission().check_body_rate(since, loop().now(), received);
         if (slow != RejectionReason::none && !parser.is_done()) co_return slow;
     }
     co_return RejectionReason::none;
 }
 
-RejectionReason Connection::understand(const Parser& parser, IncomingRequest& wanted) const {
-    const Admission& admission = gateway_.admission();
-    const protocol::OwnFields own = protocol::read_own(parser.get(), &wanted.forwarded_headers);
-    if (admission.check_name(wanted.function) != RejectionReason::none) return RejectionReason::bad_function;
-    const auto use = gateway_.config().request_classes.find(own.request_class);
-    if (use == gateway_.config().request_classes.end()) return RejectionReason::no_such_request_class;
-    wanted.request_class = &use->second;
-    wanted.tenant = own.tenant;
-    wanted.idempotency_key = own.mark;
-    if (use->second.idempotency == Idempotency::deduplicated && wanted.idempotency_key.empty())
-        return RejectionReason::idempotency_key_missing;
-    if (wanted.idempotency_key.size() > admission.limits().max_name_bytes ||
-        wanted.tenant.size() > admission.limits().max_name_bytes)
-        return RejectionReason::bad_field;
-    if (const auto off = admission.parse_remaining(own.time_left, wanted.remaining); off != RejectionReason::none)
-        return off;
-    bool good = true;
-    auto figure = [&](std::string_view digits, int most) -> std::optional<int> {
-        if (digits.empty()) return {};
-        const auto value = http::number<int>(digits);
-        good = good && value && *value >= 0 && *value <= most;
-        return value;
-    };
-    if (const auto lanes = figure(own.lanes, 100'000)) wanted.concurrency = std::max(1, *lanes);
-    wanted.memory = figure(own.memory, 100'000'000);
-    if (const auto told = figure(own.load_time, 3'600'000))
-        wanted.declared_load_time = std::chrono::milliseconds(*told);
-    good = good && (own.again.empty() || own.again == "0" || own.again == "1");
-    wanted.is_client_retry = own.again == "1";
-    return good ? RejectionReason::none : RejectionReason::bad_field;
-}
-
-// Waits for the job's answer, and notes when the client leaves before. What comes early of a further job stays
-// in the inbox, which is bounded; its client is not watched meanwhile.
-net::Task<bool> Connection::await_answer() {
+// Waits for the request's response, and notices when the client disconnects before. Early bytes of a further request
+// stay in the inbox, which is bounded; a disconnect is not noticed meanwhile.
+net::Task<bool> Connection::wait_finished() {
     while (request_) {
         if (inbox_.held() == 0) {
             const net::Error error = co_await inbox_.more();
             if (error) co_return false;
         } else {
-            co_await answered_.wait();
+            co_await finished_.wait();
         }
     }
-    co_return !leaving_;
+    co_return !closing_;
 }
 
+// ---------------------------------------------------------------- responses
+
 void Connection::send_response(const ActiveRequest& request, unsigned status, std::string_view passed,
                                std::string body) {
-    say(status, request, passed, std::move(body));
+    write_response(status, request, passed, std::move(body));
 }
 
 void Connection::send_rejection(const ActiveRequest& request) {
-    say(request.state == RequestState::rejected ? 503 : 504, request, "", "");
+    write_response(request.state == RequestState::rejected ? 503 : 504, request, "", "");
 }
 
-void Connection::say(unsigned status, const ActiveRequest& request, std::string_view passed, std::string body) {
+void Connection::write_response(unsigned status, const ActiveRequest& request, std::string_view forwarded,
+                                std::string body) {
     http::HeadWriter head(http::status_line(status));
-    head.add(field::outcome, protocol::outcome_word(request.state))
+    head.add(field::outcome, protocol::outcome_name(request.state))
         .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
     head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size()));
     if (request.state == RequestState::rejected && request.retry_after > Time{}) {
-        head.add("Retry-After", (request.retry_after + 1s - Time(1)) / 1s);
+        head.add("Retry-After", in_seconds_rounded_up(request.retry_after));
         head.add(field::retry_after_ms, request.retry_after / 1ms);
     }
-    head.lines(passed).add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const bool last = !keep_ || gateway_.admission().closing();
-    if (last) head.add("Connection", "close");
+    head.lines(forwarded).add("Content-Length", static_cast<std::int64_t>(body.size()));
+    const bool is_last = is_last_response();
+    if (is_last) head.add("Connection", "close");
     write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
     request_ = nullptr;
-    watch_reading();
-    if (last)
-        bow_out();
+    watch_unread_response();
+    request_finished(is_last);
+}
+
+// Closes the connection or waits for its next request.
+void Connection::request_finished(bool is_last) {
+    if (is_last)
+        close_gracefully();
     else
-        bound(gateway_.admission().limits().idle_timeout, RejectionReason::none);
-    answered_.notify();
+        set_read_timeout(gateway_.admission().limits().idle_timeout, RejectionReason::none);
+    finished_.notify();
 }
 
 void Connection::begin_stream(const ActiveRequest& request, unsigned status, std::string_view passed) {
     http::HeadWriter head(http::status_line(status));
-    head.add(field::outcome, "honoured")
+    head.add(field::outcome, protocol::outcome_name(RequestState::succeeded))
         .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
     head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).lines(passed);
     if (chunked_)
         head.add("Transfer-Encoding", "chunked");
     else
-        keep_ = false;  // an older client knows the end by the connection's
-    if (!keep_ || gateway_.admission().closing()) head.add("Connection", "close");
+        keep_alive_ = false;  // a client of HTTP/1.0 knows the end of the body by that of the connection
+    if (is_last_response()) head.add("Connection", "close");
     write_queue_->send(head.done());
-    watch_reading();
+    watch_unread_response();
 }
 
 void Connection::write_chunk(const ActiveRequest&, std::string bytes) {
@@ -261,22 +263,18 @@
     std::string size = fmt::format("{:x}\r\n", bytes.size());
     write_queue_->send(std::move(size), std::make_shared<const std::string>(std::move(bytes)));
     write_queue_->send("\r\n");
-    watch_reading();
+    watch_unread_response();
 }
 
 void Connection::end_stream(const ActiveRequest&, bool whole) {
     request_ = nullptr;
     if (!whole) {
-        // The client must not take what it has for the whole answer.
-        stream_->reset();
-    } else {
-        if (chunked_) write_queue_->send("0\r\n\r\n");
-        if (!keep_ || gateway_.admission().closing())
-            bow_out();
-        else
-            bound(gateway_.admission().limits().idle_timeout, RejectionReason::none);
+        stream_->reset();  // the client must not take an incomplete response for a complete one
+        finished_.notify();
+        return;
     }
-    answered_.notify();
+    if (chunked_) write_queue_->send("0\r\n\r\n");
+    request_finished(is_last_response());
 }
 
 net::Task<bool> Connection::wait_writable() {
@@ -285,74 +283,88 @@
     co_return !write_queue_->error();
 }
 
-void Connection::say_plain(unsigned status, std::string_view type, std::string body) {
+// False: there is no such page.
+bool Connection::write_page(std::string_view name) {
+    const bool closing = gateway_.admission().closing();
+    if (name == "metrics" && gateway_.metrics())
+        write_plain(200, "text/plain; version=0.0.4", gateway_.metrics()->exposition());
+    else if (name == "status")
+        write_plain(200, "application/json", boost::json::serialize(server_.status()) + "\n");
+    else if (name == "health")
+        write_plain(closing ? 503 : 200, "text/plain", closing ? "closing\n" : "ok\n");
+    else
+        return false;
+    return true;
+}
+
+void Connection::write_plain(unsigned status, std::string_view content_type, std::string body) {
     http::HeadWriter head(http::status_line(status));
-    head.add("Content-Type", type).add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const bool last = !keep_ || gateway_.admission().closing();
-    if (last) head.add("Connection", "close");
+    head.add("Content-Type", content_type).add("Content-Length", static_cast<std::int64_t>(body.size()));
+    const bool is_last = is_last_response();
+    if (is_last) head.add("Connection", "close");
     write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
-    if (last) bow_out();
+    if (is_last) close_gracefully();
 }
 
-// What the door objects to was never taken: it may be tried again wherever the objection lets it.
-void Connection::object(RejectionReason objection) {
-    gateway_.admission().count(objection);
-    const RejectionResponse& words = response_for(objection);
-    gateway_.log().write(Log::Level::info, "turned_back_at_door", {{"objection", words.word}});
-    std::string body = std::string(words.text) + "\n";
-    http::HeadWriter head(http::status_line(static_cast<unsigned>(words.status)));
-    head.add(field::objection, words.word);
-    if (words.is_retryable) {
-        head.add(field::outcome, "bounced");
+// For a request that was never submitted: its client may try it again wherever the reason permits.
+void Connection::reject(RejectionReason reason) {
+    gateway_.admission().count(reason);
+    const RejectionResponse& response = response_for(reason);
+    gateway_.log().write(Log::Level::info, "request_not_admitted", {{"reason", response.word}});
+    std::string body = std::string(response.text) + "\n";
+    http::HeadWriter head(http::status_line(static_cast<unsigned>(response.status)));
+    head.add(field::rejection_reason, response.word);
+    if (response.is_retryable) {
+        head.add(field::outcome, protocol::outcome_name(RequestState::rejected));
         const Time pause = gateway_.admission().retry_after();
-        head.add("Retry-After", (pause + 1s - Time(1)) / 1s).add(field::retry_after_ms, pause / 1ms);
+        head.add("Retry-After", in_seconds_rounded_up(pause)).add(field::retry_after_ms, pause / 1ms);
     }
     head.add("Content-Type", "text/plain").add("Content-Length", static_cast<std::int64_t>(body.size()));
-    head.add("Connection", "close");  // what may still come of this one is not read
+    head.add("Connection", "close");  // what may still arrive of this request is not read
     write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
-    bow_out();
+    close_gracefully();
 }
 
-// A client that takes nothing of what waits for it is let go, so that it holds no memory.
-void Connection::watch_reading() {
-    if (reading_.is_set() || write_queue_->pending_bytes() == 0) return;
-    sent_then_ = write_queue_->sent_bytes();
-    reading_.set(loop().now() + gateway_.admission().limits().unread_timeout);
+// ---------------------------------------------------------------- timeouts and the end
+
+// A client that reads nothing of what is pending is disconnected, so that it holds no memory.
+void Connection::watch_unread_response() {
+    if (unread_timer_.is_set() || write_queue_->pending_bytes() == 0) return;
+    sent_bytes_at_watch_ = write_queue_->sent_bytes();
+    unread_timer_.set(loop().now() + gateway_.admission().limits().unread_timeout);
 }
 
-void Connection::see_reading() {
-    if (write_queue_->pending_bytes() == 0 || write_queue_->sent_bytes() != sent_then_) return watch_reading();
+void Connection::check_unread_response() {
+    if (write_queue_->pending_bytes() == 0 || write_queue_->sent_bytes() != sent_bytes_at_watch_)
+        return watch_unread_response();
     gateway_.admission().count(RejectionReason::unread_answer);
     stream_->reset();
     write_queue_->abandon();
 }
 
-// Should the coming read take longer, the visit ends; with the objection, if there is one to tell.
-void Connection::bound(Time within, RejectionReason otherwise) {
-    otherwise_ = otherwise;
-    limit_.set(loop().now() + within);
+// Should the next read take longer, the connection closes; with a response, if there is a reason to give.
+void Connection::set_read_timeout(Time within, RejectionReason reason) {
+    timeout_reason_ = reason;
+    read_timer_.set(loop().now() + within);
 }
 
-void Connection::too_slow() {
-    if (otherwise_ == RejectionReason::none)
+void Connection::on_read_timeout() {
+    if (timeout_reason_ == RejectionReason::none)
         stream_->close();
     else
-        object(otherwise_);
+        reject(timeout_reason_);
 }
 
-void Connection::bow_out() {
-    if (std::exchange(leaving_, true)) return;
-    auto farewell = [](std::shared_ptr<Connection> self) -> net::Task<> {
-        co_await self->write_queue_->wait_below(0);
-        self->stream_->shutdown_send();
-        co_await self->loop().sleep(lingering);
-        self->stream_->close();
+void Connection::close_gracefully() {
+    if (std::exchange(closing_, true)) return;
+    auto drain_and_close = [](std::shared_ptr<Connection> self) -> net::Task<> {
+        co_await gateway::close_gracefully(self->loop(), self->stream_, self->write_queue_, linger_time);
     };
-    loop().spawn(farewell(shared_from_this()));
+    loop().spawn(drain_and_close(shared_from_this()));
 }
 
-void Connection::go_if_idle() {
-    if (!request_ && !leaving_ && inbox_.held() == 0) bow_out();
+void Connection::close_if_idle() {
+    if (!request_ && !closing_ && inbox_.held() == 0) close_gracefully();
 }
 
 }  // namespace plumkeel::web
--- a/src/web/connection.hpp
+++ b/src/web/connection.hpp
@@ -1,21 +1,20 @@
-// One client's connection over HTTP: reads jobs one after another, hands them to the gateway and sends their
-// answers.
+/// A client's HTTP connection: reads requests one after another, submits them to the gateway and writes the responses.
 #pragma once
 
 #include "gateway/gateway.hpp"
 #include "http/http.hpp"
 #include "net/lazy_timer.hpp"
+#include "web/request_fields.hpp"
 
 namespace plumkeel::web {
 
 using gateway::ActiveRequest;
-using gateway::IncomingRequest;
 
 class Server;
 
 class Connection : public gateway::ResponseSink, public std::enable_shared_from_this<Connection> {
 public:
-    Connection(Server& service, std::uint64_t number, std::shared_ptr<net::Stream> stream);
+    Connection(Server& server, std::uint64_t id, std::shared_ptr<net::Stream> stream);
     void start();
 
     void send_response(const ActiveRequest& request, unsigned status, std::string_view passed,
@@ -25,43 +24,54 @@
     void write_chunk(const ActiveRequest& request, std::string bytes) override;
     void end_stream(const ActiveRequest& request, bool whole) override;
     net::Task<bool> wait_writable() override;
-    // No job is open here: it goes now, as the controller takes no more.
-    void go_if_idle();
-    std::uint64_t number() const { return number_; }
-    bool busy() const { return request_ != nullptr || (write_queue_->pending_bytes() > 0 && !write_queue_->error()); }
+
+    /// Closes if no request is open or arriving on it: the controller accepts no more.
+    void close_if_idle();
+    std::uint64_t id() const { return id_; }
+    bool is_busy() const {
+        return request_ != nullptr || (write_queue_->pending_bytes() > 0 && !write_queue_->error());
+    }
 
 private:
-    using Parser = http::bh::request_parser<http::bh::string_body>;
+    // Reading.
+    net::Task<> run(std::shared_ptr<Connection> self);
+    net::Task<bool> serve_request();
+    net::Task<RejectionReason> read_request(RequestParser& parser, const std::vector<std::string>& path,
+                                            bool& disconnected, gateway::IncomingRequest& request);
+    net::Task<RejectionReason> read_head(RequestParser& parser, bool& disconnected);
+    net::Task<RejectionReason> read_body(RequestParser& parser, bool& disconnected, MemoryReservation& reservation);
+    net::Task<bool> wait_finished();
+
+    // Responses.
+    void write_response(unsigned status, const ActiveRequest& request, std::string_view forwarded, std::string body);
+    bool write_page(std::string_view name);
+    void write_plain(unsigned status, std::string_view content_type, std::string body);
+    void reject(RejectionReason reason);
+    void request_finished(bool is_last);
+    bool is_last_response() const { return !keep_alive_ || gateway_.admission().closing(); }
 
-    net::Task<> live(std::shared_ptr<Connection> self);
-    net::Task<bool> one_job();
-    net::Task<RejectionReason> read_head(Parser& parser, bool& nobody);
-    net::Task<RejectionReason> read_body(Parser& parser, bool& nobody, MemoryReservation& held);
-    net::Task<bool> await_answer();
-    RejectionReason understand(const Parser& parser, IncomingRequest& wanted) const;
-    void say(unsigned status, const ActiveRequest& request, std::string_view passed, std::string body);
-    void say_plain(unsigned status, std::string_view type, std::string body);
-    void object(RejectionReason objection);
-    void watch_reading();
-    void bound(Time within, RejectionReason otherwise);
-    void unbound() { limit_.clear(); }
-    void too_slow();
-    void see_reading();
-    void bow_out();
+    // Timeouts and the end.
+    void set_read_timeout(Time within, RejectionReason reason);
+    void clear_read_timeout() { read_timer_.clear(); }
+    void on_read_timeout();
+    void watch_unread_response();
+    void check_unread_response();
+    void close_gracefully();
     net::EventLoop& loop() const;
 
     Server& server_;
     gateway::Gateway& gateway_;
-    const std::uint64_t number_;
+    const std::uint64_t id_;
     std::shared_ptr<net::Stream> stream_;
     std::shared_ptr<net::WriteQueue> write_queue_;
     http::Inbox inbox_;
-    ActiveRequest* request_{};  // the open job
-    net::Notification answered_;
-    net::LazyTimer limit_, reading_;
-    RejectionReason otherwise_{};  // told when the limit is reached
-    std::size_t sent_then_{};
-    bool keep_{}, leaving_{}, chunked_{};
+    ActiveRequest* request_{};  // submitted, without a complete response yet
+    net::Notification finished_;
+    net::LazyTimer read_timer_, unread_timer_;
+    RejectionReason timeout_reason_{};  // the response when the read timer expires; none: the connection just closes
+    std::size_t sent_bytes_at_watch_{};
+    bool keep_alive_{}, chunked_{};  // of the present request
+    bool closing_{};
 };
 
 }  // namespace plumkeel::web
--- a/src/web/connection_pool.hpp
+++ b/src/web/connection_pool.hpp
@@ -1,15 +1,12 @@
-// The connections to one invoker over HTTP: kept alive, capped, one errand at a time on each. Calling a hop off
-// closes its connection. Once a byte of a hop was handed over it may have run.
+/// The connections to one invoker over HTTP: kept alive, limited, one call at a time on each. Cancelling an attempt
+/// closes its connection. An attempt of which a byte was written may have run.
 #pragma once
 
-#include <deque>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "config/gateway_config.hpp"
-#include "gateway/edges.hpp"
-#include "net/lazy_timer.hpp"
+#include "gateway/queueing_pool.hpp"
 
 namespace plumkeel::web {
 
@@ -18,35 +15,32 @@
 
 class InvokerConnection;
 
-class ConnectionPool : public gateway::ConnectionPool {
+class ConnectionPool : public gateway::QueueingPool {
 public:
-    // `teller`: how the controller is named to invokers.
-    ConnectionPool(net::EventLoop& loop, const PoolConfig& rules, net::Address address,
-                   gateway::ConnectionCounts& counts, std::string teller);
+    /// `controller_name`: how this controller is named to invokers.
+    ConnectionPool(net::EventLoop& loop, const PoolConfig& config, net::Address address,
+                   gateway::ConnectionCounts& counts, std::string controller_name);
     ~ConnectionPool() override;
 
-    void cancel_unsent() override;
     void set_address(net::Address address) override;
     void close() override;
     std::size_t connection_count() const override { return connections_.size(); }
-    std::size_t queued_count() const override { return queue_.size(); }
     std::size_t in_flight_count() const override;
 
 private:
     friend class InvokerConnection;
-    bool enqueue(const std::shared_ptr<UpstreamCall>& call) override;
+    using ConnectionPtr = std::shared_ptr<InvokerConnection>;
+
+    bool dispatch(const Call& call) override;
+    void collect_unsent(std::vector<Call>& unsent) const override;
     delivery::Progress remove(UpstreamCall& call, delivery::StopCause cause) override;
-    std::string head_of(UpstreamCall& call) const;
-    bool dispatch(const std::shared_ptr<UpstreamCall>& call);
-    void on_connection_free(const std::shared_ptr<InvokerConnection>& connection);
-    void connection_closed(const std::shared_ptr<InvokerConnection>& connection);
-
-    const PoolConfig& config_;
-    net::Address address_;
-    gateway::ConnectionCounts& counts_;
+    void on_connection_free(const ConnectionPtr& connection);
+    void connection_closed(const ConnectionPtr& connection);
+    void close_idle();
+
     const std::string controller_name_;
-    std::vector<std::shared_ptr<InvokerConnection>> connections_, idle_;
-    std::deque<std::shared_ptr<UpstreamCall>> queue_;
+    std::vector<ConnectionPtr> connections_;
+    std::vector<ConnectionPtr> idle_;  // of connections_, the one used last at the end
 };
 
 }  // namespace plumkeel::web
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -13,7 +13,23 @@
 using namespace std::chrono_literals;
 namespace field = protocol::field;
 
-constexpr int turned_back_at_once = 64;
+namespace {
+
+constexpr int max_rejecting = 64;  // rejected connections that are kept open for a moment
+constexpr Time reject_linger_time = 200ms;
+constexpr std::size_t discard_buffer_bytes = 1024;
+
+std::string rejection_head(RejectionReason reason) {
+    return http::HeadWriter(http::status_line(503))
+        .add(field::rejection_reason, response_for(reason).word)
+        .add(field::outcome, protocol::outcome_name(RequestState::rejected))
+        .add("Retry-After", "1")
+        .add("Connection", "close")
+        .add("Content-Length", "0")
+        .done();
+}
+
+}  // namespace
 
 Server::Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, trace::RecordCallback recorded)
     : loop_(loop),
@@ -34,9 +50,9 @@
 
 net::Error Server::open() {
     const auto address = net::Address::parse(gateway_.config().listen);
-    auto listened = loop_.listen(*address);
-    if (listened.error) return listened.error;
-    listener_ = std::move(listened.listener);
+    auto result = loop_.listen(*address);
+    if (result.error) return result.error;
+    listener_ = std::move(result.listener);
     std::vector<gateway::Endpoint> fixed;
     for (const StaticInvoker& each : gateway_.config().endpoint_source.fixed)
         fixed.push_back({each.name, each.address, each.zone, each.type, true, each.capacity, each.cell, {}});
@@ -53,60 +69,58 @@
         auto accepted = co_await listener->accept();
         if (accepted.error == net::asio::error::operation_aborted) co_return;
         if (accepted.error) {
-            // Nearly always for want of descriptors. The connection stays in the backlog, so accepting at
-            // once again would spin.
+            // Nearly always for want of descriptors. The connection stays in the backlog, so accepting again at once
+            // would spin.
             log_.write(Log::Level::error, "accept_failed", {{"error", accepted.error.message()}});
             co_await loop_.sleep(gateway_.admission().accept_pause());
             continue;
         }
         gateway_.admission().accepted();
-        const RejectionReason objection = gateway_.admission().admit_connection();
-        if (objection != RejectionReason::none) {
-            gateway_.admission().count(objection);
-            loop_.spawn(reject(std::move(accepted.stream), objection));
+        const RejectionReason reason = gateway_.admission().admit_connection();
+        if (reason != RejectionReason::none) {
+            gateway_.admission().count(reason);
+            loop_.spawn(reject(std::move(accepted.stream), reason));
             continue;
         }
-        const auto sink = std::make_shared<Connection>(*this, ++connection_ids_, std::move(accepted.stream));
-        connections_[sink->number()] = sink;
-        sink->start();
+        const auto connection = std::make_shared<Connection>(*this, ++connection_ids_, std::move(accepted.stream));
+        connections_[connection->id()] = connection;
+        connection->start();
     }
 }
 
-// Tells a client that there is no room for its connection. What it sends is read and thrown away for a moment,
-// since a close with unread bytes resets the connection and may overtake what it is told; but only for a few
-// at a time, so that a flood of connections can't hold descriptors this way.
-net::Task<> Server::reject(std::shared_ptr<net::Stream> stream, RejectionReason objection) {
-    const std::string head = http::HeadWriter(http::status_line(503))
-                                 .add(field::objection, response_for(objection).word)
-                                 .add(field::outcome, "bounced")
-                                 .add("Retry-After", "1")
-                                 .add("Connection", "close")
-                                 .add("Content-Length", "0")
-                                 .done();
-    const net::asio::const_buffer whole = net::asio::buffer(head);
-    stream->write_now({&whole, 1});
+// Tells a client that there is no room for its connection. Its input is read and discarded for a moment, since a close
+// with unread bytes resets the connection and may overtake the response; but only for a few at a time, so that a flood
+// of connections can't use up the descriptors this way.
+net::Task<> Server::reject(std::shared_ptr<net::Stream> stream, RejectionReason reason) {
+    const std::string head = rejection_head(reason);
+    const net::asio::const_buffer buffer = net::asio::buffer(head);
+    stream->write_now({&buffer, 1});
     stream->shutdown_send();
-    if (rejecting_ < turned_back_at_once) {
+    if (rejecting_ < max_rejecting) {
         ++rejecting_;
-        auto ticket = loop_.call_at(loop_.now() + 200ms, [stream] { stream->close(); });
-        std::array<char, 1024> thrown_away;
-        net::Error error;
-        while (!error) {
-            const net::TransferResult moved = co_await stream->read(net::asio::buffer(thrown_away));
-            error = moved.error;
-        }
-        loop_.cancel(ticket);
+        co_await discard_input(stream);
         --rejecting_;
     }
     stream->close();
 }
 
+net::Task<> Server::discard_input(std::shared_ptr<net::Stream> stream) {
+    auto timer = loop_.call_at(loop_.now() + reject_linger_time, [stream] { stream->close(); });
+    std::array<char, discard_buffer_bytes> discarded;
+    net::Error error;
+    while (!error) {
+        const net::TransferResult result = co_await stream->read(net::asio::buffer(discarded));
+        error = result.error;
+    }
+    loop_.cancel(timer);
+}
+
 void Server::close(std::function<void()> then) {
     on_drained_ = std::move(then);
     gateway_.admission().close();
     if (listener_) listener_->close();
-    const auto visits = connections_;
-    for (const auto& [number, sink] : visits) sink->go_if_idle();
+    const auto connections = connections_;
+    for (const auto& [id, connection] : connections) connection->close_if_idle();
     gateway_.shut_down([this] {
         gateway_drained_ = true;
         check_drained();
@@ -115,14 +129,14 @@
 
 void Server::check_drained() {
     if (!on_drained_ || !gateway_drained_) return;
-    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& each) { return each.second->busy(); }))
+    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& each) { return each.second->is_busy(); }))
         return;
     const auto then = std::exchange(on_drained_, nullptr);
     loop_.call_at(loop_.now(), then);
 }
 
-void Server::connection_closed(const std::shared_ptr<Connection>& sink) {
-    if (connections_.erase(sink->number())) gateway_.admission().release_connection();
+void Server::connection_closed(const std::shared_ptr<Connection>& connection) {
+    if (connections_.erase(connection->id())) gateway_.admission().release_connection();
     check_drained();
 }
 
--- a/src/web/server.hpp
+++ b/src/web/server.hpp
@@ -1,5 +1,5 @@
-// A controller that clients and invokers meet over HTTP: the gateway with its listener, its clients' connections
-// and the list that it follows.
+/// A controller that serves clients and invokers over HTTP: the gateway with its listener, the clients' connections
+/// and the watcher that keeps the list of invokers up to date.
 #pragma once
 
 #include <map>
@@ -13,27 +13,30 @@
 
 class Server {
 public:
-    // `recorded` is told every call into the module and its answer, for traces.
+    /// `recorded` receives every call of the scheduler and its result, for traces.
     Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed,
            trace::RecordCallback recorded = {});
     ~Server();
 
-    // Takes jobs from now on; the error of the listen, if it did not come about.
+    /// Listens and serves from now on; the error, if it can't listen.
     net::Error open();
-    // Takes no more; calls `then` once every open job has its answer and every answer has left.
+    /// Accepts no more; calls `then` once every open request has its response and every response has been written.
     void close(std::function<void()> then);
     net::Address address() const { return listener_->address(); }
     boost::json::object status() const { return gateway_.status(); }
     metrics::GatewayMetrics* metrics() { return gateway_.metrics(); }
-    void set_extra_levels(std::function<void(metrics::Levels&)> also) { gateway_.set_extra_levels(std::move(also)); }
+    void set_extra_levels(std::function<void(metrics::Levels&)> add_levels) {
+        gateway_.set_extra_levels(std::move(add_levels));
+    }
 
     net::EventLoop& loop() { return loop_; }
     gateway::Gateway& gateway() { return gateway_; }
-    void connection_closed(const std::shared_ptr<Connection>& sink);
+    void connection_closed(const std::shared_ptr<Connection>& connection);
 
 private:
     net::Task<> accept();
-    net::Task<> reject(std::shared_ptr<net::Stream> stream, RejectionReason objection);
+    net::Task<> reject(std::shared_ptr<net::Stream> stream, RejectionReason reason);
+    net::Task<> discard_input(std::shared_ptr<net::Stream> stream);
     void check_drained();
 
     net::EventLoop& loop_;
@@ -41,9 +44,9 @@
     gateway::Gateway gateway_;
     consul::HealthWatcher watcher_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // in the order in which they came
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // by id, so in the order of their accept
     std::uint64_t connection_ids_{};
-    int rejecting_{};
+    int rejecting_{};  // rejected connections whose input is being discarded
     bool gateway_drained_{};
     std::function<void()> on_drained_;
 };
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -67,13 +67,14 @@
 }
 
 std::string feed_lines(std::string_view a, std::string_view b) {
-    invoker_protocol::ResponseDecoder reader(256, 4096);
-    invoker_protocol::ResponseMessage answer;
+    invoker_protocol::ResponseDecoder decoder(256, 4096);
+    invoker_protocol::ResponseMessage response;
     std::string text;
     for (std::string_view part : {a, b})
-        while (reader.next(part, answer))
-            text += fmt::format("{} {} {} {};", answer.id, answer.result, answer.fields, answer.body);
-    return text + invoker_protocol::name_of(reader.error());
+        while (decoder.next(part, response))
+            text += fmt::format("{} {} {} {};", response.id, invoker_protocol::wire_name(response.result),
+                                response.fields, response.body);
+    return text + invoker_protocol::name_of(decoder.error());
 }
 
 std::string frames() {
