--- /dev/null
+++ b/tests/client_disconnect_test.cpp
@@ -0,0 +1,198 @@
+/// A client aborts its request or closes its connection, at every stage of the request. The scripts force the order of
+/// events; docs/design/021-endings.md lists the cases.
+#include "tests/platform_fixture.hpp"
+
+namespace plumkeel::platform {
+namespace {
+
+std::string without_cancellation(const std::string& text) {
+    return replaced(text, R"("may_cancel":true)", R"("may_cancel":false)");
+}
+
+bool has_run(const ScriptedInvoker& invoker, std::uint64_t id) {
+    return std::any_of(invoker.runs.begin(), invoker.runs.end(),
+                       [&](const auto& run) { return run.second == hex16(id); });
+}
+
+enum class Disconnect { abort_request, close_connection };
+
+struct DisconnectCase {
+    Disconnect how;
+    bool may_cancel;
+};
+
+class ClientDisconnect : public PlatformTest, public testing::WithParamInterface<DisconnectCase> {
+protected:
+    void open_with(const std::string& text) { open(GetParam().may_cancel ? text : without_cancellation(text)); }
+    // A request on a connection of its own at `when`, aborted or disconnected `after` it connected.
+    ScriptedClient& add_leaving_client(Time when, std::uint64_t id, Time after, const std::string& body = "") {
+        ScriptedClient& it = add_client(when, {{0ms, request_text(1, id, body)}});
+        loop.call_at(when + 200us + after, [&it, this] {
+            if (GetParam().how == Disconnect::abort_request)
+                ScriptedInvoker::write(it.stream, record(2, 1, ""));
+            else
+                it.stream->close();
+        });
+        return it;
+    }
+};
+
+// One call for each of eight connections: the ninth request waits for one. Its client disconnects; then one is free.
+TEST_P(ClientDisconnect, WhileQueuedForAConnection) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond});
+    open_with(replaced(replaced(patient_config(), R"("sockets":256)", R"("sockets":64)"), R"("streams_per_conn":32)",
+                       R"("streams_per_conn":1)"));
+    for (std::uint64_t i = 1; i <= 8; ++i) add_client(10ms, {{0ms, request_text(1, i)}});
+    add_leaving_client(20ms, 9, 10ms);
+    add_client(25ms, {{0ms, request_text(1, 10)}});
+    loop.run(50ms);
+    ASSERT_EQ(only.runs.size(), 8u);
+    only.script = {InvokerBehaviour::respond};
+    ScriptedInvoker::write(only.streams[0], only.runs[0].second + " data n=reused 2\r\nok\r\n");
+    loop.run(500ms);
+    EXPECT_FALSE(has_run(only, 9));
+    EXPECT_TRUE(has_run(only, 10));  // which waited behind it
+}
+
+// Connecting to the invoker takes twice the network latency; the client disconnects before.
+TEST_P(ClientDisconnect, WhileConnecting) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    open_with(patient_config());
+    add_leaving_client(10ms, 1, 50us);
+    loop.run(300ms);
+    EXPECT_FALSE(has_run(only, 1));
+    EXPECT_TRUE(only.stops.empty());
+}
+
+TEST_P(ClientDisconnect, WhileParked) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    ScriptedDiscovery discovery_server(loop, "10.9.0.1");
+    open_with(replaced(patient_config(), R"("state":"up")", R"("state":"draining")"));
+    add_leaving_client(10ms, 1, 10ms);
+    add_client(10ms, {{0ms, request_text(1, 2)}});
+    loop.run(50ms);
+    discovery_server.send(frame(discovery_server.last_event = 2, 2, {{1, "10.0.0.1"}}));
+    loop.run(2s);
+    EXPECT_FALSE(has_run(only, 1));
+    EXPECT_TRUE(has_run(only, 2));
+}
+
+TEST_P(ClientDisconnect, BetweenAttempts) {
+    ScriptedInvoker& only =
+        add_invoker({InvokerBehaviour::reject, InvokerBehaviour::reject, InvokerBehaviour::respond});
+    open_with(patient_config());
+    add_leaving_client(10ms, 1, 30ms);  // its first attempt was rejected after 20 ms
+    add_client(10ms, {{0ms, request_text(1, 2)}});
+    loop.run(5s);
+    EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }),
+              1);
+    EXPECT_GE(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(2); }),
+              2);
+}
+
+TEST_P(ClientDisconnect, WhileInFlight) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    open_with(patient_config());
+    add_leaving_client(10ms, 1, 30ms);
+    loop.run(100ms);
+    ASSERT_TRUE(has_run(only, 1));
+    EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
+    only.streams[0]->reset();  // which would reroute a request that is still wanted
+    loop.run(3s);
+    EXPECT_EQ(only.runs.size(), 1u);
+}
+
+// An attempt behind a full socket has not begun to be written: the one before it fills the socket.
+class FullSocket : public ClientDisconnect {
+protected:
+    static std::string one_connection() {
+        std::string text = replaced(patient_config(), R"("sockets":256)", R"("sockets":64)"), more;
+        for (int i = 2; i <= 6; ++i)
+            more += R"(,{"uid":"s-0000000)" + std::to_string(i) + R"(","endpoint":"10.0.0.)" + std::to_string(i) +
+                    R"(:7001","az":"a","model":"k","pod_group":0,"state":"draining","capacity_hint":5,"boot_ms":0})";
+        return text.insert(text.find("]}}]}"), more);
+    }
+    const std::string large = std::string(16'000, 'x');
+};
+
+TEST_P(FullSocket, ClientDisconnects) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    only.starts_reading_at = 90ms;
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
+    open_with(one_connection());
+    ScriptedClient& first = add_client(10ms, {{0ms, request_text(1, 1, large)}});
+    ScriptedClient& second = add_client(30ms, {{0ms, request_text(1, 2, large)}});
+    ScriptedClient& third = add_client(40ms, {{0ms, request_text(1, 3)}});
+    loop.call_at(60ms, [&] {
+        if (GetParam().how == Disconnect::abort_request)
+            ScriptedInvoker::write(second.stream, record(2, 1, ""));
+        else
+            second.stream->close();
+    });
+    loop.run(3s);
+    EXPECT_EQ(only.connections, 1);
+    EXPECT_EQ(first.response(1).status(), "200");
+    EXPECT_EQ(third.response(1).status(), "200");
+    EXPECT_FALSE(has_run(only, 2));
+    EXPECT_TRUE(only.stops.empty());  // what was never sent needs no STOP
+}
+
+// The same attempt, and discovery reports that its invoker drains.
+TEST_P(FullSocket, InvokerDrains) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    only.starts_reading_at = 90ms;
+    loop.limit_buffer({"10.0.0.1", 7001}, 2000);
+    ScriptedDiscovery discovery_server(loop, "10.9.0.1");
+    open_with(one_connection());
+    ScriptedClient& first = add_client(10ms, {{0ms, request_text(1, 1, large)}});
+    add_client(30ms, {{0ms, request_text(1, 2, large)}});
+    loop.call_at(60ms, [&] {
+        discovery_server.send(frame(discovery_server.last_event = 2, 2, {{1, "10.0.0.1", 7001, 1}}));
+    });
+    loop.run(3s);
+    EXPECT_EQ(first.response(1).status(), "200");
+    EXPECT_FALSE(has_run(only, 2));
+}
+
+// More than 64 KiB of responses are pending, since the client does not read: its abort is noticed all the same.
+TEST_P(ClientDisconnect, WhileResponsesAreUnread) {
+    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    loop.limit_buffer({"10.1.0.1", 7001}, 8000);
+    only.response_body = std::string(16'000, 'a');
+    open_with(patient_config());
+    std::string text;
+    for (int i = 1; i <= 7; ++i) text += request_text(i, static_cast<std::uint64_t>(i));
+    ScriptedClient& one = add_client(10ms, {{0ms, text}}, false);
+    loop.run(200ms);
+    ASSERT_EQ(only.runs.size(), 7u);
+    ASSERT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 1);
+    ScriptedInvoker::write(one.stream,
+                           record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // read after the responses were queued
+    loop.run(220ms);
+    if (GetParam().how == Disconnect::abort_request)
+        ScriptedInvoker::write(one.stream, record(2, 1, ""));
+    else
+        one.stream->close();
+    loop.run(300ms);
+    EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
+    EXPECT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 0);
+}
+
+std::vector<DisconnectCase> disconnect_cases() {
+    return {{Disconnect::abort_request, true},
+            {Disconnect::close_connection, true},
+            {Disconnect::abort_request, false},
+            {Disconnect::close_connection, false}};
+}
+
+std::string name_of(const testing::TestParamInfo<DisconnectCase>& info) {
+    return std::string(info.param.how == Disconnect::abort_request ? "Aborts" : "Closes") +
+           (info.param.may_cancel ? "" : "WithoutCancellation");
+}
+
+INSTANTIATE_TEST_SUITE_P(All, ClientDisconnect, testing::ValuesIn(disconnect_cases()), name_of);
+
+INSTANTIATE_TEST_SUITE_P(All, FullSocket, testing::ValuesIn(disconnect_cases()), name_of);
+
+}  // namespace
+}  // namespace plumkeel::platform
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -42,6 +42,31 @@
     return text.replace(at, what.size(), by);
 }
 
+/// One invoker, and deadlines long enough that nothing ends by time.
+inline std::string patient_config() {
+    std::string text =
+        replaced(default_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
+    const auto second = text.find(R"(,
+  {"uid":"s-00000002")");
+    const auto end = text.find("]}}]}", second);
+    return text.erase(second, end - second);
+}
+
+/// patient_config() with `count` invokers; `sockets` is the limit on descriptors.
+inline std::string config_with_invokers(int count, const std::string& sockets) {
+    std::string text = replaced(patient_config(), R"("sockets":256)", R"("sockets":)" + sockets), more;
+    for (int i = 2; i <= count; ++i)
+        more += fmt::format(
+            R"(,{{"uid":"s-{:08x}","endpoint":"10.0.0.{}:7001","az":"a","model":"k","pod_group":0,"state":"up","capacity_hint":5,"boot_ms":0}})",
+            i, i);
+    return text.insert(text.find("]}}]}"), more);
+}
+
+/// A whole FastCGI request with its own function and a minute's time. `number`: its id on the connection.
+inline std::string request_text(int number, std::uint64_t id, const std::string& body = "") {
+    return message(number, job_fields(hex16(id), hex16(id), 60000), body);
+}
+
 /// Where this process keeps its configuration file: tests run in parallel, one process each.
 inline std::string config_path() {
     return testing::TempDir() + "/platform_config." + std::to_string(::getpid()) + ".json";
@@ -320,6 +345,10 @@
         ScriptedClient& it = add_client(when, {{0ms, message(1, job_fields(hex16(id), key), "work")}});
         expected_requests.emplace_back(hex16(id), &it);
     }
+    // The same with a minute's time, and its own function.
+    void add_patient_request(Time when, std::uint64_t id) {
+        expected_requests.emplace_back(hex16(id), &add_client(when, {{0ms, request_text(1, id, "work")}}));
+    }
     std::size_t succeeded_requests() const {
         std::size_t n = 0;
         for (const auto& [id, it] : expected_requests) {
