--- a/src/invoker_protocol/codec.cpp
+++ b/src/invoker_protocol/codec.cpp
@@ -202,7 +202,7 @@
         const auto value = parse_number<double>(figure);
         const bool is_valid = value && *value >= 0 && *value < max_report_value;
         if (is_valid && std::find(names.begin(), names.end(), name) != names.end())
-            platform_settings::put_figure(report, name, *value);
+            platform_settings::set_report_field(report, name, *value);
     }
     return report;
 }
