--- a/src/remote_write/lmdb_store.hpp
+++ b/src/remote_write/lmdb_store.hpp
@@ -61,9 +61,9 @@
     void erase(LmdbTable table, std::string_view key);
     /// Valid until the transaction ends; empty where the key is missing.
     std::optional<std::string_view> get(LmdbTable table, std::string_view key);
-    /// Invokes `visit(key, value)` for each item by key, up to the first that can't be read.
-    template <class Visitor>
-    void for_each(LmdbTable table, Visitor visit);
+    /// Invokes `callback(key, value)` for each item by key, up to the first that can't be read.
+    template <class Callback>
+    void for_each(LmdbTable table, Callback callback);
     void commit();
 
 private:
@@ -80,13 +80,13 @@
     std::unique_ptr<MDB_txn, Abort> transaction_;
 };
 
-template <class Visitor>
-void LmdbTransaction::for_each(LmdbTable table, Visitor visit) {
+template <class Callback>
+void LmdbTransaction::for_each(LmdbTable table, Callback callback) {
     const Cursor cursor = open_cursor(table);
     MDB_val key, value;
     while (mdb_cursor_get(cursor.get(), &key, &value, MDB_NEXT) == MDB_SUCCESS)
-        visit(std::string_view(static_cast<const char*>(key.mv_data), key.mv_size),
-              std::string_view(static_cast<const char*>(value.mv_data), value.mv_size));
+        callback(std::string_view(static_cast<const char*>(key.mv_data), key.mv_size),
+                 std::string_view(static_cast<const char*>(value.mv_data), value.mv_size));
 }
 
 }  // namespace plumkeel::remote_write
