--- a/emulator/faults/fault_preload.cpp
+++ b/emulator/faults/fault_preload.cpp
@@ -1,6 +1,6 @@
-// A library to be preloaded into one process (LD_PRELOAD): makes its system calls fail, or move fewer bytes, as often
-// as the process's plan says, and steps its wall clock. Only errors that the manual pages document are injected, by the
-// plan. Without a plan in the environment it changes nothing.
+/// A library to be preloaded into one process (LD_PRELOAD): makes its system calls fail, or move fewer bytes, as often
+/// as the process's plan says, and steps its wall clock. Only errors that the manual pages document are injected, by
+/// the plan. Without a plan in the environment it changes nothing.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
--- a/emulator/faults/process.cpp
+++ b/emulator/faults/process.cpp
@@ -31,7 +31,7 @@
     ::posix_spawn_file_actions_init(&actions);
     const std::string to = log.empty() ? "/dev/null" : log;
     ::posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, to.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    // Our own sockets are none of its business: a connection that it inherited would not end with ours.
+    // It must not inherit sockets: a connection would not end with this process.
     ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     const int failed = ::posix_spawn(&pid_, command.front().c_str(), &actions, nullptr, pointers(command).data(),
                                      pointers(settings).data());
--- a/emulator/faults/process.hpp
+++ b/emulator/faults/process.hpp
@@ -1,4 +1,4 @@
-// A real process of a test: started by path, told by signals, waited for. It is killed when its owner goes.
+/// A real process of a test: started by path, controlled by signals, waited for.
 #pragma once
 
 #include <sys/types.h>
@@ -11,15 +11,17 @@
 
 namespace plumkeel::faults {
 
-// How a process ended.
+/// How a process ended.
 struct Ending {
     bool exited{};  // else a signal ended it
     int code{};     // its exit status, or that signal
 };
 
+/// Killed with this object.
 class Process {
 public:
-    // `environment` is added to our own. Its standard error goes to `log`, or nowhere. Throws std::system_error.
+    /// `environment` is added to this process's. Its standard error goes to `log`, or nowhere. Throws
+    /// std::system_error.
     Process(std::vector<std::string> command, const std::map<std::string, std::string>& environment,
             const std::string& log = {});
     ~Process();
--- a/emulator/protocol_bytes.hpp
+++ b/emulator/protocol_bytes.hpp
@@ -1,4 +1,5 @@
-// Bytes of the platform's protocols as their other sides write and read them: clients, invokers, the notice board.
+/// Bytes of the platform's protocols as the controllers' peers write and read them: FastCGI of clients, and discovery's
+/// frames. Independent of the codecs of src, so that tests and emulated peers check these.
 #pragma once
 
 #include <fmt/format.h>
@@ -12,6 +13,7 @@
 
 namespace plumkeel::bytes {
 
+/// A FastCGI record.
 inline std::string record(int type, int number, std::string_view content, int padding = 0) {
     std::string out{1,
                     static_cast<char>(type),
@@ -24,6 +26,7 @@
     return out.append(content).append(static_cast<std::size_t>(padding), '\7');
 }
 
+/// A FastCGI name and value.
 inline std::string pair(std::string_view name, std::string_view value) {
     std::string out;
     for (const std::string_view each : {name, value}) {
@@ -45,7 +48,7 @@
     return out;
 }
 
-// A whole message, its parameters and body cut into records of so many bytes, padded.
+/// A whole FastCGI request, its parameters and body split into padded records of at most `piece` bytes.
 inline std::string message(int number, const Fields& fields, std::string_view body = "", std::size_t piece = 1000,
                            int padding = 3) {
     std::string out = record(1, number, std::string_view("\0\1\1\0\0\0\0\0", 8));
@@ -57,6 +60,7 @@
     return out + record(5, number, "");
 }
 
+/// Parameters of a request for the function `key`.
 inline Fields job_fields(const std::string& id, const std::string& key, int left_ms = 2000) {
     return {{"SCRIPT_NAME", "/invoke/preview"}, {"HTTP_REQUEST_ID", id},    {"HTTP_BUDGET_MS", std::to_string(left_ms)},
             {"HTTP_ACCOUNT", "acme"},           {"HTTP_RESOURCE_KEY", key}, {"HTTP_X_TAGS", "memory_mb:512;lanes:1"}};
@@ -66,9 +70,11 @@
     return fmt::format("{:016x}", value);
 }
 
+/// A FastCGI response.
 struct Ended {
-    std::string text;  // of its output records
-    int protocol_status{}, times{};
+    std::string text;       // of its output records
+    int protocol_status{};  // of its end record
+    int times{};            // how many end records came
     std::string status() const { return text.size() > 11 && text.starts_with("Status: ") ? text.substr(8, 3) : ""; }
     std::string body() const {
         const auto at = text.find("\r\n\r\n");
@@ -76,7 +82,7 @@
     }
 };
 
-// What a controller sent, by number; nothing where it can't be read.
+/// The responses in a controller's bytes, by request number; nothing where these are malformed.
 inline std::optional<std::map<int, Ended>> answers(std::string_view got) {
     std::map<int, Ended> out;
     while (!got.empty()) {
@@ -102,11 +108,12 @@
     return out;
 }
 
+/// An endpoint in a frame of changes.
 struct Row {
     std::uint32_t id;
-    std::string address;  // four numbers
+    std::string address;  // IPv4, dotted
     int port = 7001, state = 0;
-    std::uint64_t started = 0;
+    std::uint64_t started = 0;  // Unix milliseconds; 0: long ago
 };
 
 inline std::string row(const Row& it) {
@@ -120,6 +127,7 @@
            big(5000, 4) + big(it.started, 8);
 }
 
+/// A discovery frame: `kind` 0 is a heartbeat, 2 holds changes.
 inline std::string frame(std::uint64_t number, int kind, const std::vector<Row>& rows = {}) {
     std::string payload;
     for (const Row& each : rows) payload += row(each);
