--- a/emulator/client_load.cpp
+++ b/emulator/client_load.cpp
@@ -182,11 +182,11 @@
     const RequestClass& request_class = *request.request_class;
     http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
     head.add("Host", controller.text()).add("Connection", "close").add(field::request_class, request_class.name);
-    head.add(field::time_left, remaining / 1ms).add(field::lanes, std::int64_t{request_class.concurrency});
+    head.add(field::remaining, remaining / 1ms).add(field::concurrency, std::int64_t{request_class.concurrency});
     head.add(field::memory, std::int64_t{request_class.memory_mb});
     if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
-    if (request_class.idempotency == "referenced") head.add(field::mark, request.origin);
-    if (request.tries > 0) head.add(field::again, "1");
+    if (request_class.idempotency == "referenced") head.add(field::idempotency_key, request.origin);
+    if (request.tries > 0) head.add(field::client_retry, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body_bytes));
     return head.done();
 }
@@ -220,7 +220,7 @@
     boost::json::object line{{key::id, id}, {key::origin, request.origin}};
     if (!exchanged.error) {
         result.outcome = http::field(exchanged.answer, field::outcome);
-        if (const auto reason = http::field(exchanged.answer, field::objection); !reason.empty()) {
+        if (const auto reason = http::field(exchanged.answer, field::rejection_reason); !reason.empty()) {
             line[key::rejection_reason] = reason;
             if (result.outcome.empty()) result.outcome = client_outcome::malformed;
         }
