--- a/src/fastcgi/records.cpp
+++ b/src/fastcgi/records.cpp
@@ -94,9 +94,8 @@
     const auto names = parse_pairs(requested).value_or(NameValuePairs{});
     std::string content;
     for (const auto& [name, value] : known) {
-        const bool is_requested =
-            std::any_of(names.begin(), names.end(), [&name = name](const auto& each) { return each.first == name; });
-        if (!is_requested) continue;
+        const auto is_this = [&known_name = name](const auto& pair) { return pair.first == known_name; };
+        if (std::ranges::none_of(names, is_this)) continue;
         content += static_cast<char>(name.size());
         content += static_cast<char>(value.size());
         content.append(name).append(value);
