--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -16,6 +16,7 @@
 #include "http/http.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "net/write_queue.hpp"
+#include "trace/replayer.hpp"
 #include "web/server.hpp"
 
 namespace plumkeel::gateway {
