--- a/src/invoker_protocol/invoker_connection.hpp
+++ b/src/invoker_protocol/invoker_connection.hpp
@@ -10,6 +10,7 @@
 #include "invoker_protocol/codec.hpp"
 #include "invoker_protocol/connection_pool.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/write_queue.hpp"
 
 namespace plumkeel::invoker_protocol {
 
--- a/src/web/invoker_connection.hpp
+++ b/src/web/invoker_connection.hpp
@@ -5,6 +5,7 @@
 
 #include "http/http.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/write_queue.hpp"
 #include "web/connection_pool.hpp"
 
 namespace plumkeel::web {
