--- a/benchmarks/gateway_cost.cpp
+++ b/benchmarks/gateway_cost.cpp
@@ -77,14 +77,14 @@
     net::SocketEventLoop loop;
     const auto listener = loop.listen({"127.0.0.1", invoker_port}).listener;
     auto talk = [&](std::shared_ptr<net::Stream> stream) -> Task<> {
-        http::Inbox inbox(stream);
+        http::ReadBuffer read_buffer(stream);
         for (;;) {
             http::bh::request_parser<http::bh::string_body> parser;
             parser.eager(true);
             net::Error error;
             while (!parser.is_done() && !error) {
-                error = co_await inbox.more();
-                if (!error) error = inbox.feed(parser);
+                error = co_await read_buffer.read_more();
+                if (!error) error = read_buffer.feed(parser);
             }
             if (error) co_return;
             if (answers || parser.get().method() == http::bh::verb::get)
@@ -218,7 +218,7 @@
         const net::Address to{"127.0.0.1", port};
         auto connected = co_await loop.connect(to, 2s);
         if (connected.error) co_return;
-        http::Inbox inbox(connected.stream);
+        http::ReadBuffer read_buffer(connected.stream);
         while (loop.now() < length) {
             const Time sent = loop.now();
             put(*connected.stream, text);
@@ -226,8 +226,8 @@
             parser.eager(true);
             net::Error error;
             while (!parser.is_done() && !error) {
-                error = co_await inbox.more();
-                if (!error) error = inbox.feed(parser);
+                error = co_await read_buffer.read_more();
+                if (!error) error = read_buffer.feed(parser);
             }
             if (error) co_return;
             if (loop.now() > from && parser.get().result_int() == 200)
--- a/emulator/clients.cpp
+++ b/emulator/clients.cpp
@@ -187,8 +187,8 @@
         const net::Address address = controllers_[to];
         std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", request.origin, request.work_ms, request.use->load_ms,
                                        request.bytes_back);
-        http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
-        head.add("Host", address.text()).add("Connection", "close").add(field::request_class, request.use->name);
+        http::HeadWriter head("POST /v1/jobs/" + http::percent_encode(request.function) + " HTTP/1.1");
+        head.add("Host", address.to_string()).add("Connection", "close").add(field::request_class, request.use->name);
         head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.use->lanes});
         head.add(field::memory, std::int64_t{request.use->memory});
         if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
@@ -202,27 +202,27 @@
         record_.write("sent", {{"id", id},
                                {"origin", request.origin},
                                {"try", request.tries},
-                               {"to", address.text()},
+                               {"to", address.to_string()},
                                {"use", request.use->name},
                                {"function", request.function},
                                {"tenant", request.tenant},
                                {"left_us", left.count()},
                                {"promised_us", request.use->promised.count()}});
-        auto got = co_await http::exchange(loop_, address, head.done(), std::move(body), patience);
+        auto got = co_await http::exchange(loop_, address, head.finish(), std::move(body), patience);
         std::string outcome;
         Time pause{};
         boost::json::object line{{"id", id}, {"origin", request.origin}};
         if (!got.error) {
-            outcome = http::field(got.answer, field::outcome);
-            if (const auto objection = http::field(got.answer, field::objection); !objection.empty()) {
+            outcome = http::field(got.response, field::outcome);
+            if (const auto objection = http::field(got.response, field::objection); !objection.empty()) {
                 line["objection"] = objection;
                 if (outcome.empty()) outcome = "objected";
             }
-            line["status"] = got.answer.result_int();
-            line["controller"] = http::field(got.answer, field::controller);
-            line["job"] = http::field(got.answer, field::request);
-            line["hops"] = http::field(got.answer, field::attempts);
-            if (const auto ms = http::number<int>(http::field(got.answer, field::retry_after_ms)))
+            line["status"] = got.response.result_int();
+            line["controller"] = http::field(got.response, field::controller);
+            line["job"] = http::field(got.response, field::request);
+            line["hops"] = http::field(got.response, field::attempts);
+            if (const auto ms = http::parse_number<int>(http::field(got.response, field::retry_after_ms)))
                 pause = std::chrono::milliseconds(*ms);
         } else if (got.error == net::asio::error::connection_refused) {
             outcome = "unreachable";
--- a/emulator/common.cpp
+++ b/emulator/common.cpp
@@ -83,7 +83,7 @@
       stream_(std::move(stream)),
       write_queue_(std::make_shared<net::WriteQueue>(loop, stream_)),
       side_(side),
-      inbox_(stream_),
+      read_buffer_(stream_),
       replied_(loop) {}
 
 void Talk::start() {
@@ -97,18 +97,18 @@
         parser.eager(true);
         parser.body_limit(64 * 1024 * 1024);
         net::Error error;
-        bool first = inbox_.held() > 0;
+        bool first = read_buffer_.size() > 0;
         while (!parser.is_done() && !error) {
-            if (!std::exchange(first, false)) error = co_await inbox_.more();
-            if (!error) error = inbox_.feed(parser);
+            if (!std::exchange(first, false)) error = co_await read_buffer_.read_more();
+            if (!error) error = read_buffer_.feed(parser);
         }
         if (error) break;
         keep_ = parser.keep_alive();
         open_ = true;
         side_.asked(self, parser.release());
         while (open_ && on) {
-            if (inbox_.held() == 0) {
-                error = co_await inbox_.more();
+            if (read_buffer_.size() == 0) {
+                error = co_await read_buffer_.read_more();
                 on = !error;
             } else {
                 co_await replied_.wait();
--- a/emulator/common.hpp
+++ b/emulator/common.hpp
@@ -82,7 +82,7 @@
     std::shared_ptr<net::Stream> stream_;
     std::shared_ptr<net::WriteQueue> write_queue_;
     const Side& side_;
-    http::Inbox inbox_;
+    http::ReadBuffer read_buffer_;
     net::Notification replied_;
     bool open_{}, keep_{};
 };
--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -157,7 +157,7 @@
 
     void asked(const std::shared_ptr<Talk>& talk, Talk::Message message) {
         if (fallen_) return talk->reset();
-        const auto path = http::path_of(http::view(message.target()));
+        const auto path = http::path_segments(http::view(message.target()));
         const auto method = message.method();
         const std::string controller(http::field(message, field::controller));
         if (path.size() == 2 && path[1] == "load") {
@@ -177,8 +177,8 @@
         attempt->function = path[2];
         attempt->request_class = http::field(message, field::request_class);
         attempt->mark = http::field(message, field::mark);
-        attempt->lanes = http::number<int>(http::field(message, field::lanes)).value_or(1);
-        attempt->memory = http::number<int>(http::field(message, field::memory)).value_or(300);
+        attempt->lanes = http::parse_number<int>(http::field(message, field::lanes)).value_or(1);
+        attempt->memory = http::parse_number<int>(http::field(message, field::memory)).value_or(300);
         std::istringstream(message.body()) >> attempt->origin >> attempt->work_ms >> attempt->load_ms >>
             attempt->bytes_back;
         note("hop", *attempt);
@@ -257,12 +257,12 @@
     net::Task<> fetch(std::shared_ptr<Copy> copy, double load_ms) {
         const double share = 0.6;  // of a load's time is the fetch, the rest the start
         const std::string target =
-            fmt::format("/v1/fetch/{}?ms={:.1f}", http::encoded(copy->function), load_ms * share);
+            fmt::format("/v1/fetch/{}?ms={:.1f}", http::percent_encode(copy->function), load_ms * share);
         const auto got = co_await http::exchange(
             loop_, *net::Address::parse(store_),
-            http::HeadWriter("GET " + target + " HTTP/1.1").add("Host", store_).add("Connection", "close").done(), "",
+            http::HeadWriter("GET " + target + " HTTP/1.1").add("Host", store_).add("Connection", "close").finish(), "",
             30s);
-        if (got.error || got.answer.result_int() != 200) {
+        if (got.error || got.response.result_int() != 200) {
             std::erase(copies_, copy);
             record_.write("load_broke", {{"function", copy->function}});
             for (const auto& attempt : std::deque(queue_))
@@ -367,7 +367,7 @@
                           [&](const auto& c) { return c->function == function && c->standing && c->busy == 0; });
             return answer(talk, 200, {}, "");
         }
-        const int count = http::number<int>(http::field(message, field::copies)).value_or(0);
+        const int count = http::parse_number<int>(http::field(message, field::copies)).value_or(0);
         record_.write("order", {{"controller", controller}, {"function", function}, {"copies", count}});
         if (silent_) return;
         if (turn_away_) return answer(talk, 503, {{std::string(field::never_ran), "turned-away"}}, "");
@@ -431,9 +431,9 @@
         LoadReport report;
         report.in_flight = static_cast<double>(held_.size());
         report.queued = static_cast<double>(queue_.size());
-        return head.add(orca::header, orca::write(report))
+        return head.add(orca::header, orca::format(report))
             .add("Content-Length", static_cast<std::int64_t>(bytes))
-            .done();
+            .finish();
     }
 
     void answer(const std::shared_ptr<Talk>& talk, unsigned status,
--- a/emulator/list.cpp
+++ b/emulator/list.cpp
@@ -101,8 +101,8 @@
         if (broken_) return talk->reset();
         std::uint64_t index = 0;
         Time wait = 5min;
-        for (const auto& [key, value] : http::query_of(http::view(message.target()))) {
-            if (key == "index") index = http::number<std::uint64_t>(value).value_or(0);
+        for (const auto& [key, value] : http::query_parameters(http::view(message.target()))) {
+            if (key == "index") index = http::parse_number<std::uint64_t>(value).value_or(0);
             if (key == "wait") wait = parse_duration(value);
         }
         if (index == 0 || index != index_) return answer(talk, asker);
@@ -143,7 +143,7 @@
                             .add("Content-Type", "application/json")
                             .add("X-Consul-Index", static_cast<std::int64_t>(index))
                             .add("Content-Length", static_cast<std::int64_t>(body.size()))
-                            .done(),
+                            .finish(),
                         body);
         };
         if (late_ > Time{})
--- a/emulator/store.cpp
+++ b/emulator/store.cpp
@@ -30,11 +30,11 @@
 private:
     void asked(const std::shared_ptr<Talk>& talk, const Talk::Message& message) {
         double ms = 0;
-        for (const auto& [key, value] : http::query_of(http::view(message.target())))
+        for (const auto& [key, value] : http::query_parameters(http::view(message.target())))
             if (key == "ms") ms = std::stod(value);
         if (broken_ || fetching_ >= most_) {
             record_.write("fetch_turned_away", {{"fetching", fetching_}});
-            return talk->reply(http::HeadWriter("HTTP/1.1 503 Service Unavailable").add("Content-Length", "0").done(),
+            return talk->reply(http::HeadWriter("HTTP/1.1 503 Service Unavailable").add("Content-Length", "0").finish(),
                                "");
         }
         ++fetching_;
@@ -42,7 +42,7 @@
         record_.write("fetch", {{"fetching", fetching_}});
         loop_.call_at(loop_.now() + Time(static_cast<Time::rep>(ms * 1000 * crowd * slow_)), [this, talk] {
             --fetching_;
-            if (talk->open()) talk->reply(http::HeadWriter("HTTP/1.1 200 OK").add("Content-Length", "0").done(), "");
+            if (talk->open()) talk->reply(http::HeadWriter("HTTP/1.1 200 OK").add("Content-Length", "0").finish(), "");
         });
     }
 
--- a/soak/run.cpp
+++ b/soak/run.cpp
@@ -199,7 +199,7 @@
         std::ofstream(fresh)
             << fmt::format(
                    R"({{"name":"c{}","listen":"{}","seed":"{:x}","board":"{}:{}","limits":{{"cores":1.0,"memory_mb":48,"sockets":{}}},"known":{},)",
-                   it.number, it.address.text(), plan_.seed * 100 + it.number + 1, host(3, board_), discovery_port,
+                   it.number, it.address.to_string(), plan_.seed * 100 + it.number + 1, host(3, board_), discovery_port,
                    descriptors_of(it), known())
             << fmt::format(
                    R"("settings":{{"areas":["a"],"kinds":["k"],"fleet_size":{},"discovery":"automatic","weight_source":"nominal","quantum":1.0,
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -21,14 +21,14 @@
     const auto address = net::Address::parse(at);
     if (!address) throw ConfigError("--at " + at + ": is no address such as 127.0.0.1:7400");
     net::SocketEventLoop loop;
-    http::Exchanged got;
+    http::ExchangeResult got;
     auto run = [&]() -> net::Task<> {
         got = co_await http::exchange(loop, *address, std::move(head), std::move(body), limit);
         loop.stop();
     };
     loop.spawn(run());
     loop.run();
-    if (!got.error) return std::move(got.answer);
+    if (!got.error) return std::move(got.response);
     std::cerr << "plumkeel: no answer from " << at << ": " << got.error.message() << '\n';
     return {};
 }
@@ -44,8 +44,8 @@
 }  // namespace
 
 int status(const std::string& at) {
-    const auto answer =
-        ask(at, http::HeadWriter("GET /v1/status HTTP/1.1").add("Host", at).add("Connection", "close").done(), "", 5s);
+    const auto answer = ask(
+        at, http::HeadWriter("GET /v1/status HTTP/1.1").add("Host", at).add("Connection", "close").finish(), "", 5s);
     if (!answer) return 1;
     std::cout << answer->body();
     return answer->result_int() == 200 ? 0 : 1;
@@ -54,7 +54,7 @@
 int send(const std::string& at, const Job& request) {
     const Time left = parse_duration(request.time_left);
     std::string body = read_body(request.body);
-    http::HeadWriter head("POST /v1/jobs/" + http::encoded(request.function) + " HTTP/1.1");
+    http::HeadWriter head("POST /v1/jobs/" + http::percent_encode(request.function) + " HTTP/1.1");
     head.add("Host", at).add("Connection", "close").add(field::request_class, request.request_class);
     head.add(field::time_left, left / 1ms).add(field::lanes, std::int64_t{request.lanes});
     if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
@@ -62,7 +62,7 @@
     if (request.memory > 0) head.add(field::memory, std::int64_t{request.memory});
     if (request.again) head.add(field::again, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const auto answer = ask(at, head.done(), std::move(body), left + 2s);
+    const auto answer = ask(at, head.finish(), std::move(body), left + 2s);
     if (!answer) return 1;
     const std::string_view outcome = http::field(*answer, field::outcome);
     const std::string_view objection = http::field(*answer, field::objection);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -56,7 +56,7 @@
         return 1;
     }
     log.write(Log::Level::info, "serving",
-              {{"listen", gateway.address().text()}, {"name", config.name}, {"seed", std::to_string(chosen)}});
+              {{"listen", gateway.address().to_string()}, {"name", config.name}, {"seed", std::to_string(chosen)}});
     std::function<void()> hand_over = [&] {
         recorder->flush();
         loop.call_at(loop.now() + std::chrono::milliseconds(500), hand_over);
--- a/src/consul/health_watcher.cpp
+++ b/src/consul/health_watcher.cpp
@@ -57,7 +57,7 @@
     Got got;
     // A blocking query may be held for the wait and, by the publisher's word, a sixteenth more.
     const Time limit = (ask.index ? ask.wait + ask.wait / 16 : Time{}) + source_.response_slack;
-    std::string target = "/v1/health/service/" + http::encoded(source_.service);
+    std::string target = "/v1/health/service/" + http::percent_encode(source_.service);
     if (ask.index) target += fmt::format("?index={}&wait={}ms", ask.index, ask.wait / 1ms);
     std::string head = http::HeadWriter("GET " + target + " HTTP/1.1")
                            .add("Host", source_.consul)
@@ -65,14 +65,14 @@
                            .add("Connection", "close")
                            .add("User-Agent", "plumkeel")
                            .add("Plumkeel-Controller", asker_)
-                           .done();
+                           .finish();
     auto exchanged = co_await http::exchange(loop_, *net::Address::parse(source_.consul), std::move(head), "", limit,
                                              most_list_bytes);
     if (exchanged.error) co_return got;
     got.whole = true;
-    got.status = static_cast<int>(exchanged.answer.result_int());
-    got.index = http::number<std::uint64_t>(http::field(exchanged.answer, "X-Consul-Index"));
-    got.body = std::move(exchanged.answer.body());
+    got.status = static_cast<int>(exchanged.response.result_int());
+    got.index = http::parse_number<std::uint64_t>(http::field(exchanged.response, "X-Consul-Index"));
+    got.body = std::move(exchanged.response.body());
     co_return got;
 }
 
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -28,7 +28,7 @@
 
 void Watcher::set_address(net::Address address) {
     if (address == address_) return;
-    log_.write(Log::Level::info, "board_moves", {{"from", address_.text()}, {"to", address.text()}});
+    log_.write(Log::Level::info, "board_moves", {{"from", address_.to_string()}, {"to", address.to_string()}});
     address_ = std::move(address);
     address_changed_ = true;
     failures_ = 0;
--- a/src/fastcgi/connection.cpp
+++ b/src/fastcgi/connection.cpp
@@ -199,7 +199,7 @@
     gateway_.invariants().check(open_.empty(), Invariant::closed_with_requests, [&] {
         return gateway::Invariants::Fields{{"connection", number_}, {"open", open_.size()}, {"finishing", finishing_}};
     });
-    if (!gateway_.log().wants(Log::Level::debug)) return;
+    if (!gateway_.log().is_enabled(Log::Level::debug)) return;
     gateway_.log().write(Log::Level::debug, "client_connection_ends",
                          {{"connection", number_},
                           {"open", open_.size()},
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -251,7 +251,7 @@
                                  call.attempt.starts_load, loop_.now() - call.attempt.sent_at});
     const bool whole = outcome.outcome == AttemptOutcome::succeeded;
     if (late && whole) ++counters_.late;
-    if (log_.wants(Log::Level::debug))
+    if (log_.is_enabled(Log::Level::debug))
         log_.write(Log::Level::debug, "hop_ended",
                    {{"request", request.name},
                     {"job", request.id},
@@ -554,7 +554,7 @@
         default:
             ++counters_.cancelled;
     }
-    if (log_.wants(Log::Level::debug))
+    if (log_.is_enabled(Log::Level::debug))
         log_.write(Log::Level::debug, "job_ended",
                    {{"request", request.name},
                     {"job", request.id},
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -7,12 +7,12 @@
 
 namespace plumkeel::http {
 
-struct Exchanged {
+struct ExchangeResult {
     net::Error error;  // no whole answer came
-    bh::response<bh::string_body> answer;
+    bh::response<bh::string_body> response;
 };
 
-net::Task<Exchanged> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
-                              std::chrono::microseconds limit, std::size_t most = 64 * 1024 * 1024);
+net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
+                                   std::chrono::microseconds limit, std::size_t most = 64 * 1024 * 1024);
 
 }  // namespace plumkeel::http
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -4,7 +4,7 @@
 
 namespace plumkeel::http {
 
-net::Task<net::Error> Inbox::more() {
+net::Task<net::Error> ReadBuffer::read_more() {
     const std::size_t left = buffer_.max_size() - buffer_.size();
     if (left == 0) co_return net::asio::error::no_buffer_space;
     const auto moved = co_await stream_->read(buffer_.prepare(std::min<std::size_t>(left, 16 * 1024)));
@@ -17,7 +17,7 @@
            std::string(view(bh::obsolete_reason(bh::int_to_status(status))));
 }
 
-bool passed_on(std::string_view name) {
+bool is_forwarded_header(std::string_view name) {
     static constexpr std::string_view kept_back[] = {
         "connection",        "keep-alive", "proxy-authenticate",    "proxy-authorization", "te",   "trailer",
         "transfer-encoding", "upgrade",    "endpoint-load-metrics", "content-length",      "host", "expect",
@@ -29,7 +29,7 @@
     return true;
 }
 
-std::vector<std::string> path_of(std::string_view target) {
+std::vector<std::string> path_segments(std::string_view target) {
     std::vector<std::string> parts;
     const auto url = boost::urls::parse_origin_form({target.data(), target.size()});
     if (!url) return parts;
@@ -37,11 +37,11 @@
     return parts;
 }
 
-std::string encoded(std::string_view part) {
+std::string percent_encode(std::string_view part) {
     return boost::urls::encode(boost::urls::string_view(part.data(), part.size()), boost::urls::unreserved_chars);
 }
 
-std::vector<std::pair<std::string, std::string>> query_of(std::string_view target) {
+std::vector<std::pair<std::string, std::string>> query_parameters(std::string_view target) {
     std::vector<std::pair<std::string, std::string>> pairs;
     const auto url = boost::urls::parse_origin_form({target.data(), target.size()});
     if (!url) return pairs;
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -27,13 +27,13 @@
     return it == message.end() ? std::string_view() : view(it->value());
 }
 
-inline bool same_word(std::string_view a, std::string_view b) {
+inline bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return beast::iequals({a.data(), a.size()}, {b.data(), b.size()});
 }
 
 // A whole number, if all of the text is one.
 template <class Number>
-std::optional<Number> number(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size() || text.empty()) return {};
@@ -52,11 +52,11 @@
         return *this;
     }
     HeadWriter& add(std::string_view name, std::int64_t value) { return add(name, std::to_string(value)); }
-    HeadWriter& lines(std::string_view whole) {  // each already ended
+    HeadWriter& add_raw_lines(std::string_view whole) {  // each already ended
         text_ += whole;
         return *this;
     }
-    std::string done() { return std::move(text_ += "\r\n"); }
+    std::string finish() { return std::move(text_ += "\r\n"); }
 
 private:
     std::string text_;
@@ -65,16 +65,16 @@
 std::string status_line(unsigned status);
 
 // Fields that concern one connection alone, by RFC 9110, or that our own protocol writes anew.
-bool passed_on(std::string_view name);
+bool is_forwarded_header(std::string_view name);
 // Bytes that came in and were not parsed yet, of one connection. Holds at most `most`.
-class Inbox {
+class ReadBuffer {
 public:
-    explicit Inbox(std::shared_ptr<net::Stream> stream, std::size_t most = 128 * 1024)
+    explicit ReadBuffer(std::shared_ptr<net::Stream> stream, std::size_t most = 128 * 1024)
         : stream_(std::move(stream)), buffer_(most) {}
 
     // Waits for more bytes. No room left is no_buffer_space.
-    net::Task<net::Error> more();
-    std::size_t held() const { return buffer_.size(); }
+    net::Task<net::Error> read_more();
+    std::size_t size() const { return buffer_.size(); }
     void discard() { buffer_.consume(buffer_.size()); }
 
     // Hands the parser what is there. True when it has consumed something or wants no more.
@@ -93,10 +93,10 @@
 };
 
 // The path's parts behind the leading slash, percent-decoded; empty where the target is malformed.
-std::vector<std::string> path_of(std::string_view target);
+std::vector<std::string> path_segments(std::string_view target);
 // Its inverse for one part.
-std::string encoded(std::string_view part);
+std::string percent_encode(std::string_view part);
 // What stands behind the question mark, as name and value pairs.
-std::vector<std::pair<std::string, std::string>> query_of(std::string_view target);
+std::vector<std::pair<std::string, std::string>> query_parameters(std::string_view target);
 
 }  // namespace plumkeel::http
--- a/src/invoker_protocol/connection_pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -301,7 +301,7 @@
     void spoilt(const char* why) {
         if (!alive_) return;
         ++pool_.counts_.malformed;
-        if (pool_.counts_.on_malformed) pool_.counts_.on_malformed(pool_.address_.text(), why, out_.size());
+        if (pool_.counts_.on_malformed) pool_.counts_.on_malformed(pool_.address_.to_string(), why, out_.size());
         close();
     }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -57,7 +57,7 @@
 }
 
 void Log::write(Level level, std::string_view kind, Fields fields) {
-    if (!wants(level)) return;
+    if (!is_enabled(level)) return;
     RateLimiter& trickle = rate_limiters_.try_emplace(kind, config_.max_lines_per_s, config_.burst).first->second;
     if (!trickle.allow(loop_.now())) return;
     Fields whole;
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -36,7 +36,7 @@
 
     Log(net::EventLoop& loop, const LogConfig& rules);
     ~Log();
-    bool wants(Level level) const { return level >= min_level_; }
+    bool is_enabled(Level level) const { return level >= min_level_; }
     // `kind` names what happened, in snake case; it must live as long as the log.
     void write(Level level, std::string_view kind, Fields fields = {});
     std::uint64_t dropped_lines() const;  // lines the bounded queue had no room for
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -21,7 +21,7 @@
     return Address{std::string(host), static_cast<std::uint16_t>(port)};
 }
 
-std::string Address::text() const {
+std::string Address::to_string() const {
     const bool six = host.find(':') != std::string::npos;
     return (six ? "[" + host + "]" : host) + ":" + std::to_string(port);
 }
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -34,7 +34,7 @@
     std::uint16_t port{};
 
     static std::optional<Address> parse(std::string_view text);  // "host:port"; IPv6 in brackets
-    std::string text() const;
+    std::string to_string() const;
     bool operator==(const Address&) const = default;
 };
 
--- a/src/net/simulated_event_loop.cpp
+++ b/src/net/simulated_event_loop.cpp
@@ -128,7 +128,7 @@
     Address address() const override { return at_; }
     void close() override {
         if (std::exchange(closed_, true)) return;
-        loop_.listeners_.erase(at_.text());
+        loop_.listeners_.erase(at_.to_string());
         arrival_.notify();
     }
     void arrive(std::shared_ptr<Stream> stream) {
@@ -150,16 +150,17 @@
 }
 
 Task<EventLoop::ConnectResult> SimulatedEventLoop::connect(Address to, Time) {
-    if (const auto failing = connect_errors_.find(to.text()); failing != connect_errors_.end() && failing->second) {
+    if (const auto failing = connect_errors_.find(to.to_string());
+        failing != connect_errors_.end() && failing->second) {
         const Error error = failing->second;
         co_await sleep({});
         co_return ConnectResult{error, nullptr};
     }
     co_await sleep(2 * latency_);
-    const auto found = listeners_.find(to.text());
+    const auto found = listeners_.find(to.to_string());
     if (found == listeners_.end()) co_return ConnectResult{asio::error::connection_refused, nullptr};
     auto there = std::make_shared<Way>(*this), back = std::make_shared<Way>(*this);
-    const auto narrow = buffer_limits_.find(to.text());
+    const auto narrow = buffer_limits_.find(to.to_string());
     const std::size_t room = narrow == buffer_limits_.end() ? buffer_bytes_ : narrow->second;
     found->second->arrive(std::make_shared<MemoryStream>(*this, room, there, back));
     co_return ConnectResult{{}, std::make_shared<MemoryStream>(*this, room, back, there)};
@@ -168,9 +169,9 @@
 EventLoop::ListenResult SimulatedEventLoop::listen(const Address& at) {
     Address here = at;
     if (here.port == 0) here.port = ++next_port_;
-    if (listeners_.count(here.text())) return {asio::error::address_in_use, nullptr};
+    if (listeners_.count(here.to_string())) return {asio::error::address_in_use, nullptr};
     auto listener = std::make_shared<SimulatedListener>(*this, here);
-    listeners_[here.text()] = listener.get();
+    listeners_[here.to_string()] = listener.get();
     return {{}, listener};
 }
 
--- a/src/net/simulated_event_loop.hpp
+++ b/src/net/simulated_event_loop.hpp
@@ -28,13 +28,13 @@
     Time latency() const { return latency_; }
     std::size_t buffer_bytes() const { return buffer_bytes_; }
     // Connections to this address that come up from now on hold fewer bytes under way.
-    void limit_buffer(const Address& at, std::size_t room) { buffer_limits_[at.text()] = room; }
+    void limit_buffer(const Address& at, std::size_t room) { buffer_limits_[at.to_string()] = room; }
     // The wall clock steps by so much, either way; now() runs on.
     void step_wall_clock(Time by) { wall_offset_ += by; }
     // The thread stands still for so long, in the middle of whatever it does.
     void stall(Time span) { now_ += span; }
     // From now on connecting to this address fails at once with this error of the machine's own; none: it works again.
-    void fail_connects(const Address& to, Error error) { connect_errors_[to.text()] = error; }
+    void fail_connects(const Address& to, Error error) { connect_errors_[to.to_string()] = error; }
 
 private:
     friend class SimulatedListener;
--- a/src/orca/orca.cpp
+++ b/src/orca/orca.cpp
@@ -54,14 +54,14 @@
 
 }  // namespace
 
-LoadReport read(std::string_view value) {
+LoadReport parse(std::string_view value) {
     value = trimmed(value);
     if (value.starts_with("TEXT ")) return read_text(value.substr(5));
     if (value.starts_with("JSON ")) return read_json(value.substr(5));
     return {};
 }
 
-std::string write(const LoadReport& report) {
+std::string format(const LoadReport& report) {
     std::string out = "TEXT ";
     if (report.in_flight) out += fmt::format("named_metrics.{}={:g}", held_name, *report.in_flight);
     if (report.queued)
--- a/src/orca/orca.hpp
+++ b/src/orca/orca.hpp
@@ -14,7 +14,7 @@
 constexpr const char* header = "endpoint-load-metrics";
 
 // Figures that are missing, no numbers, negative or not finite are left out; a form not known tells nothing.
-LoadReport read(std::string_view value);
-std::string write(const LoadReport& report);
+LoadReport parse(std::string_view value);
+std::string format(const LoadReport& report);
 
 }  // namespace plumkeel::orca
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -59,7 +59,7 @@
     PlatformConfig out;
     GatewayConfig& config = out.gateway;
     config.name = need<std::string>(root, "name");
-    config.listen = address_of(root, "listen").text();
+    config.listen = address_of(root, "listen").to_string();
     out.seed = seed_of(root);
     out.discovery = address_of(root, "board");
     const json& limits = part(root, "limits");
--- a/src/remote_write/sender.cpp
+++ b/src/remote_write/sender.cpp
@@ -106,7 +106,7 @@
         .add("Connection", "close")
         .add("Content-Length", static_cast<std::int64_t>(body.size()));
     if (!config_.bearer.empty()) head.add("Authorization", "Bearer " + config_.bearer);
-    std::string text = head.done();
+    std::string text = head.finish();
     net::Address to = *net::Address::parse(config_.address);
     auto exchanged =
         co_await http::exchange(loop_, std::move(to), std::move(text), std::move(body), config_.timeout, 64 * 1024);
@@ -114,13 +114,13 @@
         log_result(SendResult::unknown, exchanged.error.message());
         co_return SendResult::unknown;
     }
-    const unsigned status = exchanged.answer.result_int();
-    if (const auto seconds = http::number<std::uint32_t>(http::field(exchanged.answer, "Retry-After")))
+    const unsigned status = exchanged.response.result_int();
+    if (const auto seconds = http::parse_number<std::uint32_t>(http::field(exchanged.response, "Retry-After")))
         retry_after = std::chrono::seconds(*seconds);
     const SendResult heard = status / 100 == 2                    ? SendResult::accepted
                              : status / 100 == 5 || status == 429 ? SendResult::retryable
                                                                   : SendResult::rejected;
-    log_result(heard, fmt::format("{} {}", status, exchanged.answer.body().substr(0, 200)));
+    log_result(heard, fmt::format("{} {}", status, exchanged.response.body().substr(0, 200)));
     co_return heard;
 }
 
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -19,7 +19,7 @@
       number_(number),
       stream_(std::move(stream)),
       write_queue_(std::make_shared<net::WriteQueue>(service.loop(), stream_)),
-      inbox_(stream_, 128 * 1024),
+      read_buffer_(stream_, 128 * 1024),
       answered_(service.loop()),
       limit_(service.loop(), [this] { too_slow(); }),
       reading_(service.loop(), [this] { see_reading(); }) {}
@@ -41,8 +41,8 @@
     // What is unread when a connection closes makes its system send a reset, which may overtake our last
     // answer: so what still comes is read and thrown away for a moment.
     while (leaving_) {
-        inbox_.discard();
-        const net::Error error = co_await inbox_.more();
+        read_buffer_.discard();
+        const net::Error error = co_await read_buffer_.read_more();
         if (error) break;
     }
     write_queue_->abandon();
@@ -64,7 +64,7 @@
     }
     keep_ = parser.keep_alive();
     chunked_ = parser.get().version() >= 11;
-    const auto path = http::path_of(http::view(parser.get().target()));
+    const auto path = http::path_segments(http::view(parser.get().target()));
     const bool plain = parser.get().method() == bh::verb::get && path.size() == 2 && path[0] == "v1";
     if (plain && !parser.is_done()) {
         object(RejectionReason::malformed);
@@ -109,17 +109,17 @@
     const auto& rules = gateway_.admission().limits();
     co_await write_queue_->wait_below(64 * 1024);  // who reads no answers gets no further jobs in
     bool begun = false;
-    if (inbox_.held() == 0) bound(rules.idle_timeout, RejectionReason::none);
+    if (read_buffer_.size() == 0) bound(rules.idle_timeout, RejectionReason::none);
     while (!parser.is_header_done()) {
-        if (begun || inbox_.held() == 0) {
-            const net::Error error = co_await inbox_.more();
+        if (begun || read_buffer_.size() == 0) {
+            const net::Error error = co_await read_buffer_.read_more();
             if (error) {
                 nobody = true;
                 break;
             }
             if (leaving_) co_return RejectionReason::none;
         }
-        if (const net::Error error = inbox_.feed(parser)) {
+        if (const net::Error error = read_buffer_.feed(parser)) {
             unbound();
             if (error == bh::error::header_limit) co_return RejectionReason::head_too_big;
             co_return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
@@ -140,11 +140,11 @@
         write_queue_->send("HTTP/1.1 100 Continue\r\n\r\n");
     const Time since = loop().now();
     parser.eager(true);
-    bool first = inbox_.held() > 0;
+    bool first = read_buffer_.size() > 0;
     while (!parser.is_done()) {
         if (!std::exchange(first, false)) {
             bound(3s, RejectionReason::body_too_slow);  // nothing at all for so long is too slow for any rate
-            const net::Error error = co_await inbox_.more();
+            const net::Error error = co_await read_buffer_.read_more();
             unbound();
             if (error) {
                 nobody = true;
@@ -152,7 +152,7 @@
             }
             if (leaving_) co_return RejectionReason::none;
         }
-        if (const net::Error error = inbox_.feed(parser))
+        if (const net::Error error = read_buffer_.feed(parser))
             co_return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
         const RejectionReason full = held.grow_to(parser.get().body().size());
         if (full != RejectionReason::none) co_return full;
@@ -181,7 +181,7 @@
     bool good = true;
     auto figure = [&](std::string_view digits, int most) -> std::optional<int> {
         if (digits.empty()) return {};
-        const auto value = http::number<int>(digits);
+        const auto value = http::parse_number<int>(digits);
         good = good && value && *value >= 0 && *value <= most;
         return value;
     };
@@ -195,11 +195,11 @@
 }
 
 // Waits for the job's answer, and notes when the client leaves before. What comes early of a further job stays
-// in the inbox, which is bounded; its client is not watched meanwhile.
+// in the read buffer, which is bounded; its client is not watched meanwhile.
 net::Task<bool> Connection::await_answer() {
     while (request_) {
-        if (inbox_.held() == 0) {
-            const net::Error error = co_await inbox_.more();
+        if (read_buffer_.size() == 0) {
+            const net::Error error = co_await read_buffer_.read_more();
             if (error) co_return false;
         } else {
             co_await answered_.wait();
@@ -227,10 +227,10 @@
         head.add("Retry-After", (request.retry_after + 1s - Time(1)) / 1s);
         head.add(field::retry_after_ms, request.retry_after / 1ms);
     }
-    head.lines(passed).add("Content-Length", static_cast<std::int64_t>(body.size()));
+    head.add_raw_lines(passed).add("Content-Length", static_cast<std::int64_t>(body.size()));
     const bool last = !keep_ || gateway_.admission().closing();
     if (last) head.add("Connection", "close");
-    write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
+    write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
     request_ = nullptr;
     watch_reading();
     if (last)
@@ -245,13 +245,13 @@
     head.add(field::outcome, "honoured")
         .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
-    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).lines(passed);
+    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).add_raw_lines(passed);
     if (chunked_)
         head.add("Transfer-Encoding", "chunked");
     else
         keep_ = false;  // an older client knows the end by the connection's
     if (!keep_ || gateway_.admission().closing()) head.add("Connection", "close");
-    write_queue_->send(head.done());
+    write_queue_->send(head.finish());
     watch_reading();
 }
 
@@ -290,7 +290,7 @@
     head.add("Content-Type", type).add("Content-Length", static_cast<std::int64_t>(body.size()));
     const bool last = !keep_ || gateway_.admission().closing();
     if (last) head.add("Connection", "close");
-    write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
+    write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
     if (last) bow_out();
 }
 
@@ -309,7 +309,7 @@
     }
     head.add("Content-Type", "text/plain").add("Content-Length", static_cast<std::int64_t>(body.size()));
     head.add("Connection", "close");  // what may still come of this one is not read
-    write_queue_->send(head.done(), std::make_shared<const std::string>(std::move(body)));
+    write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
     bow_out();
 }
 
@@ -352,7 +352,7 @@
 }
 
 void Connection::go_if_idle() {
-    if (!request_ && !leaving_ && inbox_.held() == 0) bow_out();
+    if (!request_ && !leaving_ && read_buffer_.size() == 0) bow_out();
 }
 
 }  // namespace plumkeel::web
--- a/src/web/connection.hpp
+++ b/src/web/connection.hpp
@@ -55,7 +55,7 @@
     const std::uint64_t number_;
     std::shared_ptr<net::Stream> stream_;
     std::shared_ptr<net::WriteQueue> write_queue_;
-    http::Inbox inbox_;
+    http::ReadBuffer read_buffer_;
     ActiveRequest* request_{};  // the open job
     net::Notification answered_;
     net::LazyTimer limit_, reading_;
--- a/src/web/connection_pool.cpp
+++ b/src/web/connection_pool.cpp
@@ -101,12 +101,12 @@
         ++pool_.counts_.opened;
         stream_ = std::move(connected.stream);
         write_queue_ = std::make_shared<net::WriteQueue>(loop_, stream_);
-        http::Inbox inbox(stream_, 256 * 1024);
+        http::ReadBuffer read_buffer(stream_, 256 * 1024);
         if (!alive_) {
             stream_->close();  // what it was opened for was called off
         } else if (errand_ && put()) {
             while (alive_) {
-                const bool on = co_await answer(inbox);
+                const bool on = co_await answer(read_buffer);
                 if (!on || !alive_) break;
                 if (!errand_) pool_.on_connection_free(self);
             }
@@ -119,7 +119,7 @@
     }
 
     // Reads one answer and ends its errand. False: the line can't be used further.
-    net::Task<bool> answer(http::Inbox& inbox) {
+    net::Task<bool> answer(http::ReadBuffer& read_buffer) {
         bh::response_parser<bh::string_body> parser;
         parser.header_limit(64 * 1024);
         parser.body_limit(boost::none);
@@ -127,7 +127,7 @@
         bool streaming = false;
         do {
             net::Error error;
-            if (inbox.held() == 0 || parser.got_some()) error = co_await inbox.more();
+            if (read_buffer.size() == 0 || parser.got_some()) error = co_await read_buffer.read_more();
             if (error == net::asio::error::eof) {
                 if (!parser.got_some() || !errand_) co_return false;
                 error = {};
@@ -137,7 +137,7 @@
             }
             if (error || !alive_) co_return false;
             if (!errand_) co_return false;  // bytes that answer nothing
-            if (inbox.feed(parser)) co_return false;
+            if (read_buffer.feed(parser)) co_return false;
             if (parser.is_header_done() && parser.get().result_int() / 100 == 1) co_return false;
             if (!streaming && is_large(parser)) {
                 std::string passed;
@@ -183,9 +183,9 @@
         outcome.status = parser.get().result_int();
         outcome.outcome = protocol::ending_of(outcome.status, own.never_ran);
         outcome.load_event = protocol::note_of(own.note);
-        outcome.concurrent_requests = std::clamp(http::number<int>(own.concurrent_requests).value_or(0), 0, 1000);
-        outcome.copies = std::clamp(http::number<int>(own.copies).value_or(0), 0, 1000);
-        outcome.report = orca::read(own.report);
+        outcome.concurrent_requests = std::clamp(http::parse_number<int>(own.concurrent_requests).value_or(0), 0, 1000);
+        outcome.copies = std::clamp(http::parse_number<int>(own.copies).value_or(0), 0, 1000);
+        outcome.report = orca::parse(own.report);
         outcome.body = std::move(parser.get().body());
         pool_.finish(let_go(), std::move(outcome));
     }
@@ -227,7 +227,7 @@
         case UpstreamCall::Kind::unload_copies: {
             const std::string copies = call.copies > 0 ? fmt::format("{}: {}\r\n", field::copies, call.copies) : "";
             return fmt::format("{} /v1/copies/{} HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}Content-Length: 0\r\n\r\n",
-                               call.copies > 0 ? "PUT" : "DELETE", http::encoded(call.function), call.invoker,
+                               call.copies > 0 ? "PUT" : "DELETE", http::percent_encode(call.function), call.invoker,
                                field::controller, controller_name_, copies);
         }
         case UpstreamCall::Kind::attempt:
@@ -241,11 +241,12 @@
         if (!request.idempotency_key.empty()) tail.add(field::mark, request.idempotency_key);
         tail.add(field::lanes, static_cast<std::int64_t>(request.concurrency));
         if (request.memory) tail.add(field::memory, static_cast<std::int64_t>(*request.memory));
-        tail.lines(request.forwarded_headers).add("Content-Length", static_cast<std::int64_t>(request.body->size()));
-        request.encoded_suffix = tail.done().substr(2);
+        tail.add_raw_lines(request.forwarded_headers)
+            .add("Content-Length", static_cast<std::int64_t>(request.body->size()));
+        request.encoded_suffix = tail.finish().substr(2);
     }
     return fmt::format("POST /v1/run/{} HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}: {}\r\n{}",
-                       http::encoded(request.function->name), call.invoker, field::attempt, call.attempt->number,
+                       http::percent_encode(request.function->name), call.invoker, field::attempt, call.attempt->number,
                        field::limit, call.attempt->timeout / 1ms, request.encoded_suffix);
 }
 
--- a/src/web/protocol.hpp
+++ b/src/web/protocol.hpp
@@ -43,7 +43,7 @@
         {field::copies, &OwnFields::copies},
         {orca::header, &OwnFields::report}};
     for (const auto& [known, slot] : slots)
-        if (known.size() == name.size() && http::same_word(known, name)) return &(own.*slot);
+        if (known.size() == name.size() && http::equals_ignoring_case(known, name)) return &(own.*slot);
     return nullptr;
 }
 
@@ -56,7 +56,7 @@
         const std::string_view name = http::view(each.name_string());
         std::string_view* slot = own_slot(own, name);
         if (slot && slot->empty()) *slot = http::view(each.value());
-        if (passed && !slot && http::passed_on(name))
+        if (passed && !slot && http::is_forwarded_header(name))
             passed->append(name).append(": ").append(http::view(each.value())).append("\r\n");
     }
     return own;
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -82,7 +82,7 @@
                                  .add("Retry-After", "1")
                                  .add("Connection", "close")
                                  .add("Content-Length", "0")
-                                 .done();
+                                 .finish();
     const net::asio::const_buffer whole = net::asio::buffer(head);
     stream->write_now({&whole, 1});
     stream->shutdown_send();
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -54,17 +54,17 @@
         stream->write_now({&whole, 1});
     }
     Task<> talk(std::shared_ptr<net::Stream> stream) {
-        http::Inbox inbox(stream);
+        http::ReadBuffer read_buffer(stream);
         for (;;) {
             http::bh::request_parser<http::bh::string_body> parser;
             parser.eager(true);
             net::Error error;
             while (!parser.is_done() && !error) {
-                error = co_await inbox.more();
-                if (!error) error = inbox.feed(parser);
+                error = co_await read_buffer.read_more();
+                if (!error) error = read_buffer.feed(parser);
             }
             if (error) co_return;
-            if (http::path_of(http::view(parser.get().target()))[1] == "load") {
+            if (http::path_segments(http::view(parser.get().target()))[1] == "load") {
                 put(stream,
                     "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: "
                     "0\r\n\r\n");
@@ -75,7 +75,7 @@
                                std::string(http::field(parser.get(), "plumkeel-hop")));
             came.push_back(loop.now());
             if (does == Does::hangs) {
-                const net::Error end = co_await inbox.more();
+                const net::Error end = co_await read_buffer.read_more();
                 if (end) ++gone;
                 co_return;
             }
@@ -570,12 +570,12 @@
         for (;;) {
             auto accepted = co_await listener->accept();
             if (accepted.error) co_return;
-            http::Inbox inbox(accepted.stream);
+            http::ReadBuffer read_buffer(accepted.stream);
             http::bh::request_parser<http::bh::string_body> parser;
             net::Error error;
             while (!parser.is_done() && !error) {
-                error = co_await inbox.more();
-                if (!error) error = inbox.feed(parser);
+                error = co_await read_buffer.read_more();
+                if (!error) error = read_buffer.feed(parser);
             }
             const bool waits = parser.get().target().find(fmt::format("index={}&", index)) != std::string::npos;
             if (waits) co_await changed.wait();
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -130,7 +130,7 @@
     }(listener, got, stream));
     remote_write::ReceiverConfig receiver;
     receiver.name = "store";
-    receiver.address = address.text();
+    receiver.address = address.to_string();
     receiver.bearer = "token-1";
     remote_write::Sender sender(loop, receiver, spool, 1, 1, [](const std::string&, const std::string&) {});
     sender.start();
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -241,11 +241,11 @@
 TEST(Orca, ReadsTextAndJson) {
     for (const char* text : {"TEXT cpu_utilization=0.3, named_metrics.inflight=3,named_metrics.queue=1.5",
                              R"(JSON {"cpu_utilization":0.3,"named_metrics":{"inflight":3,"queue":1.5}})"}) {
-        const LoadReport report = orca::read(text);
+        const LoadReport report = orca::parse(text);
         EXPECT_EQ(report.in_flight, 3) << text;
         EXPECT_EQ(report.queued, 1.5) << text;
     }
-    const LoadReport again = orca::read(orca::write({4, 2}));
+    const LoadReport again = orca::parse(orca::format({4, 2}));
     EXPECT_EQ(again.in_flight, 4);
     EXPECT_EQ(again.queued, 2);
 }
@@ -254,7 +254,7 @@
     for (const char* text : {"", "TEXT", "TEXT ", "TEXT named_metrics.inflight=many", "TEXT named_metrics.inflight=-1",
                              "TEXT named_metrics.inflight=nan", "JSON {", "JSON []", R"(JSON {"named_metrics":3})",
                              R"(JSON {"named_metrics":{"inflight":"3"}})", "BIN AAAA", "inflight=3"})
-        EXPECT_FALSE(orca::read(text).in_flight) << text;
+        EXPECT_FALSE(orca::parse(text).in_flight) << text;
 }
 
 TEST(Proof, OnlyTheInvokersWordOrAnUnwrittenByteProvesThatItNeverRan) {
--- a/tests/remote_test.cpp
+++ b/tests/remote_test.cpp
@@ -461,7 +461,7 @@
     net::SocketEventLoop loop;
     const auto listened = loop.listen({"127.0.0.1", 0});
     ASSERT_FALSE(listened.error);
-    const std::string address = listened.listener->address().text();
+    const std::string address = listened.listener->address().to_string();
     emulator::WriteReceiver receiver(loop, listened.listener);
     std::uint64_t dice = 5, told = 0;
     for (int round = 0; round < 11; ++round) {
