--- a/emulator/common.cpp
+++ b/emulator/common.cpp
@@ -1,4 +1,6 @@
 #include "emulator/common.hpp"
+#include "net/listening_process.hpp"
+#include "net/machine_clock.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/emulator/common.hpp
+++ b/emulator/common.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "http/http.hpp"
+#include "net/notification.hpp"
 #include "net/socket_event_loop.hpp"
 #include "net/write_queue.hpp"
 #include "random/pcg.hpp"
--- a/emulator/day.cpp
+++ b/emulator/day.cpp
@@ -10,6 +10,7 @@
 #include <set>
 
 #include "emulator/common.hpp"
+#include "net/machine_clock.hpp"
 #include "net/socket_event_loop.hpp"
 
 namespace plumkeel::emulator {
--- a/soak/events.cpp
+++ b/soak/events.cpp
@@ -6,6 +6,7 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "net/machine_clock.hpp"
 #include "net/socket_event_loop.hpp"
 
 namespace plumkeel::soak {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -12,6 +12,7 @@
 #include "cli/trace.hpp"
 #include "config/gateway_config.hpp"
 #include "log/log.hpp"
+#include "net/listening_process.hpp"
 #include "net/socket_event_loop.hpp"
 #include "platform/serve.hpp"
 #include "remote_write/exporter.hpp"
--- a/src/discovery/watcher.hpp
+++ b/src/discovery/watcher.hpp
@@ -9,6 +9,7 @@
 #include "discovery/frame_decoder.hpp"
 #include "log/log.hpp"
 #include "net/event_loop.hpp"
+#include "net/notification.hpp"
 #include "random/pcg.hpp"
 
 namespace plumkeel::discovery {
--- a/src/fastcgi/connection.hpp
+++ b/src/fastcgi/connection.hpp
@@ -7,6 +7,7 @@
 #include "fastcgi/records.hpp"
 #include "gateway/gateway.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/notification.hpp"
 
 namespace plumkeel::fastcgi {
 
--- a/src/fastcgi/server.hpp
+++ b/src/fastcgi/server.hpp
@@ -7,6 +7,7 @@
 #include <unordered_set>
 
 #include "gateway/gateway.hpp"
+#include "net/notification.hpp"
 
 namespace plumkeel::fastcgi {
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -1,26 +1,23 @@
 #include "http/exchange.hpp"
 
+#include <algorithm>
+#include <boost/asio/error.hpp>
+#include <memory>
+#include <utility>
+
 #include "net/write_queue.hpp"
 
 namespace plumkeel::http {
+namespace {
 
-net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
-                                   std::chrono::microseconds limit, std::size_t most) {
-    const auto until = loop.now() + limit;
-    const auto connected = co_await loop.connect(std::move(to), std::min<net::Time>(limit, std::chrono::seconds(2)));
-    if (connected.error) co_return ExchangeResult{connected.error, {}};
-    const auto stream = connected.stream;
-    bool late = false;
-    auto ticket = loop.call_at(until, [&late, stream] {
-        late = true;
-        stream->close();
-    });
-    const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
-    write_queue->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
-    ReadBuffer read_buffer(stream, 256 * 1024);
-    bh::response_parser<bh::string_body> parser;
-    parser.eager(true);
-    parser.body_limit(most);
+using ResponseParser = bh::response_parser<bh::string_body>;
+
+constexpr net::Time max_connect_timeout = std::chrono::seconds(2);
+constexpr std::size_t read_buffer_bytes = std::size_t{256} * 1024;
+
+/// Reads until the response is complete or an error shows that it never will be.
+net::Task<net::Error> read_response(std::shared_ptr<net::Stream> stream, ResponseParser& parser) {
+    ReadBuffer read_buffer(std::move(stream), read_buffer_bytes);
     net::Error error;
     while (!parser.is_done() && !error) {
         error = co_await read_buffer.read_more();
@@ -32,10 +29,32 @@
             error = read_buffer.feed(parser);
         }
     }
-    loop.cancel(ticket);
+    co_return error;
+}
+
+}  // namespace
+
+net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
+                                   std::chrono::microseconds timeout, std::size_t max_response_bytes) {
+    const auto deadline = loop.now() + timeout;
+    const auto connected = co_await loop.connect(std::move(to), std::min<net::Time>(timeout, max_connect_timeout));
+    if (connected.error) co_return ExchangeResult{connected.error, {}};
+    const auto stream = connected.stream;
+    bool timed_out = false;
+    auto timer = loop.call_at(deadline, [&timed_out, stream] {
+        timed_out = true;
+        stream->close();
+    });
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
+    write_queue->send(std::move(head), std::make_shared<const std::string>(std::move(body)));
+    ResponseParser parser;
+    parser.eager(true);
+    parser.body_limit(max_response_bytes);
+    net::Error error = co_await read_response(stream, parser);
+    loop.cancel(timer);
     write_queue->abandon();
     stream->close();
-    if (late) error = net::asio::error::timed_out;
+    if (timed_out) error = net::asio::error::timed_out;
     if (error) co_return ExchangeResult{error, {}};
     co_return ExchangeResult{{}, parser.release()};
 }
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -1,18 +1,28 @@
-// One question and its whole answer on a connection of its own.
+/// A single HTTP request on a connection of its own.
 #pragma once
 
+#include <chrono>
+#include <cstddef>
 #include <string>
 
 #include "http/http.hpp"
+#include "net/event_loop.hpp"
 
 namespace plumkeel::http {
 
 struct ExchangeResult {
-    net::Error error;  // no whole answer came
+    net::Error error;  ///< why there is no complete response
     bh::response<bh::string_body> response;
 };
 
+/// Limits the body of a response unless the caller sets another limit.
+constexpr std::size_t default_max_response_bytes = std::size_t{64} * 1024 * 1024;
+
+/// Connects, sends the request and waits for the complete response, all within `timeout`, then closes the connection.
+/// Fails with `asio::error::timed_out` after that time, with `asio::error::eof` if the connection ends before the
+/// response does, and with an error of Beast's parser if the response is malformed or its body is too long.
 net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
-                                   std::chrono::microseconds limit, std::size_t most = 64 * 1024 * 1024);
+                                   std::chrono::microseconds timeout,
+                                   std::size_t max_response_bytes = default_max_response_bytes);
 
 }  // namespace plumkeel::http
--- /dev/null
+++ b/src/http/headers.cpp
@@ -0,0 +1,29 @@
+#include "http/headers.hpp"
+
+#include <algorithm>
+#include <array>
+
+namespace plumkeel::http {
+namespace {
+
+constexpr std::string_view own_prefix = "plumkeel-";
+
+constexpr std::array<std::string_view, 13> not_forwarded{
+    "connection",        "keep-alive", "proxy-authenticate",    "proxy-authorization", "te",   "trailer",
+    "transfer-encoding", "upgrade",    "endpoint-load-metrics", "content-length",      "host", "expect",
+    "proxy-connection"};
+
+}  // namespace
+
+std::string status_line(unsigned status) {
+    return "HTTP/1.1 " + std::to_string(status) + " " +
+           std::string(view(bh::obsolete_reason(bh::int_to_status(status))));
+}
+
+bool is_forwarded_header(std::string_view name) {
+    if (equals_ignoring_case(name.substr(0, own_prefix.size()), own_prefix)) return false;
+    return std::none_of(not_forwarded.begin(), not_forwarded.end(),
+                        [name](std::string_view each) { return equals_ignoring_case(name, each); });
+}
+
+}  // namespace plumkeel::http
--- a/src/net/lazy_timer.hpp
+++ b/src/net/lazy_timer.hpp
@@ -1,43 +1,47 @@
-// A due time that is moved often and reached seldom, such as how long a connection may idle. Moving it later
-// costs nothing: what stands in the world's order is looked at again when it falls due. It ends with its owner.
+/// A timer whose deadline is moved often and reached seldom, such as a connection's idle timeout.
 #pragma once
 
+#include <functional>
+#include <utility>
+
 #include "net/event_loop.hpp"
 
 namespace plumkeel::net {
 
+/// Moving the deadline later costs nothing: the timer stays scheduled and checks the deadline again when it fires.
+/// It is cancelled when its owner is destroyed.
 class LazyTimer {
 public:
-    // `what` may destroy the limit's owner, as its last act.
-    LazyTimer(EventLoop& loop, std::function<void()> what) : loop_(loop), what_(std::move(what)) {}
-    ~LazyTimer() { loop_.cancel(ticket_); }
+    /// `on_expiry` may destroy the timer's owner as its last act.
+    LazyTimer(EventLoop& loop, std::function<void()> on_expiry) : loop_(loop), on_expiry_(std::move(on_expiry)) {}
+    ~LazyTimer() { loop_.cancel(key_); }
     LazyTimer(const LazyTimer&) = delete;
     LazyTimer& operator=(const LazyTimer&) = delete;
 
-    void set(Time at) {
-        at_ = at;
-        if (ticket_.second && ticket_.first <= at_) return;
-        loop_.cancel(ticket_);
-        stand();
+    void set(Time deadline) {
+        deadline_ = deadline;
+        if (key_.second && key_.first <= deadline_) return;
+        loop_.cancel(key_);
+        schedule();
     }
-    void clear() { at_ = Time::max(); }
-    bool is_set() const { return at_ != Time::max(); }
+    void clear() { deadline_ = Time::max(); }
+    bool is_set() const { return deadline_ != Time::max(); }
 
 private:
-    void stand() {
-        ticket_ = loop_.call_at(at_, [this] {
-            ticket_ = {};
-            if (at_ == Time::max()) return;
-            if (loop_.now() < at_) return stand();
-            at_ = Time::max();
-            what_();
+    void schedule() {
+        key_ = loop_.call_at(deadline_, [this] {
+            key_ = {};
+            if (deadline_ == Time::max()) return;
+            if (loop_.now() < deadline_) return schedule();
+            deadline_ = Time::max();
+            on_expiry_();
         });
     }
 
     EventLoop& loop_;
-    const std::function<void()> what_;
-    EventLoop::TimerKey ticket_{};
-    Time at_ = Time::max();
+    const std::function<void()> on_expiry_;
+    EventLoop::TimerKey key_{};
+    Time deadline_ = Time::max();
 };
 
 }  // namespace plumkeel::net
--- /dev/null
+++ b/src/net/notification.cpp
@@ -0,0 +1,29 @@
+#include "net/notification.hpp"
+
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/use_awaitable.hpp>
+#include <utility>
+
+#include "net/event_loop.hpp"
+
+namespace plumkeel::net {
+
+Notification::Notification(EventLoop& loop) : timer_(loop.executor(), asio::steady_timer::time_point::max()) {}
+
+Task<> Notification::wait() {
+    if (std::exchange(notified_, false)) co_return;
+    // The expiry is never set again: that would wake the present waiters, and two waiters would wake each other
+    // forever.
+    ++waiters_;
+    co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+    --waiters_;
+}
+
+void Notification::notify() {
+    if (waiters_ > 0)
+        timer_.cancel();
+    else
+        notified_ = true;
+}
+
+}  // namespace plumkeel::net
--- a/src/net/simulated_event_loop.cpp
+++ b/src/net/simulated_event_loop.cpp
@@ -1,150 +1,15 @@
 #include "net/simulated_event_loop.hpp"
 
 #include <algorithm>
-#include <deque>
 
-namespace plumkeel::net {
-namespace {
-
-// One way of a stream: bytes with the moment at which each piece arrives.
-struct Way {
-    explicit Way(EventLoop& loop) : arrival(loop), room(loop) {}
-    struct Piece {
-        Time at;
-        std::string bytes;
-    };
-    std::deque<Piece> pieces;
-    std::size_t under_way{};
-    Time ends = Time::max();  // when the end of sending arrives
-    Error broken;
-    Notification arrival, room;
-};
-
-class MemoryStream : public Stream {
-public:
-    MemoryStream(SimulatedEventLoop& loop, std::size_t room, std::shared_ptr<Way> in, std::shared_ptr<Way> out)
-        : loop_(loop), room_(room), in_(std::move(in)), out_(std::move(out)) {}
-    ~MemoryStream() override { close(); }
-
-    Task<TransferResult> read(asio::mutable_buffer into) override {
-        const auto in = in_;
-        for (;;) {
-            if (closed_) co_return TransferResult{asio::error::operation_aborted, 0, {}};
-            if (in->broken) co_return TransferResult{in->broken, 0, {}};
-            if (!in->pieces.empty() && in->pieces.front().at <= loop_.now()) {
-                std::string& bytes = in->pieces.front().bytes;
-                const std::size_t n = asio::buffer_copy(into, asio::buffer(bytes));
-                bytes.erase(0, n);
-                if (bytes.empty()) in->pieces.pop_front();
-                in->under_way -= n;
-                in->room.notify();
-                co_return TransferResult{{}, n, {}};
-            }
-            if (in->pieces.empty() && in->ends <= loop_.now()) co_return TransferResult{asio::error::eof, 0, {}};
-            co_await in->arrival.wait();
-        }
-    }
-
-    TransferResult write_now(std::span<const asio::const_buffer> from) override {
-        if (closed_) return {asio::error::operation_aborted, 0, {}};
-        if (out_->broken) return {out_->broken, 0, {}};
-        if (out_->ends != Time::max()) return {asio::error::broken_pipe, 0, {}};
-        std::string bytes;
-        for (const auto& part : from) {
-            const std::size_t left = room_ - out_->under_way - bytes.size();
-            bytes.append(static_cast<const char*>(part.data()), std::min(left, part.size()));
-        }
-        const std::size_t n = bytes.size();
-        if (n == 0) return {};
-        out_->under_way += n;
-        out_->pieces.push_back({loop_.now() + loop_.latency(), std::move(bytes)});
-        ring(out_, out_->pieces.back().at);
-        return {{}, n, {}};
-    }
-
-    Task<Error> writable() override {
-        const auto out = out_;
-        while (!closed_ && !out->broken && out->under_way >= room_) co_await out->room.wait();
-        co_return closed_ ? Error(asio::error::operation_aborted) : Error();
-    }
-
-    bool peer_closed() override { return closed_ || in_->broken || (in_->pieces.empty() && in_->ends <= loop_.now()); }
-
-    bool has_unread() override {
-        return !closed_ && ((!in_->pieces.empty() && in_->pieces.front().at <= loop_.now()) || peer_closed());
-    }
-
-    void shutdown_send() override {
-        if (out_->ends != Time::max()) return;
-        out_->ends = loop_.now() + loop_.latency();
-        ring(out_, out_->ends);
-    }
-
-    void close() override { shut(false); }
-    void reset() override { shut(true); }
-
-private:
-    void ring(const std::shared_ptr<Way>& way, Time when) {
-        loop_.call_at(when, [way] { way->arrival.notify(); });
-    }
-
-    // What the peer sends from now on meets a reset, and so does its reading where asked for.
-    void shut(bool hard) {
-        if (closed_) return;
-        closed_ = true;
-        shutdown_send();
-        const bool unread = in_->under_way > 0;
-        loop_.call_at(loop_.now() + loop_.latency(), [in = in_, out = out_, hard = hard || unread] {
-            in->broken = asio::error::broken_pipe;
-            if (hard) out->broken = asio::error::connection_reset;
-            in->room.notify();
-            out->arrival.notify();
-        });
-        in_->arrival.notify();
-        out_->room.notify();
-    }
-
-    SimulatedEventLoop& loop_;
-    const std::size_t room_;
-    std::shared_ptr<Way> in_, out_;
-    bool closed_{};
-};
+#include "net/simulated_listener.hpp"
+#include "net/simulated_stream.hpp"
 
-}  // namespace
-
-class SimulatedListener : public Listener {
-public:
-    SimulatedListener(SimulatedEventLoop& loop, Address at) : loop_(loop), at_(std::move(at)), arrival_(loop) {}
-    ~SimulatedListener() override { close(); }
-
-    Task<AcceptResult> accept() override {
-        while (waiting_.empty() && !closed_) co_await arrival_.wait();
-        if (closed_) co_return AcceptResult{asio::error::operation_aborted, nullptr};
-        AcceptResult out{{}, std::move(waiting_.front())};
-        waiting_.pop_front();
-        co_return out;
-    }
-    bool has_pending() override { return !waiting_.empty(); }
-    Address address() const override { return at_; }
-    void close() override {
-        if (std::exchange(closed_, true)) return;
-        loop_.listeners_.erase(at_.to_string());
-        arrival_.notify();
-    }
-    void arrive(std::shared_ptr<Stream> stream) {
-        waiting_.push_back(std::move(stream));
-        arrival_.notify();
-    }
+namespace plumkeel::net {
 
-private:
-    SimulatedEventLoop& loop_;
-    const Address at_;
-    std::deque<std::shared_ptr<Stream>> waiting_;
-    bool closed_{};
-    Notification arrival_;
-};
+SimulatedEventLoop::SimulatedEventLoop(Time latency, std::size_t buffer_bytes)
+    : latency_(latency), buffer_bytes_(buffer_bytes) {}
 
-SimulatedEventLoop::SimulatedEventLoop(Time latency, std::size_t room) : latency_(latency), buffer_bytes_(room) {}
 SimulatedEventLoop::~SimulatedEventLoop() {
     cancel_all();
 }
@@ -157,21 +22,22 @@
         co_return ConnectResult{error, nullptr};
     }
     co_await sleep(2 * latency_);
-    const auto found = listeners_.find(to.to_string());
-    if (found == listeners_.end()) co_return ConnectResult{asio::error::connection_refused, nullptr};
-    auto there = std::make_shared<Way>(*this), back = std::make_shared<Way>(*this);
-    const auto narrow = buffer_limits_.find(to.to_string());
-    const std::size_t room = narrow == buffer_limits_.end() ? buffer_bytes_ : narrow->second;
-    found->second->arrive(std::make_shared<MemoryStream>(*this, room, there, back));
-    co_return ConnectResult{{}, std::make_shared<MemoryStream>(*this, room, back, there)};
+    const auto listener = listeners_.find(to.to_string());
+    if (listener == listeners_.end()) co_return ConnectResult{asio::error::connection_refused, nullptr};
+    auto to_server = std::make_shared<SimulatedPipe>(*this);
+    auto to_client = std::make_shared<SimulatedPipe>(*this);
+    const auto limit = buffer_limits_.find(to.to_string());
+    const std::size_t buffer_bytes = limit == buffer_limits_.end() ? buffer_bytes_ : limit->second;
+    listener->second->add_connection(std::make_shared<SimulatedStream>(*this, buffer_bytes, to_server, to_client));
+    co_return ConnectResult{{}, std::make_shared<SimulatedStream>(*this, buffer_bytes, to_client, to_server)};
 }
 
 EventLoop::ListenResult SimulatedEventLoop::listen(const Address& at) {
-    Address here = at;
-    if (here.port == 0) here.port = ++next_port_;
-    if (listeners_.count(here.to_string())) return {asio::error::address_in_use, nullptr};
-    auto listener = std::make_shared<SimulatedListener>(*this, here);
-    listeners_[here.to_string()] = listener.get();
+    Address address = at;
+    if (address.port == 0) address.port = ++last_ephemeral_port_;
+    if (listeners_.count(address.to_string())) return {asio::error::address_in_use, nullptr};
+    auto listener = std::make_shared<SimulatedListener>(*this, address);
+    listeners_[address.to_string()] = listener.get();
     return {{}, listener};
 }
 
--- a/src/net/socket_event_loop.hpp
+++ b/src/net/socket_event_loop.hpp
@@ -1,10 +1,13 @@
-// The world of sockets and the machine's clock, on one thread.
+/// The event loop of the real program: TCP sockets, signals and the system clock, on one thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
-#include <csignal>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
 #include <functional>
+#include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -14,54 +17,43 @@
 
 class SocketEventLoop : public EventLoop {
 public:
+    /// Receives a line of the standard input without its newline, and at the end of input an empty optional.
+    using LineCallback = std::function<void(std::optional<std::string>)>;
+
     SocketEventLoop();
     ~SocketEventLoop() override;
+
     Time now() const override;
     Time wall_clock() const override;
     asio::any_io_executor executor() override { return context_.get_executor(); }
-    Task<ConnectResult> connect(Address to, Time limit) override;
+    Task<ConnectResult> connect(Address to, Time timeout) override;
     ListenResult listen(const Address& at) override;
 
-    void run();   // until stop() or nothing is left to do
-    void stop();  // what still waits is destroyed with the world
-    // Tells of SIGTERM and SIGINT, each time; or of one signal.
-    void on_termination(std::function<void()> what);
-    void on_signal(int number, std::function<void()> what);
-    // Feeds lines of the standard input; an empty optional at its end.
-    void on_input_line(std::function<void(std::optional<std::string>)> what);
+    /// Runs until stop() is called or nothing is left to do. May be called again after a stop.
+    void run();
+
+    /// Ends run(). Coroutines that still wait are destroyed with the loop.
+    void stop();
+
+    /// Calls back on each SIGTERM and SIGINT. The signals are caught from this call on; the callback runs in run().
+    void on_termination(std::function<void()> callback);
+
+    /// The same for one signal.
+    void on_signal(int number, std::function<void()> callback);
+
+    /// Reads the standard input line by line.
+    void on_input_line(LineCallback callback);
 
 private:
     void arm(Time when) override;
-    void run_due_after(int rounds);
-    Task<> read_input(std::function<void(std::optional<std::string>)> what);
-    // From here on the signals are caught; `what` is called once the world runs.
-    void on_signals(const std::vector<int>& numbers, std::function<void()> what);
-    Task<> watch_signals(std::unique_ptr<asio::signal_set> signals, std::function<void()> what);
+    void run_due_timers_after(int iterations);
+    Task<> read_input(LineCallback callback);
+    void on_signals(const std::vector<int>& numbers, std::function<void()> callback);
+    Task<> watch_signals(std::unique_ptr<asio::signal_set> signals, std::function<void()> callback);
 
     asio::io_context context_{1};
     asio::steady_timer timer_{context_};
     const std::chrono::steady_clock::time_point start_;
 };
 
-// Keeps signals pending, in this thread and those that it starts, until somebody catches them: one that comes while a
-// program starts would end it, or be lost.
-class SignalBlock {
-public:
-    explicit SignalBlock(std::initializer_list<int> numbers);
-    ~SignalBlock();
-    SignalBlock(const SignalBlock&) = delete;
-    SignalBlock& operator=(const SignalBlock&) = delete;
-    void release();
-
-private:
-    sigset_t before_{};
-    bool released_{};
-};
-
-// Which process listens on the port: "pid 123 (plumkeel)", or empty where that can't be seen.
-std::string listening_process(std::uint16_t port);
-
-// The machine's monotonic clock, shared by all processes on it: for records that are laid side by side.
-Time machine_clock();
-
 }  // namespace plumkeel::net
--- /dev/null
+++ b/src/net/socket_io.hpp
@@ -0,0 +1,17 @@
+/// What socket streams, listeners and the socket event loop share; private to this package.
+#pragma once
+
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+#include "net/types.hpp"
+
+namespace plumkeel::net::socket_io {
+
+/// Completion token: errors are part of the awaited tuple instead of being thrown.
+constexpr auto as_result = asio::as_tuple(asio::use_awaitable);
+
+/// Whether poll(2) reports the descriptor readable; does not wait.
+bool is_readable(int descriptor);
+
+}  // namespace plumkeel::net::socket_io
--- a/src/net/usage.cpp
+++ b/src/net/usage.cpp
@@ -5,22 +5,41 @@
 
 #include <filesystem>
 #include <fstream>
+#include <system_error>
 
 namespace plumkeel::net {
+namespace {
 
-Usage usage() {
-    Usage out;
+std::size_t resident_kb() {
+    // proc(5): the first two fields of statm are total and resident size, in pages.
     std::size_t pages = 0;
     std::ifstream("/proc/self/statm") >> pages >> pages;
-    out.resident_kb = pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)) / 1024;
+    return pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)) / 1024;
+}
+
+std::size_t open_descriptors() {
+    std::size_t count = 0;
     std::error_code error;
     for (std::filesystem::directory_iterator it("/proc/self/fd", error), end; !error && it != end; it.increment(error))
-        ++out.descriptors;
+        ++count;
+    return count;
+}
+
+Time cpu_time() {
     rusage used{};
     ::getrusage(RUSAGE_SELF, &used);
-    const auto of = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
-    out.cpu = of(used.ru_utime) + of(used.ru_stime);
-    return out;
+    const auto to_time = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
+    return to_time(used.ru_utime) + to_time(used.ru_stime);
+}
+
+}  // namespace
+
+Usage usage() {
+    Usage current;
+    current.resident_kb = resident_kb();
+    current.descriptors = open_descriptors();
+    current.cpu = cpu_time();
+    return current;
 }
 
 }  // namespace plumkeel::net
--- a/src/net/usage.hpp
+++ b/src/net/usage.hpp
@@ -1,15 +1,19 @@
-// What this process takes of its machine.
+/// Resource usage of this process.
 #pragma once
 
-#include "net/event_loop.hpp"
+#include <cstddef>
+
+#include "net/types.hpp"
 
 namespace plumkeel::net {
 
 struct Usage {
-    std::size_t resident_kb{}, descriptors{};
-    Time cpu{};
+    std::size_t resident_kb{};  ///< resident set size in KiB
+    std::size_t descriptors{};  ///< open file descriptors
+    Time cpu{};                 ///< user and system CPU time since the process started
 };
 
+/// Reads /proc/self (proc(5)) and getrusage(2); figures that cannot be read stay 0.
 Usage usage();
 
 }  // namespace plumkeel::net
--- a/src/net/write_queue.cpp
+++ b/src/net/write_queue.cpp
@@ -1,74 +1,80 @@
 #include "net/write_queue.hpp"
 
+#include <algorithm>
 #include <array>
+#include <utility>
+
+#include "net/event_loop.hpp"
 
 namespace plumkeel::net {
+namespace {
+
+/// Most chunks that one write passes to the stream.
+constexpr std::size_t max_buffers_per_write = 8;
+
+asio::const_buffer buffer_of(const WriteQueue::Chunk& chunk) {
+    return chunk ? asio::buffer(*chunk) : asio::const_buffer();
+}
+
+}  // namespace
 
 WriteQueue::WriteQueue(EventLoop& loop, std::shared_ptr<Stream> stream)
     : loop_(loop), stream_(std::move(stream)), writable_(loop) {}
 
 void WriteQueue::send(std::string head, Chunk body) {
     if (error_) return;
-    std::size_t of_body = 0;
-    if (queue_.empty() && !pumping_) {  // nearly always all of it fits at once
-        const std::array<asio::const_buffer, 2> whole{asio::buffer(head),
-                                                      body ? asio::buffer(*body) : asio::const_buffer()};
-        const TransferResult moved = stream_->write_now(whole);
-        if (moved.error) {
-            error_ = moved.error;
+    std::size_t written = 0;
+    if (is_idle()) {  // nearly always all of it fits at once
+        const std::array<asio::const_buffer, 2> buffers{asio::buffer(head), buffer_of(body)};
+        const TransferResult result = stream_->write_now(buffers);
+        if (result.error) {
+            error_ = result.error;
             return;
         }
-        sent_bytes_ += moved.bytes;
-        const std::size_t of_head = std::min(moved.bytes, head.size());
-        if (moved.bytes == head.size() + whole[1].size()) return;
-        head.erase(0, of_head);
-        offset_ = of_body = moved.bytes - of_head;  // above 0 only once the whole head is out
-    }
-    if (!head.empty()) {
-        pending_bytes_ += head.size();
-        queue_.push_back(std::make_shared<const std::string>(std::move(head)));
-    }
-    if (body && !body->empty()) {
-        pending_bytes_ += body->size() - of_body;
-        queue_.push_back(std::move(body));
-    }
-    if (!queue_.empty() && !pumping_ && !error_) {
-        pumping_ = true;
-        loop_.spawn(pump(shared_from_this()));
+        sent_bytes_ += result.bytes;
+        if (result.bytes == asio::buffer_size(buffers)) return;
+        written = result.bytes;
     }
+    if (!head.empty()) enqueue_unsent(std::make_shared<const std::string>(std::move(head)), written);
+    if (body) enqueue_unsent(std::move(body), written);
+    start_sending();
 }
 
 bool WriteQueue::send_if_room(std::string head, Chunk body, std::string tail) {
     if (error_) return true;
-    if (!queue_.empty() || pumping_) return false;
-    const std::array<asio::const_buffer, 3> whole{asio::buffer(head), body ? asio::buffer(*body) : asio::const_buffer(),
-                                                  asio::buffer(tail)};
-    const TransferResult moved = stream_->write_now(whole);
-    if (moved.error) {
-        error_ = moved.error;
+    if (!is_idle()) return false;
+    const std::array<asio::const_buffer, 3> buffers{asio::buffer(head), buffer_of(body), asio::buffer(tail)};
+    const TransferResult result = stream_->write_now(buffers);
+    if (result.error) {
+        error_ = result.error;
         return true;
     }
-    if (moved.bytes == 0) return false;
-    sent_bytes_ += moved.bytes;
-    std::size_t out = moved.bytes;
-    const auto keep = [&](Chunk text) {
-        const std::size_t of_it = std::min(out, text->size());
-        out -= of_it;
-        if (of_it == text->size()) return;
-        if (queue_.empty()) offset_ = of_it;
-        pending_bytes_ += text->size() - of_it;
-        queue_.push_back(std::move(text));
-    };
-    keep(std::make_shared<const std::string>(std::move(head)));
-    if (body) keep(std::move(body));
-    keep(std::make_shared<const std::string>(std::move(tail)));
-    if (!queue_.empty()) {
-        pumping_ = true;
-        loop_.spawn(pump(shared_from_this()));
-    }
+    if (result.bytes == 0) return false;
+    sent_bytes_ += result.bytes;
+    std::size_t written = result.bytes;
+    enqueue_unsent(std::make_shared<const std::string>(std::move(head)), written);
+    if (body) enqueue_unsent(std::move(body), written);
+    enqueue_unsent(std::make_shared<const std::string>(std::move(tail)), written);
+    start_sending();
     return true;
 }
 
+// Keeps what is left of the chunk, `written` being the bytes sent of this chunk and those after it.
+void WriteQueue::enqueue_unsent(Chunk chunk, std::size_t& written) {
+    const std::size_t written_of_chunk = std::min(written, chunk->size());
+    written -= written_of_chunk;
+    if (written_of_chunk == chunk->size()) return;
+    if (queue_.empty()) front_offset_ = written_of_chunk;
+    pending_bytes_ += chunk->size() - written_of_chunk;
+    queue_.push_back(std::move(chunk));
+}
+
+void WriteQueue::start_sending() {
+    if (queue_.empty() || sending_) return;
+    sending_ = true;
+    loop_.spawn(send_pending(shared_from_this()));
+}
+
 Task<> WriteQueue::wait_writable() {
     if (error_) co_return;
     if (pending_bytes_ > 0) co_return co_await wait_below(0);
@@ -78,33 +84,36 @@
     }
 }
 
+Task<> WriteQueue::wait_below(std::size_t bytes) {
+    while (pending_bytes_ > bytes && !error_) co_await writable_.wait();
+}
+
+// Writes until the stream takes no more.
 void WriteQueue::flush() {
     while (!queue_.empty() && !error_) {
-        std::array<asio::const_buffer, 8> parts;
-        std::size_t count = 0;
-        for (const Chunk& text : queue_) {
-            if (count == parts.size()) break;
-            parts[count++] = asio::buffer(*text);
-        }
-        parts[0] += offset_;
-        const TransferResult moved = stream_->write_now({parts.data(), count});
-        if (moved.error) {
-            error_ = moved.error;
+        std::array<asio::const_buffer, max_buffers_per_write> buffers;
+        const std::size_t count = std::min(queue_.size(), buffers.size());
+        for (std::size_t i = 0; i < count; ++i) buffers[i] = asio::buffer(*queue_[i]);
+        buffers[0] += front_offset_;
+        const TransferResult result = stream_->write_now({buffers.data(), count});
+        if (result.error) {
+            error_ = result.error;
             abandon();
             return;
         }
-        if (moved.bytes == 0) return;
-        sent_bytes_ += moved.bytes;
-        pending_bytes_ -= moved.bytes;
-        offset_ += moved.bytes;
-        while (!queue_.empty() && offset_ >= queue_.front()->size()) {
-            offset_ -= queue_.front()->size();
+        if (result.bytes == 0) return;
+        sent_bytes_ += result.bytes;
+        pending_bytes_ -= result.bytes;
+        front_offset_ += result.bytes;
+        while (!queue_.empty() && front_offset_ >= queue_.front()->size()) {
+            front_offset_ -= queue_.front()->size();
             queue_.pop_front();
         }
     }
 }
 
-Task<> WriteQueue::pump(std::shared_ptr<WriteQueue>) {
+// The parameter keeps the queue alive until the coroutine ends.
+Task<> WriteQueue::send_pending(std::shared_ptr<WriteQueue>) {
     while (!queue_.empty() && !error_) {
         const Error error = co_await stream_->writable();
         if (error) {
@@ -115,18 +124,14 @@
         flush();
         writable_.notify();
     }
-    pumping_ = false;
+    sending_ = false;
     writable_.notify();
 }
 
-Task<> WriteQueue::wait_below(std::size_t bytes) {
-    while (pending_bytes_ > bytes && !error_) co_await writable_.wait();
-}
-
 void WriteQueue::abandon() {
     if (!error_) error_ = asio::error::operation_aborted;
     queue_.clear();
-    pending_bytes_ = offset_ = 0;
+    pending_bytes_ = front_offset_ = 0;
     writable_.notify();
 }
 
--- a/src/net/write_queue.hpp
+++ b/src/net/write_queue.hpp
@@ -1,44 +1,63 @@
-// What a connection still has to send, in order. What fits goes out at once; the rest waits for room and is
-// sent by a coroutine of the outbox. Whoever fills it watches pending() and waits in below(): the outbox
-// itself keeps all that it is given.
+/// The bytes that a connection still has to send.
 #pragma once
 
+#include <cstddef>
 #include <deque>
 #include <memory>
 #include <string>
 
-#include "net/event_loop.hpp"
+#include "net/notification.hpp"
+#include "net/stream.hpp"
 
 namespace plumkeel::net {
 
+class EventLoop;
+
+/// Sends what fits at once; the rest waits in order and is sent by a coroutine of the queue, which keeps the queue
+/// alive. The queue is unbounded: whoever fills it checks pending_bytes() and waits in wait_below().
 class WriteQueue : public std::enable_shared_from_this<WriteQueue> {
 public:
+    /// A body that several owners may share; it is not copied.
     using Chunk = std::shared_ptr<const std::string>;
 
     WriteQueue(EventLoop& loop, std::shared_ptr<Stream> stream);
+
     void send(std::string head, Chunk body = {});
-    // The same for what must not wait here: false, and nothing is kept, where no byte of it can leave now. With a byte
-    // out the rest follows, as with send().
+
+    /// Sends only if the first byte can leave now: otherwise returns false and keeps nothing. Once a byte has left the
+    /// rest follows, as with send(). After an error it returns true and sends nothing.
     bool send_if_room(std::string head, Chunk body, std::string tail);
-    // Waits until something may fit, or the stream has broken.
+
+    /// Waits until something may fit or the stream fails.
     Task<> wait_writable();
-    // Waits until at most `bytes` are pending, or the stream has broken.
+
+    /// Waits until at most `bytes` are pending or the stream fails.
     Task<> wait_below(std::size_t bytes);
 
     std::size_t pending_bytes() const { return pending_bytes_; }
-    std::size_t sent_bytes() const { return sent_bytes_; }  // bytes handed over, over the connection's whole life
+
+    /// Bytes passed to the stream over the connection's whole life.
+    std::size_t sent_bytes() const { return sent_bytes_; }
+
+    /// The stream's first error, or `asio::error::operation_aborted` after abandon().
     Error error() const { return error_; }
-    void abandon();  // nothing more is sent; what waits is let go
+
+    /// Drops what is pending and sends nothing more; wakes all waiters.
+    void abandon();
 
 private:
+    bool is_idle() const { return queue_.empty() && !sending_; }
+    void enqueue_unsent(Chunk chunk, std::size_t& written);
+    void start_sending();
     void flush();
-    Task<> pump(std::shared_ptr<WriteQueue> keeps_it);
+    Task<> send_pending(std::shared_ptr<WriteQueue> keep_alive);
 
     EventLoop& loop_;
     std::shared_ptr<Stream> stream_;
     std::deque<Chunk> queue_;
-    std::size_t offset_{}, pending_bytes_{}, sent_bytes_{};
-    bool pumping_{};
+    std::size_t front_offset_{};  // bytes of the first chunk that are sent
+    std::size_t pending_bytes_{}, sent_bytes_{};
+    bool sending_{};
     Error error_;
     Notification writable_;
 };
--- a/src/orca/orca.cpp
+++ b/src/orca/orca.cpp
@@ -5,67 +5,84 @@
 #include <boost/json.hpp>
 #include <charconv>
 #include <cmath>
+#include <optional>
 
 namespace plumkeel::orca {
 namespace {
 
-constexpr std::string_view held_name = "inflight", queued_name = "queue", named = "named_metrics.";
+constexpr std::string_view text_prefix = "TEXT ";
+constexpr std::string_view json_prefix = "JSON ";
+constexpr std::string_view named_metrics_prefix = "named_metrics.";
+constexpr std::string_view in_flight_metric = "inflight";
+constexpr std::string_view queued_metric = "queue";
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
     while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
     while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
     return text;
 }
 
-void note(LoadReport& report, std::string_view name, double value) {
+std::optional<double> parse_number(std::string_view text) {
+    double value = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size()) return {};
+    return value;
+}
+
+void set_metric(LoadReport& report, std::string_view name, double value) {
     if (!std::isfinite(value) || value < 0) return;
-    if (name == held_name) report.in_flight = value;
-    if (name == queued_name) report.queued = value;
+    if (name == in_flight_metric) report.in_flight = value;
+    if (name == queued_metric) report.queued = value;
+}
+
+void parse_text_metric(LoadReport& report, std::string_view metric) {
+    const auto separator = metric.find_first_of("=:");
+    if (separator == std::string_view::npos || !metric.starts_with(named_metrics_prefix)) return;
+    const auto value = parse_number(trim(metric.substr(separator + 1)));
+    if (!value) return;
+    const std::size_t name_begin = named_metrics_prefix.size();
+    set_metric(report, trim(metric.substr(name_begin, separator - name_begin)), *value);
 }
 
-LoadReport read_text(std::string_view rest) {
+LoadReport parse_text(std::string_view rest) {
     LoadReport report;
     while (!rest.empty()) {
         const auto comma = rest.find(',');
-        std::string_view pair = trimmed(rest.substr(0, comma));
+        parse_text_metric(report, trim(rest.substr(0, comma)));
         rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
-        const auto equals = pair.find_first_of("=:");
-        if (equals == std::string_view::npos || !pair.starts_with(named)) continue;
-        const std::string_view digits = trimmed(pair.substr(equals + 1));
-        double value = 0;
-        const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
-        if (error != std::errc{} || end != digits.data() + digits.size()) continue;
-        note(report, trimmed(pair.substr(named.size(), equals - named.size())), value);
     }
     return report;
 }
 
-LoadReport read_json(std::string_view rest) {
+LoadReport parse_json(std::string_view text) {
     LoadReport report;
     boost::system::error_code error;
-    const auto value = boost::json::parse({rest.data(), rest.size()}, error);
+    const auto value = boost::json::parse({text.data(), text.size()}, error);
     if (error || !value.is_object()) return report;
     const auto* metrics = value.as_object().if_contains("named_metrics");
     if (!metrics || !metrics->is_object()) return report;
-    for (const auto& [name, figure] : metrics->as_object())
-        if (figure.is_number()) note(report, {name.data(), name.size()}, figure.to_number<double>());
+    for (const auto& [name, number] : metrics->as_object())
+        if (number.is_number()) set_metric(report, {name.data(), name.size()}, number.to_number<double>());
     return report;
 }
 
 }  // namespace
 
 LoadReport parse(std::string_view value) {
-    value = trimmed(value);
-    if (value.starts_with("TEXT ")) return read_text(value.substr(5));
-    if (value.starts_with("JSON ")) return read_json(value.substr(5));
+    value = trim(value);
+    if (value.starts_with(text_prefix)) return parse_text(value.substr(text_prefix.size()));
+    if (value.starts_with(json_prefix)) return parse_json(value.substr(json_prefix.size()));
     return {};
 }
 
 std::string format(const LoadReport& report) {
-    std::string out = "TEXT ";
-    if (report.in_flight) out += fmt::format("named_metrics.{}={:g}", held_name, *report.in_flight);
-    if (report.queued)
-        out += fmt::format("{}named_metrics.{}={:g}", report.in_flight ? ", " : "", queued_name, *report.queued);
+    std::string out(text_prefix);
+    auto add = [&out, separator = ""](std::string_view name, double value) mutable {
+        out += fmt::format("{}{}{}={:g}", separator, named_metrics_prefix, name, value);
+        separator = ", ";
+    };
+    if (report.in_flight) add(in_flight_metric, *report.in_flight);
+    if (report.queued) add(queued_metric, *report.queued);
     return out;
 }
 
--- a/src/orca/orca.hpp
+++ b/src/orca/orca.hpp
@@ -1,7 +1,8 @@
-// Load reports in the published ORCA form, as they come in the header `endpoint-load-metrics`:
-//   TEXT cpu_utilization=0.3, named_metrics.inflight=3, named_metrics.queue=1
-//   JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 3, "queue": 1}}
-// Free of I/O.
+/// Load reports in the formats of Open Request Cost Aggregation (ORCA), as invokers send them in the response header
+/// `endpoint-load-metrics`:
+///   TEXT cpu_utilization=0.3, named_metrics.inflight=3, named_metrics.queue=1
+///   JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 3, "queue": 1}}
+/// Does no I/O.
 #pragma once
 
 #include <string>
@@ -11,10 +12,14 @@
 
 namespace plumkeel::orca {
 
+/// Name of the header that carries a report.
 constexpr const char* header = "endpoint-load-metrics";
 
-// Figures that are missing, no numbers, negative or not finite are left out; a form not known tells nothing.
+/// Parses a header value. Metrics that are missing, not numeric, negative or not finite stay empty; a value in an
+/// unknown format gives an empty report.
 LoadReport parse(std::string_view value);
+
+/// The report as a header value in TEXT format.
 std::string format(const LoadReport& report);
 
 }  // namespace plumkeel::orca
--- a/src/platform/serve.cpp
+++ b/src/platform/serve.cpp
@@ -6,6 +6,7 @@
 #include "discovery/watcher.hpp"
 #include "fastcgi/server.hpp"
 #include "gateway/gateway.hpp"
+#include "net/signal_block.hpp"
 #include "net/socket_event_loop.hpp"
 #include "platform/platform_config.hpp"
 #include "platform/platform_server.hpp"
--- a/src/random/pcg.hpp
+++ b/src/random/pcg.hpp
@@ -1,24 +1,29 @@
-// Chance from a seed: a permuted congruential generator (XSH-RR 64/32). The decision module has its own, since it
-// stands alone.
+/// Reproducible pseudo-random numbers. The scheduler has a generator of its own, since it depends on no other package.
 #pragma once
 
 #include <cstdint>
 
 namespace plumkeel {
 
+/// Permuted congruential generator PCG-XSH-RR 64/32 (M. E. O'Neill, "PCG: A Family of Simple Fast Space-Efficient
+/// Statistically Good Algorithms for Random Number Generation", 2014).
 class Pcg {
 public:
-    explicit Pcg(std::uint64_t seed) : state_(seed * 6364136223846793005ULL + 1442695040888963407ULL) { next(); }
+    explicit Pcg(std::uint64_t seed) : state_(seed * multiplier + increment) { next(); }
 
-    double next() {  // from 0 up to 1
-        const std::uint64_t old = state_;
-        state_ = old * 6364136223846793005ULL + 1442695040888963407ULL;
-        const auto shifted = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
-        const auto turn = static_cast<std::uint32_t>(old >> 59);
-        return ((shifted >> turn) | (shifted << ((32 - turn) & 31))) * 0x1p-32;
+    /// A number evenly distributed over [0, 1).
+    double next() {
+        const std::uint64_t previous = state_;
+        state_ = previous * multiplier + increment;
+        const auto shifted = static_cast<std::uint32_t>(((previous >> 18) ^ previous) >> 27);
+        const auto rotation = static_cast<std::uint32_t>(previous >> 59);
+        return ((shifted >> rotation) | (shifted << ((32 - rotation) & 31))) * 0x1p-32;
     }
 
 private:
+    static constexpr std::uint64_t multiplier = 6364136223846793005ULL;
+    static constexpr std::uint64_t increment = 1442695040888963407ULL;
+
     std::uint64_t state_;
 };
 
--- a/src/remote_write/sender.hpp
+++ b/src/remote_write/sender.hpp
@@ -9,6 +9,7 @@
 #include <string>
 
 #include "net/event_loop.hpp"
+#include "net/notification.hpp"
 #include "remote_write/durable_queue.hpp"
 #include "remote_write/export_event.hpp"
 #include "remote_write/send_controller.hpp"
--- a/src/web/connection.hpp
+++ b/src/web/connection.hpp
@@ -5,6 +5,7 @@
 #include "gateway/gateway.hpp"
 #include "http/http.hpp"
 #include "net/lazy_timer.hpp"
+#include "net/notification.hpp"
 
 namespace plumkeel::web {
 
--- a/src/web/connection_pool.cpp
+++ b/src/web/connection_pool.cpp
@@ -6,6 +6,7 @@
 
 #include "gateway/gateway.hpp"
 #include "http/http.hpp"
+#include "net/lazy_timer.hpp"
 #include "orca/orca.hpp"
 #include "web/protocol.hpp"
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "http/http.hpp"
+#include "net/notification.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "web/server.hpp"
 
