--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -1,5 +1,5 @@
-// A controller that may open few descriptors, and clients that hold more connections than these: it must neither
-// spin nor stop for good. Real sockets, in a process of its own, whose limit is lowered.
+/// A gateway that may open few file descriptors, whose clients hold more connections than these. It runs on real
+/// sockets in a process of its own, whose limit is lowered.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -17,9 +17,10 @@
 
 using namespace std::chrono_literals;
 
-[[noreturn]] void serve_with_few(int tell) {
-    const rlimit few{30, 30};
-    ::setrlimit(RLIMIT_NOFILE, &few);
+/// Serves with at most 30 descriptors and writes the port that it listens on to `port_pipe`.
+[[noreturn]] void serve_with_few_descriptors(int port_pipe) {
+    const rlimit limit{30, 30};
+    ::setrlimit(RLIMIT_NOFILE, &limit);
     net::SocketEventLoop loop;
     GatewayConfig config;
     config.listen = "127.0.0.1:0";
@@ -29,54 +30,57 @@
     config.request_classes["p"].name = "p";
     config.request_classes["p"].latency_target = 1s;
     Log log(loop, config.log);
-    web::Server gateway(loop, config, log, 1);
-    if (gateway.open()) _exit(1);
-    const std::uint16_t port = gateway.address().port;
-    if (::write(tell, &port, sizeof port) != sizeof port) _exit(1);
+    web::Server server(loop, config, log, 1);
+    if (server.open()) _exit(1);
+    const std::uint16_t port = server.address().port;
+    if (::write(port_pipe, &port, sizeof port) != sizeof port) _exit(1);
     loop.run();
     _exit(0);
 }
 
 int connect_to(std::uint16_t port) {
-    const int it = ::socket(AF_INET, SOCK_STREAM, 0);
+    const int descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(port);
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::connect(it, reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
-    return it;
+    EXPECT_EQ(::connect(descriptor, reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
+    return descriptor;
 }
 
-TEST(Descriptors, ExhaustedTheyNeitherSpinNorStopTheController) {
-    int ends[2];
-    ASSERT_EQ(::pipe(ends), 0);
+double cpu_seconds(const rusage& used) {
+    return static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
+           static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
+}
+
+TEST(FileDescriptors, ExhaustionNeitherSpinsNorStopsServer) {
+    int port_pipe[2];
+    ASSERT_EQ(::pipe(port_pipe), 0);
     const pid_t child = ::fork();
-    if (child == 0) serve_with_few(ends[1]);
+    if (child == 0) serve_with_few_descriptors(port_pipe[1]);
     std::uint16_t port = 0;
-    ASSERT_EQ(::read(ends[0], &port, sizeof port), static_cast<ssize_t>(sizeof port));
-    std::vector<int> held;
-    for (int i = 0; i < 60; ++i) held.push_back(connect_to(port));
+    ASSERT_EQ(::read(port_pipe[0], &port, sizeof port), static_cast<ssize_t>(sizeof port));
+    std::vector<int> connections;
+    for (int i = 0; i < 60; ++i) connections.push_back(connect_to(port));
     std::this_thread::sleep_for(2s);
-    for (const int each : held) ::close(each);
+    for (const int each : connections) ::close(each);
 
-    // It goes on as soon as there is room again: the answer comes, whatever it says.
-    const int one = connect_to(port);
-    const timeval patience{20, 0};
-    ::setsockopt(one, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    const std::string text = "GET /v1/health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    ASSERT_EQ(::write(one, text.data(), text.size()), static_cast<ssize_t>(text.size()));
-    char room[64] = {};
-    ASSERT_GT(::read(one, room, sizeof room - 1), 0);
-    EXPECT_EQ(std::string(room).substr(0, 15), "HTTP/1.1 200 OK");
-    ::close(one);
+    // It continues as soon as descriptors are free again: a response arrives.
+    const int connection = connect_to(port);
+    const timeval read_timeout{20, 0};
+    ::setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
+    const std::string request = "GET /v1/health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    ASSERT_EQ(::write(connection, request.data(), request.size()), static_cast<ssize_t>(request.size()));
+    char response[64] = {};
+    ASSERT_GT(::read(connection, response, sizeof response - 1), 0);
+    EXPECT_EQ(std::string(response).substr(0, 15), "HTTP/1.1 200 OK");
+    ::close(connection);
 
     ::kill(child, SIGKILL);
     rusage used{};
     ASSERT_EQ(::wait4(child, nullptr, 0, &used), child);
     // Spinning on accept would have cost all of the two seconds.
-    const double spent = static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
-                         static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
-    EXPECT_LT(spent, 1.0);
+    EXPECT_LT(cpu_seconds(used), 1.0);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/event_loop_test.cpp
@@ -0,0 +1,131 @@
+/// Event loops, their timers and notifications, and simulated streams.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/notification.hpp"
+#include "net/simulated_event_loop.hpp"
+#include "net/socket_event_loop.hpp"
+#include "net/write_queue.hpp"
+
+namespace plumkeel {
+namespace {
+
+using namespace std::chrono_literals;
+
+TEST(SimulatedEventLoop, StreamsKeepOrderAndApplyBackpressure) {
+    net::SimulatedEventLoop loop(1ms, 1000);
+    const auto listener = loop.listen({"a", 1}).listener;
+    const std::string text(50'000, 'x');
+    std::string received;
+    bool reached_end = false;
+    std::size_t pending_after_send = 0;
+    auto reader = [&]() -> net::Task<> {
+        const auto accepted = co_await listener->accept();
+        std::vector<char> buffer(300);
+        for (;;) {
+            const auto result = co_await accepted.stream->read(net::asio::buffer(buffer));
+            received.append(buffer.data(), result.bytes);
+            if (result.error) {
+                reached_end = result.error == net::asio::error::eof;
+                co_return;
+            }
+        }
+    };
+    auto writer = [&]() -> net::Task<> {
+        const net::Address to{"a", 1};
+        const auto connected = co_await loop.connect(to, 1s);
+        const auto write_queue = std::make_shared<net::WriteQueue>(loop, connected.stream);
+        write_queue->send("", std::make_shared<const std::string>(text));
+        pending_after_send = write_queue->pending_bytes();
+        co_await write_queue->wait_below(0);
+        connected.stream->shutdown_send();
+    };
+    loop.spawn(reader());
+    loop.spawn(writer());
+    loop.run();
+    EXPECT_EQ(received, text);
+    EXPECT_TRUE(reached_end);
+    EXPECT_EQ(pending_after_send, text.size() - 1000);
+    EXPECT_GE(loop.now(), 50ms);  // 1000 bytes in transit at a time, 1 ms each
+}
+
+TEST(SimulatedEventLoop, TimersRunInOrderAndCanBeCancelled) {
+    net::SimulatedEventLoop loop;
+    std::string order;
+    loop.call_at(3ms, [&] { order += 'c'; });
+    loop.call_at(1ms, [&] { order += 'a'; });
+    auto cancelled = loop.call_at(2ms, [&] { order += 'x'; });
+    loop.call_at(1ms, [&] { order += 'b'; });
+    loop.cancel(cancelled);
+    loop.run();
+    EXPECT_EQ(order, "abc");
+    EXPECT_EQ(loop.now(), 3ms);
+}
+
+TEST(Notification, WakesAllWaitersOnce) {
+    net::SimulatedEventLoop loop;
+    net::Notification notification(loop);
+    bool open = false;
+    int wake_ups = 0, finished = 0;
+    auto waiter = [&]() -> net::Task<> {
+        while (!open) {
+            co_await notification.wait();
+            ++wake_ups;
+        }
+        ++finished;
+    };
+    loop.spawn(waiter());
+    loop.spawn(waiter());
+    loop.call_at(5ms, [&] {
+        open = true;
+        notification.notify();
+    });
+    loop.run();
+    EXPECT_EQ(finished, 2);
+    EXPECT_EQ(wake_ups, 2);
+}
+
+TEST(SimulatedEventLoop, RefusedConnectAndResetAreReported) {
+    net::SimulatedEventLoop loop;
+    net::Error refused, reset;
+    auto run = [&]() -> net::Task<> {
+        const net::Address unused_address{"b", 1}, address{"a", 1};
+        refused = (co_await loop.connect(unused_address, 1s)).error;
+        const auto listener = loop.listen(address).listener;
+        const auto connected = co_await loop.connect(address, 1s);
+        const auto accepted = co_await listener->accept();
+        accepted.stream->reset();
+        std::vector<char> buffer(10);
+        reset = (co_await connected.stream->read(net::asio::buffer(buffer))).error;
+    };
+    loop.spawn(run());
+    loop.run();
+    EXPECT_EQ(refused, net::asio::error::connection_refused);
+    EXPECT_EQ(reset, net::asio::error::connection_reset);
+}
+
+// connect() never completes in the iteration in which it was called: what is registered for the connection meanwhile
+// learns of its failure.
+TEST(SocketEventLoop, FailedConnectCompletesInLaterIteration) {
+    net::SocketEventLoop loop;
+    bool call_returned = false, completed_within_call = true;
+    const net::Address malformed{"not an address", 1};
+    const auto connect = [&]() -> net::Task<> {
+        const auto connected = co_await loop.connect(malformed, 1s);
+        EXPECT_TRUE(connected.error);
+        completed_within_call = !call_returned;
+    };
+    loop.call_at(loop.now(), [&] {
+        loop.spawn(connect());
+        call_returned = true;
+        loop.call_at(loop.now() + 10ms, [&] { loop.stop(); });
+    });
+    loop.run();
+    EXPECT_FALSE(completed_within_call);
+}
+
+}  // namespace
+}  // namespace plumkeel
