--- a/src/random/pcg.hpp
+++ b/src/random/pcg.hpp
@@ -1,4 +1,4 @@
-/// Reproducible pseudo-random numbers. The scheduler has a generator of its own, since it depends on no other package.
+/// Reproducible pseudo-random numbers.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,13 @@
 public:
     explicit Pcg(std::uint64_t seed) : state_(seed * multiplier + increment) { next(); }
 
+    /// Continues from a raw state, without the scrambling of a seed.
+    static Pcg from_state(std::uint64_t state) {
+        Pcg generator;
+        generator.state_ = state;
+        return generator;
+    }
+
     /// A number evenly distributed over [0, 1).
     double next() {
         const std::uint64_t previous = state_;
@@ -24,7 +31,9 @@
     static constexpr std::uint64_t multiplier = 6364136223846793005ULL;
     static constexpr std::uint64_t increment = 1442695040888963407ULL;
 
-    std::uint64_t state_;
+    Pcg() = default;
+
+    std::uint64_t state_{};
 };
 
 }  // namespace plumkeel
--- a/tests/sender_test.cpp
+++ b/tests/sender_test.cpp
@@ -9,7 +9,7 @@
 
 #include <csignal>
 
-#include "emulator/receiver.hpp"
+#include "emulator/remote_write_receiver.hpp"
 #include "net/simulated_event_loop.hpp"
 #include "net/socket_event_loop.hpp"
 #include "tests/durable_queue_fixture.hpp"
@@ -48,7 +48,7 @@
     }
     void expect_all() {
         loop.run(loop.now() + 3s);  // the last scrape
-        for (const std::string& breach : receiver.breaches()) ADD_FAILURE() << breach;
+        for (const std::string& breach : receiver.violations()) ADD_FAILURE() << breach;
         ASSERT_EQ(receiver.series().size(), static_cast<std::size_t>(series));
         for (const auto& [labels, points] : receiver.series()) {
             ASSERT_EQ(points.size(), static_cast<std::size_t>(scrapes)) << labels.back().second;
@@ -58,7 +58,7 @@
     }
 
     net::SimulatedEventLoop loop;
-    emulator::WriteReceiver receiver;
+    emulator::RemoteWriteReceiver receiver;
     ReceiverConfig receiver_config;
     SeriesEncoder encoder{shards};
     std::unique_ptr<DurableQueue> queue;
@@ -67,7 +67,7 @@
     std::int64_t scrapes = 0;
 };
 
-using Mood = emulator::WriteReceiver::Mood;
+using Mode = emulator::RemoteWriteReceiver::Mode;
 
 TEST_F(SenderTest, DeliversAllSamplesInOrder) {
     begin();
@@ -81,9 +81,9 @@
 // A disk that refuses writes must neither end the process nor delay the samples queued before.
 TEST_F(SenderTest, KeepsSendingWhenTheDiskRefusesWrites) {
     begin();
-    receiver.be(Mood::status, 503);
+    receiver.set_mode(Mode::respond_status, 503);
     scrape_for(5);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
     ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &before), 0);
@@ -97,7 +97,7 @@
     EXPECT_EQ(receiver.repeated(), 0u);
     EXPECT_GE(events["queue_failed"], 1);
     EXPECT_NO_THROW(queue->append(100'000, encoder.encode({sample("m", 0, 2)}, 100'000)));  // the queue has recovered
-    EXPECT_TRUE(receiver.breaches().empty());
+    EXPECT_TRUE(receiver.violations().empty());
 }
 
 // One series is in one shard; the scrapes must not wait for the shards without samples.
@@ -116,14 +116,14 @@
 TEST_F(SenderTest, CatchesUpAtABoundedRateAfterAStall) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::stalls);
+    receiver.set_mode(Mode::stall);
     scrape_for(60);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     const Time back = loop.now();
     scrape_for(90);
     expect_all();
     // While catching up the rate is 4 times the inflow, plus the tokens that were saved.
-    for (const auto& [second, samples] : receiver.by_second())
+    for (const auto& [second, samples] : receiver.samples_by_second())
         if (second > back / 1s) {
             EXPECT_LE(samples, 4u * series + 2000u) << second;
         }
@@ -133,9 +133,9 @@
 
 TEST_F(SenderTest, PartialErrorsKeepTheOrder) {
     begin();
-    receiver.be_for_part(0.4, 503);
+    receiver.fail_share(0.4, 503);
     scrape_for(40);
-    receiver.be_for_part(0, 503);
+    receiver.fail_share(0, 503);
     scrape_for(40);
     expect_all();
 }
@@ -144,9 +144,9 @@
 TEST_F(SenderTest, LateResponsesCauseOnlyIdenticalRepeats) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::late);
+    receiver.set_mode(Mode::accept_without_response);
     scrape_for(10);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     scrape_for(20);
     expect_all();
     EXPECT_GT(receiver.repeated(), 0u);
@@ -154,7 +154,7 @@
 
 TEST_F(SenderTest, RejectedBatchesAreNotResent) {
     begin();
-    receiver.be(Mood::status, 400);
+    receiver.set_mode(Mode::respond_status, 400);
     scrape_for(10);
     loop.run(loop.now() + 5s);
     EXPECT_EQ(sender->counts().rejected, 10u * series);
@@ -165,23 +165,23 @@
 
 TEST_F(SenderTest, WaitsForRetryAfterOnTooManyRequests) {
     begin();
-    receiver.be(Mood::status, 429, "7");
+    receiver.set_mode(Mode::respond_status, 429, "7");
     scrape_for(1);
     loop.run(loop.now() + 1s);
-    const auto before = receiver.questions();
+    const auto before = receiver.requests();
     EXPECT_LE(before, 4u);
     loop.run(loop.now() + 5s);
-    EXPECT_EQ(receiver.questions(), before);
-    receiver.be(Mood::takes);
+    EXPECT_EQ(receiver.requests(), before);
+    receiver.set_mode(Mode::accept);
     loop.run(loop.now() + 10s);
     expect_all();
 }
 
 TEST_F(SenderTest, TruncatedResponsesLoseNoSamples) {
     begin();
-    receiver.be(Mood::cuts);
+    receiver.set_mode(Mode::reset);
     scrape_for(10);
-    receiver.be(Mood::takes);
+    receiver.set_mode(Mode::accept);
     scrape_for(30);
     expect_all();
 }
@@ -189,14 +189,14 @@
 TEST_F(SenderTest, ResumesABacklogAfterARestart) {
     begin();
     scrape_for(5);
-    receiver.be(Mood::status, 503);
+    receiver.set_mode(Mode::respond_status, 503);
     scrape_for(20);
     const std::uint64_t waiting = queue->waiting("r");
     EXPECT_GE(waiting, 20u * series);
     sender.reset();  // its coroutines wait on a loop that does not run any more
     queue.reset();
     net::SimulatedEventLoop second;
-    emulator::WriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
+    emulator::RemoteWriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
     DurableQueue reopened(config, {"r"});
     EXPECT_EQ(reopened.waiting("r"), waiting);
     Sender next(second, receiver_config, reopened, shards, 4, [](ExportEvent, const std::string&) {});
@@ -204,7 +204,7 @@
     next.notify(series);
     second.run(second.now() + 60s);
     EXPECT_EQ(again.samples(), waiting);
-    EXPECT_TRUE(again.breaches().empty());
+    EXPECT_TRUE(again.violations().empty());
 }
 
 class SenderProcessTest : public DurableQueueTest {};
@@ -215,12 +215,13 @@
     const auto listened = loop.listen({"127.0.0.1", 0});
     ASSERT_FALSE(listened.error);
     const std::string address = listened.listener->address().to_string();
-    emulator::WriteReceiver receiver(loop, listened.listener);
+    emulator::RemoteWriteReceiver receiver(loop, listened.listener);
     std::uint64_t random_state = 5, reported = 0;
     for (int round = 0; round < 11; ++round) {
         int pipe_ends[2];
         ASSERT_EQ(::pipe2(pipe_ends, O_NONBLOCK), 0);
-        receiver.be(round < 3 ? emulator::WriteReceiver::Mood::status : emulator::WriteReceiver::Mood::takes);
+        receiver.set_mode(round < 3 ? emulator::RemoteWriteReceiver::Mode::respond_status
+                                    : emulator::RemoteWriteReceiver::Mode::accept);
         const pid_t child = ::fork();
         if (child == 0) {
             net::SocketEventLoop own;
@@ -269,7 +270,7 @@
         ::close(pipe_ends[0]);
     }
     EXPECT_GT(reported, 100u);
-    EXPECT_TRUE(receiver.breaches().empty());
+    EXPECT_TRUE(receiver.violations().empty());
     ASSERT_EQ(receiver.series().size(), 10u);
     for (const auto& [labels, points] : receiver.series()) {
         ASSERT_GE(points.size(), reported);
