--- a/src/fastcgi/write_stall_detector.hpp
+++ b/src/fastcgi/write_stall_detector.hpp
@@ -1,6 +1,7 @@
 /// Detects a client that does not read what is written to it.
 #pragma once
 
+#include "net/event_loop.hpp"
 #include "net/write_queue.hpp"
 
 namespace plumkeel::fastcgi {
