--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -22,8 +22,8 @@
 
 bool is_forwarded_header(std::string_view name) {
     if (equals_ignoring_case(name.substr(0, own_prefix.size()), own_prefix)) return false;
-    return std::none_of(not_forwarded.begin(), not_forwarded.end(),
-                        [name](std::string_view each) { return equals_ignoring_case(name, each); });
+    return std::ranges::none_of(not_forwarded,
+                                [name](std::string_view each) { return equals_ignoring_case(name, each); });
 }
 
 }  // namespace plumkeel::http
--- a/src/net/socket_listener.cpp
+++ b/src/net/socket_listener.cpp
@@ -17,7 +17,7 @@
     static constexpr std::array connection_errors{ECONNABORTED, EPROTO,       ENETDOWN,   ENOPROTOOPT, EHOSTDOWN,
                                                   ENONET,       EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT};
     if (error.category() != asio::error::get_system_category()) return false;
-    return std::find(connection_errors.begin(), connection_errors.end(), error.value()) != connection_errors.end();
+    return std::ranges::find(connection_errors, error.value()) != connection_errors.end();
 }
 
 }  // namespace
