--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -110,8 +110,9 @@
     attempt->number = http::field(request, field::attempt);
     attempt->function = function;
     attempt->request_class = http::field(request, field::request_class);
-    attempt->idempotency_key = http::field(request, field::mark);
-    attempt->concurrency = http::parse_number<int>(http::field(request, field::lanes)).value_or(attempt->concurrency);
+    attempt->idempotency_key = http::field(request, field::idempotency_key);
+    attempt->concurrency =
+        http::parse_number<int>(http::field(request, field::concurrency)).value_or(attempt->concurrency);
     attempt->memory_mb = http::parse_number<int>(http::field(request, field::memory)).value_or(attempt->memory_mb);
     std::istringstream(request.body()) >> attempt->origin >> attempt->run_time_ms >> attempt->load_time_ms >>
         attempt->response_bytes;
@@ -216,7 +217,7 @@
     const std::string body(std::max(attempt.response_bytes, smallest_response_bytes), 'x');
     const std::string head =
         response_head(200,
-                      {{std::string(field::note), load_event_name(attempt.load_event)},
+                      {{std::string(field::load_event), load_event_name(attempt.load_event)},
                        {std::string(field::concurrent_requests), std::to_string(attempt.concurrent_requests)}},
                       body.size());
     const bool cut_in_head = random_.next() < faults_.cut_in_head;
@@ -244,7 +245,7 @@
     record(event::answer, attempt, result);
     answer(attempt.connection, 503,
            {{std::string(field::never_ran), std::string(result)},
-            {std::string(field::note), load_event_name(load_event)}});
+            {std::string(field::load_event), load_event_name(load_event)}});
 }
 
 bool InvokerEmulator::load(const std::string& function, const Attempt& attempt) {
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -54,17 +54,17 @@
                          std::size_t body_bytes) {
     http::HeadWriter head("POST /v1/jobs/" + http::percent_encode(options.function) + " HTTP/1.1");
     head.add("Host", address).add("Connection", "close").add(field::request_class, options.request_class);
-    head.add(field::time_left, remaining / 1ms).add(field::lanes, std::int64_t{options.concurrency});
+    head.add(field::remaining, remaining / 1ms).add(field::concurrency, std::int64_t{options.concurrency});
     if (!options.tenant.empty()) head.add(field::tenant, options.tenant);
-    if (!options.idempotency_key.empty()) head.add(field::mark, options.idempotency_key);
+    if (!options.idempotency_key.empty()) head.add(field::idempotency_key, options.idempotency_key);
     if (options.memory_mb > 0) head.add(field::memory, std::int64_t{options.memory_mb});
-    if (options.is_client_retry) head.add(field::again, "1");
+    if (options.is_client_retry) head.add(field::client_retry, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body_bytes));
     return head.finish();
 }
 
 void print_outcome(const Response& response) {
-    const std::string_view rejection = http::field(response, field::objection);
+    const std::string_view rejection = http::field(response, field::rejection_reason);
     std::cerr << (rejection.empty() ? http::field(response, field::outcome) : rejection) << ", status "
               << response.result_int();
     if (const auto attempts = http::field(response, field::attempts); !attempts.empty())
@@ -93,7 +93,7 @@
     if (!response) return no_response;
     print_outcome(*response);
     std::cout << response->body();
-    if (!http::field(*response, field::objection).empty()) return request_refused;
+    if (!http::field(*response, field::rejection_reason).empty()) return request_refused;
     const std::string_view outcome = http::field(*response, field::outcome);
     if (outcome == succeeded_word) return success;
     return outcome == rejected_word ? request_rejected : request_failed;
