--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -247,7 +247,7 @@
     head.add(field::outcome, protocol::outcome_name(RequestState::succeeded))
         .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
-    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).lines(passed);
+    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).add_raw_lines(passed);
     if (chunked_)
         head.add("Transfer-Encoding", "chunked");
     else
