--- a/benchmarks/trace_size.cpp
+++ b/benchmarks/trace_size.cpp
@@ -10,6 +10,8 @@
 #include <filesystem>
 
 #include "trace/file.hpp"
+#include "trace/reader.hpp"
+#include "trace/writer.hpp"
 
 namespace {
 
@@ -66,13 +68,13 @@
     const auto begin = Clock::now();
     FileSource source(name);
     Reader reader(source);
-    reader.walk(make_record(number).at, [](const Record&) { return false; });
+    reader.for_each(make_record(number).at, [](const Record&) { return false; });
     return ms_since(begin);
 }
 
 int read_request(Reader& reader, int number) {
     int found = 0;
-    reader.of_job(make_record(number).request, [&](const Record&) { return ++found < records_a_request; });
+    reader.for_each_of_request(make_record(number).request, [&](const Record&) { return ++found < records_a_request; });
     return found;
 }
 
@@ -91,13 +93,13 @@
     Reader reader(source);
     int count = 0;
     bool equal = true;
-    reader.walk(Time::min(), [&](const Record& record) { return equal = equal && record == make_record(count++); });
+    reader.for_each(Time::min(), [&](const Record& record) { return equal = equal && record == make_record(count++); });
     return equal && count == records;
 }
 
 std::size_t block_count(const std::string& name) {
     FileSource source(name);
-    return Reader(source).places().size();
+    return Reader(source).blocks().size();
 }
 
 void measure_block_size(const std::string& name, int records, std::size_t block_size) {
@@ -122,7 +124,7 @@
     FileSource source(name);
     Reader reader(source);
     const double open_ms = ms_since(begin);
-    const double index_bytes = static_cast<double>(reader.places().capacity() * sizeof(BlockLocation));
+    const double index_bytes = static_cast<double>(reader.blocks().capacity() * sizeof(BlockLocation));
     double slowest_request_ms = 0;
     for (int search = 0; search < searches; ++search) {
         evict_from_page_cache(name);
--- a/src/simulator_adapter/recording_scheduler.hpp
+++ b/src/simulator_adapter/recording_scheduler.hpp
@@ -11,6 +11,7 @@
 #include "simulator_adapter/scheduler_setup.hpp"
 #include "trace/file.hpp"
 #include "trace/recording_scheduler.hpp"
+#include "trace/writer.hpp"
 
 namespace plumkeel::simulator_adapter {
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -6,6 +6,7 @@
 #include "http/http.hpp"
 #include "net/notification.hpp"
 #include "net/simulated_event_loop.hpp"
+#include "trace/replayer.hpp"
 #include "web/server.hpp"
 
 namespace plumkeel::gateway {
