--- a/src/scheduler/function_registry.cpp
+++ b/src/scheduler/function_registry.cpp
@@ -32,8 +32,8 @@
     FunctionTable& functions = context_.functions;
     for (std::size_t i = 0; functions.size() >= max_functions && i < max_evictions_tried; ++i) {
         Function& candidate = *functions.eviction_candidate(max_called_once);
-        const bool has_attempts = std::any_of(candidate.cached_copies.begin(), candidate.cached_copies.end(),
-                                              [](const CachedFunction& copy) { return copy.in_flight > 0; });
+        const bool has_attempts =
+            std::ranges::any_of(candidate.cached_copies, [](const CachedFunction& copy) { return copy.in_flight > 0; });
         if (has_attempts || candidate.open_requests > 0 || candidate.load.invoker)
             functions.touch(candidate);
         else
--- a/src/scheduler/function_table.cpp
+++ b/src/scheduler/function_table.cpp
@@ -51,8 +51,7 @@
         out.back()->table_entry.review_at = Moment::max();
         reviews_.erase(reviews_.begin());
     }
-    std::sort(out.begin(), out.end(),
-              [](const Function* a, const Function* b) { return a->table_entry.number < b->table_entry.number; });
+    std::ranges::sort(out, {}, [](const Function* function) { return function->table_entry.number; });
     return out;
 }
 
--- a/src/scheduler/load_estimator.cpp
+++ b/src/scheduler/load_estimator.cpp
@@ -128,7 +128,7 @@
 // of its capacity. In the short while since a report a few controllers are taken to have done as this one did.
 double LoadEstimator::estimated_load(const Invoker& invoker) const {
     const LoadEstimate& load = invoker.load;
-    const double own = static_cast<double>(invoker.in_flight.size());
+    const auto own = static_cast<double>(invoker.in_flight.size());
     double others = others_per_capacity_ * invoker.capacity;
     if (load.reported_load) {
         const double reported = std::max(0.0, *load.reported_load - load.own_in_flight_at_report);
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -196,7 +196,7 @@
 /// Whether some invoker that could be sent something has just had no capacity.
 bool Placement::is_capacity_short() {
     const std::vector<Invoker*>& full = capacity_.recently_full();
-    return std::any_of(full.begin(), full.end(), [&](Invoker* invoker) {
+    return std::ranges::any_of(full, [&](Invoker* invoker) {
         return capacity_.is_full(*invoker) && invoker->is_listed && exclusion_of(*invoker) == ExclusionReason::none;
     });
 }
--- a/src/scheduler/placement_index.cpp
+++ b/src/scheduler/placement_index.cpp
@@ -37,7 +37,8 @@
 // The rank that about so many of the listed, or a few more, are expected not to pass. Exact for equal weights; where
 // they differ too few may be found, and the search is repeated.
 double reach_for(std::size_t count, std::size_t listed, double weights) {
-    const double wanted = static_cast<double>(count), all = static_cast<double>(listed);
+    const auto wanted = static_cast<double>(count);
+    const auto all = static_cast<double>(listed);
     const double part = (wanted + 4 * std::sqrt(wanted) + 4) / all;
     return part < 1 ? -std::log1p(-part) * all / weights : std::numeric_limits<double>::infinity();
 }
@@ -62,7 +63,7 @@
 };
 
 void insert(std::vector<PlacementIndex::Place>& places, const PlacementIndex::Place& place) {
-    places.insert(std::upper_bound(places.begin(), places.end(), place, earlier), place);
+    places.insert(std::ranges::upper_bound(places, place, earlier), place);
 }
 
 }  // namespace
--- a/src/scheduler/request.hpp
+++ b/src/scheduler/request.hpp
@@ -100,7 +100,7 @@
     /// It has its final response.
     bool is_completed() const { return state >= RequestState::succeeded; }
     bool has_attempt_in_flight() const {
-        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.in_flight; });
+        return std::ranges::any_of(attempts, [](const Attempt& attempt) { return attempt.in_flight; });
     }
     /// Nothing of it is in flight any more: the host may free it.
     bool is_settled() const { return is_completed() && !has_attempt_in_flight(); }
--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -52,7 +52,7 @@
 }
 
 bool failed_at(const Request& request, const Invoker& invoker) {
-    return std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
+    return std::ranges::any_of(request.attempts, [&](const Attempt& attempt) {
         return attempt.invoker == &invoker && attempt.outcome == AttemptOutcome::failed;
     });
 }
