--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -194,7 +194,8 @@
     EXPECT_EQ(comparison.first->record.type, trace::RecordType::attempt_ended);
     EXPECT_NE(comparison.first->recorded.find("sends attempt 1 of request 1 to"), std::string::npos)
         << comparison.first->recorded;
-    EXPECT_NE(comparison.first->replayed.find("request 1 is rejected"), std::string::npos) << comparison.first->replayed;
+    EXPECT_NE(comparison.first->replayed.find("request 1 is rejected"), std::string::npos)
+        << comparison.first->replayed;
     EXPECT_EQ(comparison.different_requests, 1u);
 }
 
