--- a/src/discovery/event_sequence.hpp
+++ b/src/discovery/event_sequence.hpp
@@ -11,7 +11,7 @@
     accepted,
     heartbeat,
     duplicate,
-    gap,  ///< An event was missed: subscribe again from `last()`.
+    gap,  ///< An event was missed: subscribe again from `last_accepted()`.
 };
 
 class EventSequence {
@@ -27,7 +27,7 @@
         return SequenceCheck::accepted;
     }
     /// The number of the last event accepted.
-    std::uint64_t last() const { return last_; }
+    std::uint64_t last_accepted() const { return last_; }
 
 private:
     std::uint64_t last_;
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -69,7 +69,7 @@
 
 net::Task<Watcher::Disconnect> Watcher::receive(std::shared_ptr<net::Stream> stream) {
     const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
-    write_queue->send(encode_subscription(sequence_.last()));
+    write_queue->send(encode_subscription(sequence_.last_accepted()));
     bool timed_out = false, received_event = false;
     net::LazyTimer silence_timer(loop_, [&] {
         timed_out = true;
@@ -106,7 +106,7 @@
 }
 
 void Watcher::log_disconnect(const Disconnect& disconnect) {
-    Log::Fields fields{{"reason", name_of(disconnect.reason)}, {"last_event", sequence_.last()}};
+    Log::Fields fields{{"reason", name_of(disconnect.reason)}, {"last_event", sequence_.last_accepted()}};
     if (disconnect.frame_error != FrameError::none) fields["frame_error"] = discovery::name_of(disconnect.frame_error);
     log_.write(Log::Level::warn, "discovery_connection_lost", std::move(fields));
 }
--- a/src/discovery/watcher.hpp
+++ b/src/discovery/watcher.hpp
@@ -36,7 +36,7 @@
     /// Moves to another address of the service; event numbers continue.
     void set_address(net::Address address);
     /// The number of the last event applied.
-    std::uint64_t last() const { return sequence_.last(); }
+    std::uint64_t last_event_number() const { return sequence_.last_accepted(); }
     /// When the list was last known to be up to date.
     std::optional<net::Time> confirmed_at() const { return confirmed_at_; }
     /// How many connections have been established so far.
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -106,7 +106,7 @@
     status["descriptors"] = usage.descriptors;
     status["cpu_ms"] = usage.cpu / 1ms;
     status["worst_lag_ms"] = static_cast<double>(std::exchange(worst_lag_, Time{}).count()) / 1000;
-    status["discovery"] = {{"last_event", watcher_.last()}, {"connections", watcher_.connections()}};
+    status["discovery"] = {{"last_event", watcher_.last_event_number()}, {"connections", watcher_.connections()}};
     log_.write(Log::Level::info, "status", std::move(status));
     log_.write(Log::Level::info, "invoker_estimates", {{"invokers", gateway_.estimates()}});
 }
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -40,8 +40,8 @@
 // One call for each of eight connections: the ninth request waits for one. Its client disconnects; then one is free.
 TEST_P(ClientDisconnect, WhileQueuedForAConnection) {
     ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond});
-    open_with(replaced(replaced(patient_config(), R"("sockets":256)", R"("sockets":64)"), R"("streams_per_conn":32)",
-                       R"("streams_per_conn":1)"));
+    open_with(replaced(replaced(config_with_long_deadlines(), R"("sockets":256)", R"("sockets":64)"),
+                       R"("streams_per_conn":32)", R"("streams_per_conn":1)"));
     for (std::uint64_t i = 1; i <= 8; ++i) add_client(10ms, {{0ms, request_text(1, i)}});
     add_leaving_client(20ms, 9, 10ms);
     add_client(25ms, {{0ms, request_text(1, 10)}});
@@ -57,7 +57,7 @@
 // Connecting to the invoker takes twice the network latency; the client disconnects before.
 TEST_P(ClientDisconnect, WhileConnecting) {
     ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
-    open_with(patient_config());
+    open_with(config_with_long_deadlines());
     add_leaving_client(10ms, 1, 50us);
     loop.run(300ms);
     EXPECT_FALSE(has_run(only, 1));
@@ -67,7 +67,7 @@
 TEST_P(ClientDisconnect, WhileParked) {
     ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
-    open_with(replaced(patient_config(), R"("state":"up")", R"("state":"draining")"));
+    open_with(replaced(config_with_long_deadlines(), R"("state":"up")", R"("state":"draining")"));
     add_leaving_client(10ms, 1, 10ms);
     add_client(10ms, {{0ms, request_text(1, 2)}});
     loop.run(50ms);
@@ -80,7 +80,7 @@
 TEST_P(ClientDisconnect, BetweenAttempts) {
     ScriptedInvoker& only =
         add_invoker({InvokerBehaviour::reject, InvokerBehaviour::reject, InvokerBehaviour::respond});
-    open_with(patient_config());
+    open_with(config_with_long_deadlines());
     add_leaving_client(10ms, 1, 30ms);  // its first attempt was rejected after 20 ms
     add_client(10ms, {{0ms, request_text(1, 2)}});
     loop.run(5s);
@@ -92,7 +92,7 @@
 
 TEST_P(ClientDisconnect, WhileInFlight) {
     ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
-    open_with(patient_config());
+    open_with(config_with_long_deadlines());
     add_leaving_client(10ms, 1, 30ms);
     loop.run(100ms);
     ASSERT_TRUE(has_run(only, 1));
@@ -106,7 +106,7 @@
 class FullSocket : public ClientDisconnect {
 protected:
     static std::string one_connection() {
-        std::string text = replaced(patient_config(), R"("sockets":256)", R"("sockets":64)"), more;
+        std::string text = replaced(config_with_long_deadlines(), R"("sockets":256)", R"("sockets":64)"), more;
         for (int i = 2; i <= 6; ++i)
             more += R"(,{"uid":"s-0000000)" + std::to_string(i) + R"(","endpoint":"10.0.0.)" + std::to_string(i) +
                     R"(:7001","az":"a","model":"k","pod_group":0,"state":"draining","capacity_hint":5,"boot_ms":0})";
@@ -159,7 +159,7 @@
     ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     loop.limit_buffer({"10.1.0.1", 7001}, 8000);
     only.response_body = std::string(16'000, 'a');
-    open_with(patient_config());
+    open_with(config_with_long_deadlines());
     std::string text;
     for (int i = 1; i <= 7; ++i) text += request_text(i, static_cast<std::uint64_t>(i));
     ScriptedClient& one = add_client(10ms, {{0ms, text}}, false);
--- a/tests/discovery_reconnect_test.cpp
+++ b/tests/discovery_reconnect_test.cpp
@@ -15,7 +15,7 @@
     a.service_time = b.service_time = 300ms;
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
     open(config_with_invokers(2, "256"));
-    for (std::uint64_t i = 1; i <= 40; ++i) add_patient_request(10ms * static_cast<int>(i), i);
+    for (std::uint64_t i = 1; i <= 40; ++i) add_long_deadline_request(10ms * static_cast<int>(i), i);
     loop.call_at(200ms, [&] { discovery_server.send(frame(discovery_server.last_event = 2, 1, {{2, "10.0.0.2"}})); });
     loop.run(5s);
     EXPECT_EQ(succeeded_requests(), 40u);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -39,7 +39,7 @@
     const std::string second = frame(2, 2, {{3, "10.0.0.3"}});
     discovery.send(second + second);  // a duplicate
     loop.run(600ms);
-    EXPECT_EQ(server->watcher().last(), 2u);
+    EXPECT_EQ(server->watcher().last_event_number(), 2u);
     discovery.send(frame(4, 2, {{4, "10.0.0.4"}}));  // the third event is missing
     loop.run(1s);
     ASSERT_EQ(discovery.subscriptions.size(), 2u);
@@ -58,7 +58,7 @@
     EXPECT_LE(discovery.subscriptions[3].first - silent_since, 3s);
     discovery.send(frame(9, 1, {{9, "10.0.0.9"}}));  // a complete list replaces the missing events
     loop.run(loop.now() + 100ms);
-    EXPECT_EQ(server->watcher().last(), 9u);
+    EXPECT_EQ(server->watcher().last_event_number(), 9u);
 }
 
 TEST_F(DiscoveryTest, ResubscribesAfterAMalformedFrame) {
--- a/tests/fastcgi_connection_test.cpp
+++ b/tests/fastcgi_connection_test.cpp
@@ -197,7 +197,7 @@
 TEST_F(FastCgiConnection, ResetsAClientThatReadsNoRejections) {
     add_invoker();
     loop.limit_buffer({"10.1.0.1", 7001}, 64 * 1024);
-    open(patient_config());
+    open(config_with_long_deadlines());
     std::string text;
     for (int i = 0; i < 200; ++i) text += message(1, {{"SCRIPT_NAME", "/invoke/nothing"}});
     ScriptedClient& flood = add_client(10ms, {}, false);
@@ -230,7 +230,7 @@
 TEST_F(FastCgiConnection, IncompleteRecordDoesNotDropPendingResponses) {
     ScriptedInvoker& only = add_invoker();
     only.service_time = 3s;
-    open(patient_config());
+    open(config_with_long_deadlines());
     ScriptedClient& one =
         add_client(10ms, {{0ms, request_text(1, 1, "work") + request_text(2, 2, "work").substr(0, 60)}});
     loop.run(10s);
@@ -243,7 +243,7 @@
 TEST_F(FastCgiConnection, MalformedInputDoesNotDropPendingResponses) {
     ScriptedInvoker& only = add_invoker();
     only.service_time = 200ms;
-    open(patient_config());
+    open(config_with_long_deadlines());
     ScriptedClient& one =
         add_client(10ms, {{0ms, request_text(1, 1, "work")}, {50ms, "\x07 this is not a record at all"}});
     loop.run(5s);
@@ -257,7 +257,7 @@
 TEST_F(FastCgiConnection, MemoryPressureDoesNotDropPendingResponses) {
     ScriptedInvoker& only = add_invoker();
     only.service_time = 600ms;
-    open(replaced(patient_config(), R"("memory_mb":48)", R"("memory_mb":24)"));  // 4 MiB of bodies
+    open(replaced(config_with_long_deadlines(), R"("memory_mb":48)", R"("memory_mb":24)"));  // 4 MiB of bodies
     // `count` requests without the record that ends each body.
     const auto halves = [](int count, std::size_t body) {
         std::string out;
@@ -284,7 +284,7 @@
 TEST_F(FastCgiConnection, RejectedRequestsDoNotDropPendingResponses) {
     ScriptedInvoker& only = add_invoker();
     only.service_time = 2s;
-    open(patient_config());
+    open(config_with_long_deadlines());
     std::vector<std::pair<Time, std::string>> texts;
     for (int i = 0; i < 16; ++i)  // bodies over the limit
         texts.emplace_back(100ms * i, message(2, job_fields(hex16(1), hex16(1)), std::string(36'000, 'b'), 8000));
--- a/tests/invoker_connection_test.cpp
+++ b/tests/invoker_connection_test.cpp
@@ -94,7 +94,7 @@
     ScriptedInvoker& old = add_invoker();
     ScriptedInvoker& fresh = add_invoker();
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
-    open(patient_config());
+    open(config_with_long_deadlines());
     loop.run(5ms);
     add_request(10ms, 1);
     loop.call_at(10'300us, [&] {
@@ -112,8 +112,8 @@
     ScriptedInvoker& fresh = add_invoker();
     old.service_time = 500ms;
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
-    open(patient_config());
-    add_patient_request(10ms, 1), add_patient_request(200ms, 2);
+    open(config_with_long_deadlines());
+    add_long_deadline_request(10ms, 1), add_long_deadline_request(200ms, 2);
     loop.call_at(100ms, [&] { discovery_server.send(frame(discovery_server.last_event = 2, 2, {{1, "10.0.0.2"}})); });
     loop.run(2s);
     EXPECT_EQ(old.runs.size(), 1u);
@@ -131,7 +131,7 @@
 TEST_P(SlowConnect, SendsNothingWithoutRemainingTime) {
     ScriptedInvoker& only = add_invoker();
     only.service_time = 0ms;
-    open(replaced(patient_config(), R"("quantum":1.0)", R"("quantum":0.01)"));
+    open(replaced(config_with_long_deadlines(), R"("quantum":1.0)", R"("quantum":0.01)"));
     auto fields = job_fields(hex16(1), hex16(1));
     fields[2].second = GetParam();
     ScriptedClient& one = add_client(10ms, {{0ms, message(1, fields)}});
@@ -159,8 +159,8 @@
 // ran, and is rerouted.
 TEST_F(InvokerConnection, FailedWriteCountsAsNeverSent) {
     ScriptedInvoker& only = add_invoker();
-    open(replaced(patient_config(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
-    add_patient_request(10ms, 1);
+    open(replaced(config_with_long_deadlines(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
+    add_long_deadline_request(10ms, 1);
     ScriptedClient& second = add_client(20ms, {});
     expected_requests.emplace_back(hex16(2), &second);
     loop.run(100ms);
@@ -181,7 +181,7 @@
     ScriptedInvoker& only = add_invoker();
     only.starts_reading_at = 500ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
-    open(patient_config());
+    open(config_with_long_deadlines());
     ScriptedClient& gone = add_client(10ms, {{0ms, request_text(1, 1, std::string(16'000, 'x'))}});
     ScriptedClient& stays = add_client(20ms, {{0ms, request_text(1, 2, "work")}});
     loop.call_at(60ms, [&] { gone.stream->close(); });
@@ -195,7 +195,7 @@
     ScriptedInvoker& only = add_invoker();
     only.starts_reading_at = 500ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
-    open(patient_config());
+    open(config_with_long_deadlines());
     add_client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000), std::string(16'000, 'x'))}});
     loop.run(8s);
     ASSERT_EQ(only.runs.size(), only.run_lines.size());
@@ -212,7 +212,7 @@
     ScriptedInvoker& only =
         add_invoker({InvokerBehaviour::respond, InvokerBehaviour::reject_twice, InvokerBehaviour::respond});
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
-    open(replaced(patient_config(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
+    open(replaced(config_with_long_deadlines(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
     const std::string function = hex16(7);
     add_client(10ms, {{0ms, message(1, job_fields(hex16(1), function, 60000))}});
     add_client(100ms, {{0ms, message(1, job_fields(hex16(2), function, 60000))}});
@@ -245,7 +245,7 @@
 // stall.
 TEST_F(InvokerConnection, StallBeforeSendingReducesTheRemainingTime) {
     ScriptedInvoker& only = add_invoker();
-    open(patient_config());
+    open(config_with_long_deadlines());
     ScriptedClient& one = add_client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000))}});
     bool paused = false;
     on_record = [&](const trace::Record& record) {
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -45,7 +45,7 @@
 }
 
 /// One invoker, and deadlines long enough that nothing ends by time.
-inline std::string patient_config() {
+inline std::string config_with_long_deadlines() {
     std::string text =
         replaced(default_config, R"("aim":800.0,"deadline":3000.0)", R"("aim":60000.0,"deadline":90000.0)");
     const auto second = text.find(R"(,
@@ -54,9 +54,9 @@
     return text.erase(second, end - second);
 }
 
-/// patient_config() with `count` invokers; `sockets` is the limit on descriptors.
+/// config_with_long_deadlines() with `count` invokers; `sockets` is the limit on descriptors.
 inline std::string config_with_invokers(int count, const std::string& sockets) {
-    std::string text = replaced(patient_config(), R"("sockets":256)", R"("sockets":)" + sockets), more;
+    std::string text = replaced(config_with_long_deadlines(), R"("sockets":256)", R"("sockets":)" + sockets), more;
     for (int i = 2; i <= count; ++i)
         more += fmt::format(
             R"(,{{"uid":"s-{:08x}","endpoint":"10.0.0.{}:7001","az":"a","model":"k","pod_group":0,"state":"up","capacity_hint":5,"boot_ms":0}})",
@@ -348,7 +348,7 @@
         expected_requests.emplace_back(hex16(id), &it);
     }
     // The same with a minute's time, and its own function.
-    void add_patient_request(Time when, std::uint64_t id) {
+    void add_long_deadline_request(Time when, std::uint64_t id) {
         expected_requests.emplace_back(hex16(id), &add_client(when, {{0ms, request_text(1, id, "work")}}));
     }
     std::size_t succeeded_requests() const {
--- a/tests/platform_shutdown_test.cpp
+++ b/tests/platform_shutdown_test.cpp
@@ -66,7 +66,7 @@
 // process is stalled; then it stops listening. None was accepted or read before, and all get their responses.
 TEST(PlatformShutdownOnSockets, AnswersRequestsInBacklogAndSocketBuffers) {
     const std::string own = fmt::format("127.{}.{}.", 64 + (::getpid() >> 8) % 64, ::getpid() & 255);
-    std::string text = patient_config();
+    std::string text = config_with_long_deadlines();
     for (const auto& [from, to] :
          std::map<std::string, std::string>{{"10.1.0.1", own + "1"}, {"10.9.0.1", own + "9"}, {"10.0.0.1", own + "11"}})
         text = replaced(text, from, to);
