--- a/benchmarks/gateway_load.cpp
+++ b/benchmarks/gateway_load.cpp
@@ -34,7 +34,7 @@
         while (loop.now() < end) {
             const Time sent_at = loop.now();
             write(*connected.stream, request);
-            http::bh::response_parser<http::bh::string_body> parser;
+            http::beast_http::response_parser<http::beast_http::string_body> parser;
             parser.eager(true);
             net::Error error;
             while (!parser.is_done() && !error) {
--- a/benchmarks/gateway_peers.cpp
+++ b/benchmarks/gateway_peers.cpp
@@ -22,7 +22,7 @@
 Task<> answer_requests(std::shared_ptr<net::Stream> stream, bool answers) {
     http::ReadBuffer read_buffer(stream);
     for (;;) {
-        http::bh::request_parser<http::bh::string_body> parser;
+        http::beast_http::request_parser<http::beast_http::string_body> parser;
         parser.eager(true);
         net::Error error;
         while (!parser.is_done() && !error) {
@@ -30,7 +30,7 @@
             if (!error) error = read_buffer.feed(parser);
         }
         if (error) co_return;
-        const bool is_health_check = parser.get().method() == http::bh::verb::get;
+        const bool is_health_check = parser.get().method() == http::beast_http::verb::get;
         if (answers || is_health_check) write(*stream, invoker_response);
     }
 }
--- a/benchmarks/remote_write_cost.cpp
+++ b/benchmarks/remote_write_cost.cpp
@@ -41,7 +41,7 @@
         gateway_metrics.request_ended({"use", tenants[n % tenants.size()], functions[(n * n) % functions.size()],
                                        RequestState::succeeded, DecisionReason::response_received, false, Time(120'000),
                                        Time(500), 1});
-        if (i % review_interval == 0) gateway_metrics.review();
+        if (i % review_interval == 0) gateway_metrics.update_reported_names();
     }
     fmt::print("counting a request: {:.0f} ns on the controller's thread\n", seconds_since(begin) / requests * 1e9);
 }
--- a/emulator/consul.cpp
+++ b/emulator/consul.cpp
@@ -103,7 +103,7 @@
     if (broken_) return connection->reset();
     std::uint64_t index = 0;
     Time wait = default_wait;
-    for (const auto& [name, value] : http::query_parameters(http::view(request.target()))) {
+    for (const auto& [name, value] : http::query_parameters(http::to_string_view(request.target()))) {
         if (name == "index") index = http::parse_number<std::uint64_t>(value).value_or(0);
         if (name == "wait") wait = parse_duration(value);
     }
--- a/emulator/function_store.cpp
+++ b/emulator/function_store.cpp
@@ -31,7 +31,7 @@
 void FunctionStore::handle_request(const std::shared_ptr<HttpConnection>& connection,
                                    const HttpConnection::Request& request) {
     double fetch_ms = 0;
-    for (const auto& [name, value] : http::query_parameters(http::view(request.target())))
+    for (const auto& [name, value] : http::query_parameters(http::to_string_view(request.target())))
         if (name == "ms") fetch_ms = std::stod(value);
     if (broken_ || fetching_ >= fetch_limit_) {
         log_.write(event::fetch_rejected, {{key::fetching, fetching_}});
--- a/emulator/http_server.cpp
+++ b/emulator/http_server.cpp
@@ -28,7 +28,7 @@
 net::Task<> HttpConnection::serve(std::shared_ptr<HttpConnection> self) {
     bool connected = true;
     while (connected) {
-        http::bh::request_parser<http::bh::string_body> parser;
+        http::beast_http::request_parser<http::beast_http::string_body> parser;
         const net::Error error = co_await read_request(parser);
         if (error) break;
         const bool keep_alive = parser.keep_alive();
@@ -45,7 +45,8 @@
     stream_->close();
 }
 
-net::Task<net::Error> HttpConnection::read_request(http::bh::request_parser<http::bh::string_body>& parser) {
+net::Task<net::Error> HttpConnection::read_request(
+    http::beast_http::request_parser<http::beast_http::string_body>& parser) {
     parser.eager(true);
     parser.body_limit(body_limit);
     net::Error error;
--- a/emulator/http_server.hpp
+++ b/emulator/http_server.hpp
@@ -18,7 +18,7 @@
 /// One connection of a client; one request at a time.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
 public:
-    using Request = http::bh::request<http::bh::string_body>;
+    using Request = http::beast_http::request<http::beast_http::string_body>;
     struct Handler {
         std::function<void(const std::shared_ptr<HttpConnection>&, Request)> on_request;
         /// The client closed the connection while its request was pending.
@@ -38,7 +38,7 @@
 
 private:
     net::Task<> serve(std::shared_ptr<HttpConnection> self);
-    net::Task<net::Error> read_request(http::bh::request_parser<http::bh::string_body>& parser);
+    net::Task<net::Error> read_request(http::beast_http::request_parser<http::beast_http::string_body>& parser);
     net::Task<bool> wait_for_reply();
 
     net::EventLoop& loop_;
--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -86,7 +86,7 @@
 
 void InvokerEmulator::handle_request(const Connection& connection, const HttpConnection::Request& request) {
     if (failed_) return connection->reset();
-    const auto path = http::path_segments(http::view(request.target()));
+    const auto path = http::path_segments(http::to_string_view(request.target()));
     if (path.size() == 2 && path[1] == "load") {
         if (faults_.silent) return;
         return run_unless_paused([this, connection] {
@@ -96,7 +96,7 @@
     if (path.size() != 3) return answer(connection, 404, {});
     if (path[1] == "copies")
         return handle_preload(connection, path[2], std::string(http::field(request, field::controller)), request);
-    if (path[1] != "run" || request.method() != http::bh::verb::post) return answer(connection, 404, {});
+    if (path[1] != "run" || request.method() != http::beast_http::verb::post) return answer(connection, 404, {});
     handle_attempt(parse_attempt(connection, path[2], request));
 }
 
@@ -313,7 +313,7 @@
 
 void InvokerEmulator::handle_preload(const Connection& connection, const std::string& function,
                                      const std::string& controller, const HttpConnection::Request& request) {
-    if (request.method() == http::bh::verb::delete_) {
+    if (request.method() == http::beast_http::verb::delete_) {
         cache_.remove_idle(function);
         return answer(connection, 200, {});
     }
@@ -354,7 +354,7 @@
     LoadReport report;
     report.in_flight = static_cast<double>(pending_.size());
     report.queued = static_cast<double>(queue_.size());
-    return head.add(orca::header, orca::format(report))
+    return head.add(orca::header_name, orca::format(report))
         .add("Content-Length", static_cast<std::int64_t>(body_bytes))
         .finish();
 }
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -23,7 +23,7 @@
 // Words of the outcome header.
 constexpr std::string_view succeeded_word = "honoured", rejected_word = "bounced";
 
-using Response = http::bh::response<http::bh::string_body>;
+using Response = http::beast_http::response<http::beast_http::string_body>;
 
 // The response; nothing if there was none, after the reason was printed.
 std::optional<Response> exchange(const std::string& gateway, std::string head, std::string body, Time timeout) {
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -59,8 +59,8 @@
         on_record = [&recorder](const trace::Record& record) { recorder->offer(record); };
     }
     web::Server server(loop, config, log, used_seed, std::move(on_record));
-    server.set_extra_levels([&](metrics::Levels& levels) {
-        if (recorder) levels.recorder_dropped = static_cast<double>(recorder->dropped());
+    server.set_snapshot_extension([&](metrics::MetricSnapshot& snapshot) {
+        if (recorder) snapshot.dropped_trace_records = static_cast<double>(recorder->dropped());
     });
     if (const net::Error error = server.open()) {
         print_listen_error(config.listen, error);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -77,8 +77,8 @@
     if (metrics_collector_) metrics_collector_->start();
 }
 
-void Gateway::set_extra_levels(std::function<void(metrics::Levels&)> extra_levels) {
-    if (metrics_collector_) metrics_collector_->set_extra_levels(std::move(extra_levels));
+void Gateway::set_snapshot_extension(std::function<void(metrics::MetricSnapshot&)> extend_snapshot) {
+    if (metrics_collector_) metrics_collector_->set_snapshot_extension(std::move(extend_snapshot));
 }
 
 void Gateway::shut_down(std::function<void()> on_drained) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -74,7 +74,7 @@
     boost::json::array estimates() const { return status_.estimates(); }
     /// Null where the settings want no metrics. Their levels are those of the last round of MetricsCollector.
     metrics::GatewayMetrics* metrics() { return metrics_.get(); }
-    void set_extra_levels(std::function<void(metrics::Levels&)> extra_levels);
+    void set_snapshot_extension(std::function<void(metrics::MetricSnapshot&)> extend_snapshot);
 
 private:
     CallObserver& call_observer() { return *this; }
--- a/src/gateway/metrics_collector.cpp
+++ b/src/gateway/metrics_collector.cpp
@@ -17,12 +17,12 @@
 }
 
 void MetricsCollector::collect() {
-    metrics::Levels levels = status_.levels();
+    metrics::MetricSnapshot snapshot = status_.metric_snapshot();
     // How late this timer runs shows for how long the thread did nothing else.
-    levels.lag_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
-    if (extra_levels_) extra_levels_(levels);
-    metrics_.set_levels(levels);
-    if (++rounds_ % review_interval == 0) metrics_.review();
+    snapshot.gauge_update_delay_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
+    if (extend_snapshot_) extend_snapshot_(snapshot);
+    metrics_.set_snapshot(snapshot);
+    if (++rounds_ % review_interval == 0) metrics_.update_reported_names();
     due_at_ = loop_.now() + metrics_.config().interval;
     timer_ = loop_.call_at(due_at_, [this] { collect(); });
 }
--- a/src/gateway/metrics_collector.hpp
+++ b/src/gateway/metrics_collector.hpp
@@ -23,8 +23,8 @@
 
     void start();
     /// Called with the levels of each round, for what others measure.
-    void set_extra_levels(std::function<void(metrics::Levels&)> extra_levels) {
-        extra_levels_ = std::move(extra_levels);
+    void set_snapshot_extension(std::function<void(metrics::MetricSnapshot&)> extend_snapshot) {
+        extend_snapshot_ = std::move(extend_snapshot);
     }
 
 private:
@@ -33,7 +33,7 @@
     net::EventLoop& loop_;
     metrics::GatewayMetrics& metrics_;
     const StatusReader& status_;
-    std::function<void(metrics::Levels&)> extra_levels_;
+    std::function<void(metrics::MetricSnapshot&)> extend_snapshot_;
     net::EventLoop::TimerKey timer_{};
     Time due_at_{};
     std::uint64_t rounds_{};
--- a/src/gateway/status.cpp
+++ b/src/gateway/status.cpp
@@ -139,51 +139,51 @@
     return rows;
 }
 
-metrics::Levels StatusReader::levels() const {
+metrics::MetricSnapshot StatusReader::metric_snapshot() const {
     const Admission& admission = sources_.admission;
-    metrics::Levels levels;
-    levels.open_requests = static_cast<double>(admission.open_requests());
-    levels.reserved_bytes = static_cast<double>(admission.reserved_bytes());
-    levels.connections = static_cast<double>(admission.connections());
-    levels.functions = static_cast<double>(sources_.requests.function_count());
-    levels.parked = static_cast<double>(sources_.scheduler.parked_count());
-    add_endpoint_levels(levels);
-    levels.list_age_s = list_age_s().value_or(levels.list_age_s);
+    metrics::MetricSnapshot snapshot;
+    snapshot.open_requests = static_cast<double>(admission.open_requests());
+    snapshot.reserved_bytes = static_cast<double>(admission.reserved_bytes());
+    snapshot.client_connections = static_cast<double>(admission.connections());
+    snapshot.functions = static_cast<double>(sources_.requests.function_count());
+    snapshot.parked_requests = static_cast<double>(sources_.scheduler.parked_count());
+    add_endpoint_values(snapshot);
+    snapshot.list_age_s = list_age_s().value_or(snapshot.list_age_s);
     for_each_invariant([&](Invariant invariant) {
-        levels.invariants_broken[std::string(name_of(invariant))] =
+        snapshot.invariant_violations[std::string(name_of(invariant))] =
             static_cast<double>(sources_.invariants.violations(invariant));
     });
-    levels.log_dropped = static_cast<double>(sources_.log.dropped_lines());
-    levels.unreachable = static_cast<double>(sources_.endpoints.connection_counts().unreachable);
+    snapshot.dropped_log_lines = static_cast<double>(sources_.log.dropped_lines());
+    snapshot.failed_connects = static_cast<double>(sources_.endpoints.connection_counts().unreachable);
     for_each_rejection(admission, [&](std::string_view word, std::uint64_t count) {
-        levels.refused[std::string(word)] = static_cast<double>(count);
+        snapshot.rejections[std::string(word)] = static_cast<double>(count);
     });
-    return levels;
+    return snapshot;
 }
 
-void StatusReader::add_endpoint_levels(metrics::Levels& levels) const {
+void StatusReader::add_endpoint_values(metrics::MetricSnapshot& snapshot) const {
     std::vector<double> slowdowns;
     for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) {
-        levels.connections_open += static_cast<double>(endpoint->pool->connection_count());
+        snapshot.invoker_connections += static_cast<double>(endpoint->pool->connection_count());
         if (endpoint->draining_since && !endpoint->in_flight.empty())
-            levels.longest_drain_s =
-                std::max(levels.longest_drain_s, seconds(sources_.loop.now() - *endpoint->draining_since));
+            snapshot.longest_drain_s =
+                std::max(snapshot.longest_drain_s, seconds(sources_.loop.now() - *endpoint->draining_since));
         if (!endpoint->accepts_attempts()) {
-            ++levels.not_ready;
+            ++snapshot.not_ready;
             continue;
         }
-        levels.slow_start += endpoint->slow_start.since.has_value();
+        snapshot.slow_start += endpoint->slow_start.since.has_value();
         slowdowns.push_back(endpoint->load.slowdown_factor * endpoint->load.contention_factor);
-        double* const by_health[] = {&levels.healthy, &levels.suspect, &levels.ejected, &levels.recovering};
+        double* const by_health[] = {&snapshot.healthy, &snapshot.suspect, &snapshot.ejected, &snapshot.recovering};
         ++*by_health[static_cast<std::size_t>(endpoint->health.state)];
         if (endpoint->health.state == HealthState::suspect || endpoint->health.state == HealthState::ejected)
-            levels.in_flight_at_unhealthy += static_cast<double>(endpoint->in_flight.size());
+            snapshot.in_flight_at_unhealthy += static_cast<double>(endpoint->in_flight.size());
     }
     if (slowdowns.empty()) return;
     const auto middle = slowdowns.begin() + static_cast<std::ptrdiff_t>(slowdowns.size() / 2);
     std::ranges::nth_element(slowdowns, middle);
-    levels.slowdown_median = *middle;
-    levels.slowdown_worst = *std::ranges::max_element(slowdowns);
+    snapshot.slowdown_median = *middle;
+    snapshot.slowdown_worst = *std::ranges::max_element(slowdowns);
 }
 
 std::optional<double> StatusReader::list_age_s() const {
--- a/src/gateway/status.hpp
+++ b/src/gateway/status.hpp
@@ -47,7 +47,7 @@
     boost::json::object status() const;
     /// For each invoker what the scheduler estimates, beside what is on the connections.
     boost::json::array estimates() const;
-    metrics::Levels levels() const;
+    metrics::MetricSnapshot metric_snapshot() const;
 
 private:
     boost::json::object request_counts() const;
@@ -55,7 +55,7 @@
     boost::json::object connection_counts() const;
     boost::json::object endpoint_counts() const;
     boost::json::object invariant_counts() const;
-    void add_endpoint_levels(metrics::Levels& levels) const;
+    void add_endpoint_values(metrics::MetricSnapshot& snapshot) const;
     std::optional<double> list_age_s() const;
 
     const StatusSources sources_;
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -10,7 +10,7 @@
 namespace plumkeel::http {
 namespace {
 
-using ResponseParser = bh::response_parser<bh::string_body>;
+using ResponseParser = beast_http::response_parser<beast_http::string_body>;
 
 constexpr net::Time max_connect_timeout = std::chrono::seconds(2);
 constexpr std::size_t read_buffer_bytes = std::size_t{256} * 1024;
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -12,7 +12,7 @@
 
 struct ExchangeResult {
     net::Error error;  ///< why there is no complete response
-    bh::response<bh::string_body> response;
+    beast_http::response<beast_http::string_body> response;
 };
 
 /// Limits the body of a response unless the caller sets another limit.
--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -17,7 +17,7 @@
 
 std::string status_line(unsigned status) {
     return "HTTP/1.1 " + std::to_string(status) + " " +
-           std::string(view(bh::obsolete_reason(bh::int_to_status(status))));
+           std::string(to_string_view(beast_http::obsolete_reason(beast_http::int_to_status(status))));
 }
 
 bool is_forwarded_header(std::string_view name) {
--- a/src/http/headers.hpp
+++ b/src/http/headers.hpp
@@ -14,9 +14,9 @@
 namespace plumkeel::http {
 
 namespace beast = boost::beast;
-namespace bh = boost::beast::http;
+namespace beast_http = boost::beast::http;
 
-inline std::string_view view(beast::string_view text) {
+inline std::string_view to_string_view(beast::string_view text) {
     return {text.data(), text.size()};
 }
 
@@ -24,7 +24,7 @@
 template <class Message>
 std::string_view field(const Message& message, std::string_view name) {
     const auto it = message.find(beast::string_view(name.data(), name.size()));
-    return it == message.end() ? std::string_view() : view(it->value());
+    return it == message.end() ? std::string_view() : to_string_view(it->value());
 }
 
 /// Compares ASCII text without regard to case, as for field names.
--- a/src/metrics/gateway_metrics.cpp
+++ b/src/metrics/gateway_metrics.cpp
@@ -9,7 +9,7 @@
       families_(registry_, controller),
       requests_(families_, config_),
       attempts_(families_),
-      levels_(families_),
+      snapshot_metrics_(families_),
       received_(families_.received.Add({})),
       client_retries_(families_.client_retries.Add({})),
       health_checks_(families_.health_checks.Add({})),
--- a/src/metrics/gateway_metrics.hpp
+++ b/src/metrics/gateway_metrics.hpp
@@ -26,9 +26,9 @@
     void attempt_ended(const AttemptEnd& end) { attempts_.record(end); }
     void health_check_sent() { health_checks_.Increment(); }
     void preload_sent() { preloads_.Increment(); }
-    void set_levels(const Levels& levels) { levels_.set(levels); }
+    void set_snapshot(const MetricSnapshot& snapshot) { snapshot_metrics_.set(snapshot); }
     /// Updates which tenants and functions have series of their own; to be called every few seconds.
-    void review() { requests_.review(); }
+    void update_reported_names() { requests_.update_reported_names(); }
 
     /// All metrics in Prometheus' text format.
     std::string exposition() const;
@@ -42,7 +42,7 @@
     MetricFamilies families_;
     RequestMetrics requests_;
     AttemptMetrics attempts_;
-    LevelMetrics levels_;
+    SnapshotMetrics snapshot_metrics_;
     Counter &received_, &client_retries_, &health_checks_, &preloads_;
 };
 
--- a/src/metrics/heavy_hitters.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -51,7 +51,7 @@
     return ranking;
 }
 
-HeavyHitters::Turnover HeavyHitters::review() {
+HeavyHitters::Turnover HeavyHitters::update_reported_names() {
     const Ranking candidates = rank(false);
     Ranking current = rank(true);
     std::size_t replacements = std::max<std::size_t>(1, max_reported_ / replacement_divisor);
--- a/src/metrics/heavy_hitters.hpp
+++ b/src/metrics/heavy_hitters.hpp
@@ -26,7 +26,7 @@
     struct Turnover {
         std::vector<std::string> removed, added;  ///< names that are no longer reported, and new ones
     };
-    Turnover review();
+    Turnover update_reported_names();
 
     /// Label value that stands for all names that are not reported.
     static constexpr std::string_view others = "(others)";
--- a/src/metrics/level_metrics.hpp
+++ b/src/metrics/level_metrics.hpp
@@ -10,30 +10,30 @@
 namespace plumkeel::metrics {
 
 /// The gateway's state at one moment.
-struct Levels {
-    double open_requests{}, parked{};  ///< requests without a response, and of these the parked ones
-    double reserved_bytes{};           ///< memory for request bodies
-    double connections{};              ///< from clients
-    double functions{};                ///< known to the gateway
-    double connections_open{};         ///< to invokers
+struct MetricSnapshot {
+    double open_requests{}, parked_requests{};  ///< requests without a response, and of these the parked ones
+    double reserved_bytes{};                    ///< memory for request bodies
+    double client_connections{};                ///< from clients
+    double functions{};                         ///< known to the gateway
+    double invoker_connections{};               ///< to invokers
     double healthy{}, suspect{}, ejected{}, recovering{}, not_ready{}, slow_start{};  ///< invokers
     double in_flight_at_unhealthy{};             ///< attempts in flight at invokers that are suspect or ejected
     double longest_drain_s{};                    ///< how long a draining invoker has had attempts in flight
     double slowdown_median{}, slowdown_worst{};  ///< learned run times of invokers relative to their type
     double list_age_s{};                         ///< since the list of invokers was last confirmed
-    double lag_s{};                              ///< delay of this collection
+    double gauge_update_delay_s{};               ///< delay of this collection
     // Counted since the start.
-    double recorder_dropped{}, log_dropped{};         ///< trace records and log lines
-    double unreachable{};                             ///< failed connections to invokers
-    std::map<std::string, double> refused;            ///< requests rejected at admission, by reason
-    std::map<std::string, double> invariants_broken;  ///< violations by invariant; all invariants, also those at 0
+    double dropped_trace_records{}, dropped_log_lines{};  ///< trace records and log lines
+    double failed_connects{};                             ///< failed connections to invokers
+    std::map<std::string, double> rejections;             ///< requests rejected at admission, by reason
+    std::map<std::string, double> invariant_violations;   ///< violations by invariant; all invariants, also those at 0
 };
 
-class LevelMetrics {
+class SnapshotMetrics {
 public:
-    explicit LevelMetrics(MetricFamilies& families);
+    explicit SnapshotMetrics(MetricFamilies& families);
 
-    void set(const Levels& levels);
+    void set(const MetricSnapshot& snapshot);
 
 private:
     using CountersByLabel = std::map<std::string, Counter*, std::less<>>;
@@ -41,7 +41,7 @@
                           const std::map<std::string, double>& values);
 
     MetricFamilies& families_;
-    std::vector<std::pair<Gauge*, double Levels::*>> gauges_;
+    std::vector<std::pair<Gauge*, double MetricSnapshot::*>> gauges_;
     Counter &collections_, &dropped_trace_records_, &dropped_log_lines_, &failed_connects_;
     CountersByLabel rejections_, invariant_violations_;
 };
--- a/src/metrics/request_metrics.cpp
+++ b/src/metrics/request_metrics.cpp
@@ -79,15 +79,15 @@
     return *counter;
 }
 
-void RequestMetrics::review() {
-    for (const std::string& tenant : tenants_.review().removed) {
+void RequestMetrics::update_reported_names() {
+    for (const std::string& tenant : tenants_.update_reported_names().removed) {
         const auto it = counters_by_tenant_.find(tenant);
         if (it == counters_by_tenant_.end()) continue;
         for (const auto& [request_class, counters] : it->second)
             for (Counter* counter : counters) families_.requests.Remove(counter);
         counters_by_tenant_.erase(it);
     }
-    for (const std::string& function : functions_.review().removed) {
+    for (const std::string& function : functions_.update_reported_names().removed) {
         const auto it = counters_by_function_.find(function);
         if (it == counters_by_function_.end()) continue;
         families_.function_requests.Remove(it->second);
--- a/src/metrics/request_metrics.hpp
+++ b/src/metrics/request_metrics.hpp
@@ -42,7 +42,7 @@
 
     void record(const RequestEnd& end);
     /// Updates which tenants and functions have series of their own, and removes the series of the others.
-    void review();
+    void update_reported_names();
 
 private:
     using OutcomeCounters = std::array<Counter*, request_outcomes.size()>;
--- a/src/orca/orca.hpp
+++ b/src/orca/orca.hpp
@@ -13,7 +13,7 @@
 namespace plumkeel::orca {
 
 /// Name of the header that carries a report.
-constexpr const char* header = "endpoint-load-metrics";
+constexpr const char* header_name = "endpoint-load-metrics";
 
 /// Parses a header value. Metrics that are missing, not numeric, negative or not finite stay empty; a value in an
 /// unknown format gives an empty report.
--- a/src/remote_write/durable_queue.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -246,7 +246,7 @@
         if (positions[shard] <= sequence) dropped_samples_ += samples;
 }
 
-std::uint64_t DurableQueue::waiting(const std::string& receiver) const {
+std::uint64_t DurableQueue::pending_samples(const std::string& receiver) const {
     const std::vector<std::uint64_t>& positions = positions_.at(receiver);
     std::uint64_t total = 0;
     for (const auto& [sequence, entry] : entries_)
--- a/src/remote_write/durable_queue.hpp
+++ b/src/remote_write/durable_queue.hpp
@@ -56,14 +56,14 @@
     void advance(const std::string& receiver, int shard, std::uint64_t next);
 
     /// Samples that the receiver has not acknowledged.
-    std::uint64_t waiting(const std::string& receiver) const;
+    std::uint64_t pending_samples(const std::string& receiver) const;
     std::size_t bytes() const { return bytes_; }
     /// Samples dropped before a receiver had acknowledged them, over all runs.
-    std::uint64_t dropped() const { return dropped_samples_; }
+    std::uint64_t dropped_samples() const { return dropped_samples_; }
     /// The sequence number of the next scrape.
-    std::uint64_t end() const { return next_sequence_; }
+    std::uint64_t next_sequence() const { return next_sequence_; }
     /// The newest timestamp that was ever appended.
-    std::int64_t newest_ms() const { return newest_timestamp_ms_; }
+    std::int64_t newest_timestamp_ms() const { return newest_timestamp_ms_; }
 
 private:
     struct Entry {
--- a/src/remote_write/export_worker.cpp
+++ b/src/remote_write/export_worker.cpp
@@ -26,7 +26,7 @@
       listener_(std::move(listener)),
       queue_(config_.queue, receiver_names()),
       encoder_(config_.queue.shards),
-      clock_(loop_.wall_clock(), loop_.now(), queue_.newest_ms()) {
+      clock_(loop_.wall_clock(), loop_.now(), queue_.newest_timestamp_ms()) {
     auto seed = static_cast<std::uint64_t>(loop_.wall_clock().count());
     for (const ReceiverConfig& receiver : config_.receivers)
         senders_.push_back(std::make_unique<Sender>(loop_, receiver, queue_, config_.queue.shards, ++seed, listener_));
@@ -87,10 +87,10 @@
         samples.push_back({std::move(labels), static_cast<double>(value)});
     };
     add(metric_name::queue_bytes, queue_.bytes());
-    add(metric_name::dropped_samples, queue_.dropped() + unqueued_samples_);
+    add(metric_name::dropped_samples, queue_.dropped_samples() + unqueued_samples_);
     for (const auto& sender : senders_) {
         const SenderCounters& counters = sender->counts();
-        add(metric_name::pending_samples, queue_.waiting(sender->name()), sender->name());
+        add(metric_name::pending_samples, queue_.pending_samples(sender->name()), sender->name());
         add(metric_name::accepted_samples, counters.accepted, sender->name());
         add(metric_name::rejected_samples, counters.rejected, sender->name());
         add(metric_name::send_failures, counters.failures, sender->name());
@@ -111,7 +111,7 @@
 
 void ExportWorker::stop_when_sent(Time deadline) {
     const bool pending =
-        std::ranges::any_of(senders_, [&](const auto& sender) { return queue_.waiting(sender->name()) > 0; });
+        std::ranges::any_of(senders_, [&](const auto& sender) { return queue_.pending_samples(sender->name()) > 0; });
     if (!pending || loop_.now() >= deadline) return loop_.stop();
     loop_.call_at(loop_.now() + stop_poll_interval, [this, deadline] { stop_when_sent(deadline); });
 }
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 using gateway::IncomingRequest;
-namespace bh = http::bh;
+namespace beast_http = http::beast_http;
 namespace field = protocol::field;
 
 namespace {
@@ -28,16 +28,17 @@
 
 // "/v1/<page>"
 bool is_page(const RequestParser& parser, const std::vector<std::string>& path) {
-    return parser.get().method() == bh::verb::get && path.size() == 2 && path[0] == api_version;
+    return parser.get().method() == beast_http::verb::get && path.size() == 2 && path[0] == api_version;
 }
 
 // "/v1/jobs/<function>"
 bool is_run(const RequestParser& parser, const std::vector<std::string>& path) {
-    return path.size() == 3 && path[0] == api_version && path[1] == "jobs" && parser.get().method() == bh::verb::post;
+    return path.size() == 3 && path[0] == api_version && path[1] == "jobs" &&
+           parser.get().method() == beast_http::verb::post;
 }
 
 RejectionReason parse_failure(const net::Error& error) {
-    return error == bh::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
+    return error == beast_http::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
 }
 
 }  // namespace
@@ -95,7 +96,7 @@
     }
     keep_alive_ = parser.keep_alive();
     chunked_ = parser.get().version() >= http_1_1;
-    const auto path = http::path_segments(http::view(parser.get().target()));
+    const auto path = http::path_segments(http::to_string_view(parser.get().target()));
     if (is_page(parser, path)) {
         if (!parser.is_done()) {
             reject(RejectionReason::malformed);
@@ -150,7 +151,7 @@
         }
         if (const net::Error error = read_buffer_.feed(parser)) {
             clear_read_timeout();
-            co_return error == bh::error::header_limit ? RejectionReason::head_too_big : parse_failure(error);
+            co_return error == beast_http::error::header_limit ? RejectionReason::head_too_big : parse_failure(error);
         }
         if (!std::exchange(has_begun, true) && !parser.is_header_done())
             set_read_timeout(limits.head_timeout, RejectionReason::head_too_slow);
@@ -165,7 +166,7 @@
     // Reserved from the head on, or as it arrives: many incomplete bodies must not exceed the limit together.
     const RejectionReason no_memory = reservation.grow_to(parser.content_length().value_or(0));
     if (no_memory != RejectionReason::none) co_return no_memory;
-    if (http::beast::iequals(parser.get()[bh::field::expect], "100-continue"))
+    if (http::beast::iequals(parser.get()[beast_http::field::expect], "100-continue"))
         write_queue_->send("HTTP/1.1 100 Continue\r\n\r\n");
     const Time since = loop().now();
     parser.eager(true);
--- a/src/web/invoker_connection.cpp
+++ b/src/web/invoker_connection.cpp
@@ -11,7 +11,7 @@
 
 using delivery::Progress;
 using delivery::StopCause;
-namespace bh = http::bh;
+namespace beast_http = http::beast_http;
 
 namespace {
 
--- a/src/web/invoker_connection.hpp
+++ b/src/web/invoker_connection.hpp
@@ -31,7 +31,7 @@
     void start_idle_timer();
 
 private:
-    using Parser = http::bh::response_parser<http::bh::string_body>;
+    using Parser = http::beast_http::response_parser<http::beast_http::string_body>;
     enum class ReadStatus { failed, incomplete, ended_by_peer };
 
     void take(std::shared_ptr<UpstreamCall> call);
--- a/src/web/protocol.hpp
+++ b/src/web/protocol.hpp
@@ -46,7 +46,7 @@
         {field::concurrent_requests, &OwnFields::concurrent_requests},
         {field::never_ran, &OwnFields::never_ran},
         {field::copies, &OwnFields::copies},
-        {orca::header, &OwnFields::report}};
+        {orca::header_name, &OwnFields::report}};
     for (const auto& [known, member] : members)
         if (known.size() == name.size() && http::equals_ignoring_case(known, name)) return &(own.*member);
     return nullptr;
@@ -58,11 +58,11 @@
 OwnFields read_own_fields(const Message& message, std::string* forwarded = nullptr) {
     OwnFields own;
     for (const auto& each : message) {
-        const std::string_view name = http::view(each.name_string());
+        const std::string_view name = http::to_string_view(each.name_string());
         std::string_view* member = find_own_field(own, name);
-        if (member && member->empty()) *member = http::view(each.value());
+        if (member && member->empty()) *member = http::to_string_view(each.value());
         if (forwarded && !member && http::is_forwarded_header(name))
-            forwarded->append(name).append(": ").append(http::view(each.value())).append("\r\n");
+            forwarded->append(name).append(": ").append(http::to_string_view(each.value())).append("\r\n");
     }
     return own;
 }
--- a/src/web/request_fields.hpp
+++ b/src/web/request_fields.hpp
@@ -7,7 +7,7 @@
 
 namespace plumkeel::web {
 
-using RequestParser = http::bh::request_parser<http::bh::string_body>;
+using RequestParser = http::beast_http::request_parser<http::beast_http::string_body>;
 
 /// Checks the fields of `parser`'s head and fills `request`, but for its body. `request.function` is set before.
 RejectionReason parse_request(const RequestParser& parser, const GatewayConfig& config, const Admission& admission,
--- a/src/web/server.hpp
+++ b/src/web/server.hpp
@@ -25,8 +25,8 @@
     net::Address address() const { return listener_->address(); }
     boost::json::object status() const { return gateway_.status(); }
     metrics::GatewayMetrics* metrics() { return gateway_.metrics(); }
-    void set_extra_levels(std::function<void(metrics::Levels&)> add_levels) {
-        gateway_.set_extra_levels(std::move(add_levels));
+    void set_snapshot_extension(std::function<void(metrics::MetricSnapshot&)> extend_snapshot) {
+        gateway_.set_snapshot_extension(std::move(extend_snapshot));
     }
 
     net::EventLoop& loop() { return loop_; }
--- a/tests/durable_queue_test.cpp
+++ b/tests/durable_queue_test.cpp
@@ -26,9 +26,9 @@
         queue.advance("a", 0, before.next);
     }
     DurableQueue queue(config, {"a", "b"});
-    EXPECT_EQ(queue.end(), 10u);
-    EXPECT_EQ(queue.waiting("a"), 200u - before.samples);
-    EXPECT_EQ(queue.waiting("b"), 200u);
+    EXPECT_EQ(queue.next_sequence(), 10u);
+    EXPECT_EQ(queue.pending_samples("a"), 200u - before.samples);
+    EXPECT_EQ(queue.pending_samples("b"), 200u);
     EXPECT_EQ(queue.read("b", 0, 25).bytes, before.bytes);
     EXPECT_NE(queue.read("a", 0, 25).bytes, before.bytes);
 }
@@ -38,9 +38,9 @@
     DurableQueue queue(config, {"a", "b"});
     for (int i = 0; i < 10; ++i) queue.append(1000 * i, encode_scrape(encoder, 20, 1000 * i, i));
     for (const char* name : {"a", "b"})
-        for (int shard = 0; shard < 2; ++shard) queue.advance(name, shard, queue.end());
+        for (int shard = 0; shard < 2; ++shard) queue.advance(name, shard, queue.next_sequence());
     EXPECT_EQ(queue.bytes(), 0u);
-    EXPECT_EQ(queue.dropped(), 0u);
+    EXPECT_EQ(queue.dropped_samples(), 0u);
 }
 
 TEST_F(DurableQueueTest, DropsAndCountsTheOldestBeyondItsLimits) {
@@ -53,16 +53,16 @@
             queue.append(1000 * i, encode_scrape(encoder, 50, 1000 * i, i * 1.7));
             EXPECT_LE(queue.bytes(), 20'000u);
         }
-        dropped = queue.dropped();
+        dropped = queue.dropped_samples();
         EXPECT_GT(dropped, 1000u);
-        EXPECT_EQ(queue.waiting("a") + dropped, 200u * 50);
+        EXPECT_EQ(queue.pending_samples("a") + dropped, 200u * 50);
         EXPECT_GT(queue.read("a", 0, 1).oldest_ms, 100'000);
     }
-    EXPECT_EQ(DurableQueue(config, {"a"}).dropped(), dropped);
+    EXPECT_EQ(DurableQueue(config, {"a"}).dropped_samples(), dropped);
     config.max_age = 10s;
     DurableQueue queue(config, {"a"});
     queue.append(1'000'000, encode_scrape(encoder, 50, 1'000'000, 1));
-    EXPECT_EQ(queue.waiting("a"), 50u);
+    EXPECT_EQ(queue.pending_samples("a"), 50u);
 }
 
 TEST_F(DurableQueueTest, ChangesTheNumberOfShardsOnlyWhenEmpty) {
@@ -81,10 +81,10 @@
     }
     {
         DurableQueue queue(config, {"a"});
-        EXPECT_EQ(queue.newest_ms(), 1000);
-        for (int shard = 0; shard < 2; ++shard) queue.advance("a", shard, queue.end());
+        EXPECT_EQ(queue.newest_timestamp_ms(), 1000);
+        for (int shard = 0; shard < 2; ++shard) queue.advance("a", shard, queue.next_sequence());
     }
-    EXPECT_EQ(DurableQueue(three_shards, {"a"}).newest_ms(), 1000);
+    EXPECT_EQ(DurableQueue(three_shards, {"a"}).newest_timestamp_ms(), 1000);
 }
 
 // Killed ten times at arbitrary moments: every scrape that append() reported as stored is there.
@@ -100,7 +100,7 @@
             SeriesEncoder encoder(2);
             for (std::int64_t i = 1;; ++i) {
                 queue.append(first_ms + i, encode_scrape(encoder, 10, first_ms + i, 1));
-                const std::uint64_t end = queue.end();
+                const std::uint64_t end = queue.next_sequence();
                 if (::write(pipe_ends[1], &end, sizeof end) != sizeof end) _exit(1);
                 if (i % 7 == 0) queue.advance("a", 0, queue.read("a", 0, 15).next);
             }
@@ -117,8 +117,8 @@
         ::close(pipe_ends[0]);
         ::waitpid(child, nullptr, 0);
         DurableQueue queue(config, {"a"});
-        EXPECT_GE(queue.end(), reported);
-        EXPECT_LE(queue.end(), reported + 1);
+        EXPECT_GE(queue.next_sequence(), reported);
+        EXPECT_LE(queue.next_sequence(), reported + 1);
         first_ms += 1000;
     }
 }
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -29,7 +29,7 @@
     stream->write_now({&bytes, 1});
 }
 
-using RequestParser = http::bh::request_parser<http::bh::string_body>;
+using RequestParser = http::beast_http::request_parser<http::beast_http::string_body>;
 
 /// Reads one HTTP request whole, or until the connection ends.
 inline Task<net::Error> read_request(http::ReadBuffer& buffer, RequestParser& parser) {
@@ -90,7 +90,7 @@
             parser.eager(true);
             const net::Error error = co_await read_request(buffer, parser);
             if (error) co_return;
-            if (http::path_segments(http::view(parser.get().target()))[1] == "load") {
+            if (http::path_segments(http::to_string_view(parser.get().target()))[1] == "load") {
                 write_text(stream,
                            "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: "
                            "0\r\n\r\n");
--- a/tests/gateway_metrics_test.cpp
+++ b/tests/gateway_metrics_test.cpp
@@ -22,7 +22,7 @@
                           function = "f" + std::to_string(i / 40 + (i % 7 ? 0 : 1'000'000 + i));
         metrics.request_ended({"u", tenant, function, i % 9 ? RequestState::succeeded : RequestState::rejected,
                                DecisionReason::overloaded, false, Time(1000), Time(10), 1});
-        if (i % 100 == 0) metrics.review();
+        if (i % 100 == 0) metrics.update_reported_names();
     }
     EXPECT_LE(series_count(metrics, "plumkeel_function_jobs_total"), 7u);
     EXPECT_LE(series_count(metrics, "plumkeel_jobs_total"), 5u * 5u);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -249,11 +249,11 @@
     rules.folder = copy;
     {
         remote_write::DurableQueue spool(rules, {"store", "other"});
-        EXPECT_EQ(spool.end(), 4u);
-        EXPECT_EQ(spool.newest_ms(), 1'700'000'015'000);
-        EXPECT_EQ(spool.dropped(), 0u);
-        EXPECT_EQ(spool.waiting("other"), 24u);
-        EXPECT_LT(spool.waiting("store"), 24u);
+        EXPECT_EQ(spool.next_sequence(), 4u);
+        EXPECT_EQ(spool.newest_timestamp_ms(), 1'700'000'015'000);
+        EXPECT_EQ(spool.dropped_samples(), 0u);
+        EXPECT_EQ(spool.pending_samples("other"), 24u);
+        EXPECT_LT(spool.pending_samples("store"), 24u);
         std::string all;
         for (int part = 0; part < 2; ++part)
             for (const char* receiver : {"store", "other"}) {
--- a/tests/heavy_hitters_test.cpp
+++ b/tests/heavy_hitters_test.cpp
@@ -19,7 +19,7 @@
             const auto n = next() % 100;
             sketch.add(n < 80 ? "heavy" + std::to_string(n % 5) : "light" + std::to_string(next() % 10'000));
         }
-        sketch.review();
+        sketch.update_reported_names();
     }
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(sketch.is_reported("heavy" + std::to_string(i))) << i;
 }
@@ -28,7 +28,7 @@
     HeavyHitters sketch(3, 30);
     for (int round = 0; round < 20; ++round) {
         for (int i = 0; i < 500; ++i) EXPECT_FALSE(sketch.add("once" + std::to_string(round * 500 + i)));
-        EXPECT_TRUE(sketch.review().added.empty());
+        EXPECT_TRUE(sketch.update_reported_names().added.empty());
     }
 }
 
@@ -40,7 +40,7 @@
         for (int i = 0; i < 50; ++i) sketch.add("frequent" + std::to_string(second));
         for (int i = 0; i < 20; ++i) sketch.add("steady");
         if (second % 5 == 4) {
-            const auto turnover = sketch.review();
+            const auto turnover = sketch.update_reported_names();
             EXPECT_LE(turnover.removed.size(), 2u);
             changes += turnover.added.size();
         }
--- a/tests/sender_test.cpp
+++ b/tests/sender_test.cpp
@@ -191,14 +191,14 @@
     scrape_for(5);
     receiver.set_mode(Mode::respond_status, 503);
     scrape_for(20);
-    const std::uint64_t waiting = queue->waiting("r");
+    const std::uint64_t waiting = queue->pending_samples("r");
     EXPECT_GE(waiting, 20u * series);
     sender.reset();  // its coroutines wait on a loop that does not run any more
     queue.reset();
     net::SimulatedEventLoop second;
     emulator::RemoteWriteReceiver again(second, second.listen({"127.0.0.1", 9090}).listener);
     DurableQueue reopened(config, {"r"});
-    EXPECT_EQ(reopened.waiting("r"), waiting);
+    EXPECT_EQ(reopened.pending_samples("r"), waiting);
     Sender next(second, receiver_config, reopened, shards, 4, [](ExportEvent, const std::string&) {});
     next.start();
     next.notify(series);
@@ -236,9 +236,9 @@
             sender.start();
             std::function<void()> again = [&] {
                 if (round == 10) {  // the last process only sends what is left
-                    if (queue.waiting("r") == 0) _exit(0);
+                    if (queue.pending_samples("r") == 0) _exit(0);
                 } else {
-                    const auto n = static_cast<std::int64_t>(queue.end()) + 1;
+                    const auto n = static_cast<std::int64_t>(queue.next_sequence()) + 1;
                     queue.append(n, encode_scrape(encoder, 10, n, static_cast<double>(n)));
                     if (::write(pipe_ends[1], &n, sizeof n) != sizeof n) _exit(1);
                 }
