--- a/src/gateway/status.cpp
+++ b/src/gateway/status.cpp
@@ -18,7 +18,8 @@
 
 /// How much slower than the average invoker of the fleet it is, as learned.
 double total_slowdown(const Invoker& invoker) {
-    return invoker.type ? invoker.type->slowdown_factor * invoker.load.slowdown_factor : invoker.load.slowdown_factor;
+    return invoker.type ? invoker.type->slowdown_factor * invoker.load_estimate.slowdown_factor
+                        : invoker.load_estimate.slowdown_factor;
 }
 
 /// As the status document and the label `standing` of plumkeel_invokers call it.
@@ -132,7 +133,8 @@
                                 {"queued", pool.queued_count()},
                                 {"connections", pool.connection_count()},
                                 {"slowdown", round_to_tenths(total_slowdown(*endpoint))}};
-        if (endpoint->load.reported_load) row["reported_load"] = round_to_tenths(*endpoint->load.reported_load);
+        if (endpoint->load_estimate.reported_load)
+            row["reported_load"] = round_to_tenths(*endpoint->load_estimate.reported_load);
         if (endpoint->slow_start.since) row["slow_start"] = true;
         rows.push_back(std::move(row));
     }
@@ -173,7 +175,7 @@
             continue;
         }
         levels.slow_start += endpoint->slow_start.since.has_value();
-        slowdowns.push_back(endpoint->load.slowdown_factor * endpoint->load.contention_factor);
+        slowdowns.push_back(endpoint->load_estimate.slowdown_factor * endpoint->load_estimate.contention_factor);
         double* const by_health[] = {&levels.healthy, &levels.suspect, &levels.ejected, &levels.recovering};
         ++*by_health[static_cast<std::size_t>(endpoint->health.state)];
         if (endpoint->health.state == HealthState::suspect || endpoint->health.state == HealthState::ejected)
--- a/src/scheduler/invoker.hpp
+++ b/src/scheduler/invoker.hpp
@@ -86,7 +86,7 @@
 
     InvokerHealth health;
     SlowStartState slow_start;
-    LoadEstimate load;
+    LoadEstimate load_estimate;
     Backpressure backpressure;
 
     std::vector<Attempt*> in_flight;  ///< own attempts, oldest first; changed by RequestLifecycle
--- a/src/scheduler/invoker_registry.cpp
+++ b/src/scheduler/invoker_registry.cpp
@@ -57,7 +57,7 @@
 
 void InvokerRegistry::assume_restarted(Invoker& invoker) {
     copies_.unload_all(invoker);
-    invoker.load.reported_load.reset();
+    invoker.load_estimate.reported_load.reset();
 }
 
 void InvokerRegistry::release_delisted() {
--- a/src/scheduler/load_estimator.cpp
+++ b/src/scheduler/load_estimator.cpp
@@ -108,16 +108,17 @@
     if (few) {
         if (attempt.outcome == AttemptOutcome::succeeded)
             adjust(type.slowdown_factor, type_gain * error, min_type_slowdown, max_type_slowdown);
-        adjust(invoker.load.slowdown_factor, slowdown_gain * error, min_invoker_factor, max_invoker_factor);
+        adjust(invoker.load_estimate.slowdown_factor, slowdown_gain * error, min_invoker_factor, max_invoker_factor);
     } else {
         if (attempt.outcome == AttemptOutcome::succeeded)
             adjust(type.contention_factor, type_gain * error, min_type_contention, max_type_contention);
-        adjust(invoker.load.contention_factor, contention_gain * error, min_invoker_factor, max_invoker_factor);
+        adjust(invoker.load_estimate.contention_factor, contention_gain * error, min_invoker_factor,
+               max_invoker_factor);
     }
 }
 
 void LoadEstimator::initialize_factors(Invoker& invoker) const {
-    invoker.load.slowdown_factor = invoker.load.contention_factor = 1;
+    invoker.load_estimate.slowdown_factor = invoker.load_estimate.contention_factor = 1;
     if (invoker.type->slowdown_factor != 0) return;
     // Its capacity, where it holds still, is taken to be its cores: one request of as many contends little.
     const double share_of_cores = context_.capabilities.stable_capacity ? 1 / std::max(1.0, invoker.capacity) : 1;
@@ -127,7 +128,7 @@
 // Of others' requests a report tells less the older it is; what is left is what its reports used to tell, or the mean
 // of its capacity. In the short while since a report a few controllers are taken to have done as this one did.
 double LoadEstimator::estimated_load(const Invoker& invoker) const {
-    const LoadEstimate& load = invoker.load;
+    const LoadEstimate& load = invoker.load_estimate;
     const auto own = static_cast<double>(invoker.in_flight.size());
     double others = others_per_capacity_ * invoker.capacity;
     if (load.reported_load) {
@@ -142,7 +143,7 @@
 
 void LoadEstimator::on_load_report(Invoker& invoker, const LoadReport& report) {
     if (!report.in_flight) return;
-    LoadEstimate& load = invoker.load;
+    LoadEstimate& load = invoker.load_estimate;
     const bool is_first = !load.reported_load;
     // What is queued there, for a copy or a load, contends for no core.
     load.reported_load = std::max(0.0, *report.in_flight - report.queued.value_or(0));
@@ -168,13 +169,13 @@
 }
 
 void LoadEstimator::record_change(Invoker& invoker, int change) {
-    invoker.load.recent_changes.emplace_back(context_.now, change);
-    invoker.load.recent_change_sum += change;
+    invoker.load_estimate.recent_changes.emplace_back(context_.now, change);
+    invoker.load_estimate.recent_change_sum += change;
     recent_change(invoker);
 }
 
 int LoadEstimator::recent_change(Invoker& invoker) {
-    LoadEstimate& load = invoker.load;
+    LoadEstimate& load = invoker.load_estimate;
     while (!load.recent_changes.empty() && load.recent_changes.front().first + report_age <= context_.now) {
         load.recent_change_sum -= load.recent_changes.front().second;
         load.recent_changes.pop_front();
--- a/src/scheduler/load_estimator.hpp
+++ b/src/scheduler/load_estimator.hpp
@@ -29,10 +29,10 @@
 
     /// The invoker's factors, with those of its type.
     double slowdown_factor(const Invoker& invoker) const {
-        return invoker.type->slowdown_factor * invoker.load.slowdown_factor;
+        return invoker.type->slowdown_factor * invoker.load_estimate.slowdown_factor;
     }
     double contention_factor(const Invoker& invoker) const {
-        return invoker.type->contention_factor * invoker.load.contention_factor;
+        return invoker.type->contention_factor * invoker.load_estimate.contention_factor;
     }
     /// First factors of an invoker and, where nothing is known of it, of its type.
     void initialize_factors(Invoker& invoker) const;
--- a/src/scheduler/probing.cpp
+++ b/src/scheduler/probing.cpp
@@ -63,7 +63,7 @@
     std::size_t examined = 0;
     context_.fleet.for_recently_used([&](Invoker& invoker) {
         const bool is_silent = context_.now - invoker.health.last_response_at > silence_timeout;
-        const bool report_is_old = context_.now - invoker.load.reported_at > probe_interval;
+        const bool report_is_old = context_.now - invoker.load_estimate.reported_at > probe_interval;
         if (!invoker.health.probe_pending && is_rested(invoker) && (is_silent || report_is_old)) {
             send(invoker);
             --probe_allowance_;
