--- a/src/scheduler/actions.hpp
+++ b/src/scheduler/actions.hpp
@@ -1,4 +1,4 @@
-/// What one call of the scheduler decided, for its host to carry out.
+/// The decisions of one call of the scheduler, which its host carries out.
 #pragma once
 
 #include <vector>
@@ -10,10 +10,10 @@
 struct PreloadCommand {
     Function* function{};
     Invoker* invoker{};
-    int copies{};  ///< 0: unload the idle ones
+    int copies{};  ///< 0 means that idle copies are to be unloaded
 };
 
-/// What kept an invoker from being a candidate for a request.
+/// Why an invoker was not a candidate for a request.
 enum class ExclusionReason {
     none,
     not_ready,
@@ -28,36 +28,39 @@
 /// An invoker that was considered for a request.
 struct Candidate {
     Invoker* invoker{};
-    double finish_s{};      ///< seconds from now until it would respond
-    double contention_s{};  ///< of these, caused by other requests there
+    double finish_s{};      ///< estimated seconds from now until the response
+    double contention_s{};  ///< the part of `finish_s` that is caused by other requests
     bool warm{};
-    ExclusionReason exclusion{};  ///< unless `none`, only the invoker is meaningful
+    /// If this is not `none`, the estimates above are not set.
+    ExclusionReason exclusion{};
 };
 
-/// A request's change of state. A request that stays parked for the same reason is not told of again.
+/// A change of a request's state. A parked request that is parked again for the same reason is not reported again.
 struct StateTransition {
     Request* request{};
     RequestState to{};
     DecisionReason reason{};
-    Attempt* attempt{};  ///< started by the transition
+    /// The attempt that was started with this transition; null if none was.
+    Attempt* attempt{};
     std::vector<Candidate> candidates;
 };
 
-/// How much of its reasons a scheduler puts into its actions. It changes no decision.
+/// How much detail about decisions the scheduler adds to its actions. The detail has no influence on decisions.
 enum class TraceDetail { none, transitions, candidates };
 
-/// The host carries out the lists in this order.
+/// The host carries out the lists in the order of these fields.
 struct Actions {
     std::vector<Attempt*> to_cancel;
     std::vector<Request*> completed;
     std::vector<Attempt*> to_send;
     std::vector<Invoker*> to_probe;
     std::vector<PreloadCommand> to_preload;
-    std::vector<Function*> released_functions;  ///< the host may free these
-    std::vector<Invoker*> released_invokers;    ///< and these: long off the list, and nothing refers to them any more
+    std::vector<Function*> released_functions;  ///< no longer used by the scheduler: the host may free them
+    std::vector<Invoker*> released_invokers;    ///< no longer used by the scheduler: the host may free them
     bool subscribe_endpoints{};
-    Time next_wake{};                          ///< when to call Scheduler::wake() at the latest
-    std::vector<StateTransition> transitions;  ///< as far as TraceDetail asks: nothing to carry out
+    Time next_wake{};  ///< when the host has to call Scheduler::wake() at the latest
+    /// For tracing only. TraceDetail selects what is recorded.
+    std::vector<StateTransition> transitions;
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/arrival_statistics.hpp
+++ b/src/scheduler/arrival_statistics.hpp
@@ -1,5 +1,5 @@
-/// How often requests arrive lately: of all, of each function and of each tenant, as counts that decay. A tenant whose
-/// requests come faster than its quota is marked as over it.
+/// Counts recent requests in total, per function and per tenant, with exponential decay. Marks requests of tenants that
+/// exceed their quota.
 #pragma once
 
 #include "scheduler/scheduler_context.hpp"
@@ -12,23 +12,25 @@
 
     /// Counts the request and sets Request::over_quota.
     void record(Request& request);
-    /// Part of the periodic work: adapts the span to the traffic.
-    void update_span();
+    /// Part of each periodic sweep. Adapts the decay time to the rate of requests.
+    void update_decay_time();
 
-    /// Decaying count of all arrivals.
+    /// Exponentially decaying number of all requests.
     double recent_arrivals() const { return recent_arrivals_; }
-    /// The time constant of all counts, in seconds.
-    double span_s() const { return span_s_; }
+    /// Time constant of the decay of all counts, in seconds.
+    double decay_time_s() const { return decay_time_s_; }
 
 private:
-    bool is_over_quota(Tenant& tenant);
-    double count_one(double recent_arrivals, Time last_arrival) const;
+    bool record_and_check_quota(Tenant& tenant);
+    double count_arrival(double recent_arrivals, Time last_arrival) const;
 
     SchedulerContext& context_;
     double recent_arrivals_{};
     Time last_arrival_{};
-    double span_s_ = 3.0;  // the shortest, until the traffic is known
-    double quota_sum_{};   // of all tenants seen, in requests a second
+    /// Starts at the shortest decay time.
+    double decay_time_s_ = 3.0;
+    /// Sum of the quotas of all tenants seen, in requests per second.
+    double total_quota_per_s_{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/cached_copies.cpp
+++ b/src/scheduler/cached_copies.cpp
@@ -6,13 +6,13 @@
 namespace plumkeel {
 namespace {
 
-/// A response faster than this part of a load's time did not wait for one.
-constexpr double no_load_share = 0.5;
+/// A response that took less than this share of the function's load time did not wait for a load.
+constexpr double max_load_time_share_without_load = 0.5;
 
 }  // namespace
 
 CachedFunction& CachedCopies::get_or_add(Function& function, Invoker& invoker) {
-    if (CachedFunction* known = find(function, invoker)) return *known;
+    if (CachedFunction* existing = find(function, invoker)) return *existing;
     invoker.functions.push_back(&function);
     CachedFunction& copy = function.cached_copies.add(invoker);
     context_.functions.replicated.set(function, function.cached_copies.size() > 1);
@@ -28,7 +28,7 @@
     context_.functions.schedule_review(function, std::max(expires_at, context_.now));
 }
 
-void CachedCopies::renew(Function& function, CachedFunction& copy) {
+void CachedCopies::extend_expiry(Function& function, CachedFunction& copy) {
     set_expiry(function, copy, context_.now + context_.capabilities.keep_alive);
 }
 
@@ -47,13 +47,13 @@
 
 void CachedCopies::attempt_sent(Function& function, CachedFunction& copy) {
     const Time now = context_.now;
-    if (++copy.in_flight >= copy.peak_in_flight || now - copy.peak_at > context_.capabilities.keep_alive) {
+    if (++copy.in_flight >= copy.peak_in_flight || now - copy.peak_reached_at > context_.capabilities.keep_alive) {
         copy.peak_in_flight = copy.in_flight;
-        copy.peak_at = now;
+        copy.peak_reached_at = now;
     }
     const int concurrency = function.copy_concurrency();
-    const int used = (copy.peak_in_flight + concurrency - 1) / concurrency;
-    copy.copies = std::max(1, std::min(copy.copies, used));
+    const int copies_in_use = (copy.peak_in_flight + concurrency - 1) / concurrency;
+    copy.copies = std::max(1, std::min(copy.copies, copies_in_use));
 }
 
 void CachedCopies::attempt_ended(Function& function, const Invoker& invoker) {
@@ -64,23 +64,24 @@
 }
 
 void CachedCopies::learn_from_success(const Attempt& attempt, LoadEvent load_event, int concurrent_requests,
-                                      double took_s, double load_time_s) {
+                                      double duration_s, double load_time_s) {
     Function& function = *attempt.request->function;
     CachedFunction& copy = get_or_add(function, *attempt.invoker);
-    renew(function, copy);
+    extend_expiry(function, copy);
     const bool started_load = load_event == LoadEvent::started_load;
     if (started_load && attempt.expected_warm) ++copy.copies;
-    // More requests there than the copies run, and no load: other controllers' requests brought a further copy.
+    // More requests ran than the estimated copies can run, and none waited for a load: other controllers' requests made
+    // the invoker load a further copy.
     const bool over_concurrency = concurrent_requests + 1 > copy.copies * function.copy_concurrency();
-    if (!started_load && over_concurrency && took_s < no_load_share * load_time_s) ++copy.copies;
+    if (!started_load && over_concurrency && duration_s < max_load_time_share_without_load * load_time_s) ++copy.copies;
 }
 
-void CachedCopies::preloaded(Function& function, Invoker& invoker, int copies) {
+void CachedCopies::record_preload(Function& function, Invoker& invoker, int copies) {
     CachedFunction& copy = get_or_add(function, invoker);
-    renew(function, copy);
+    extend_expiry(function, copy);
     copy.copies = std::max(1, copies);
     copy.peak_in_flight = copy.copies * function.copy_concurrency();
-    copy.peak_at = context_.now;
+    copy.peak_reached_at = context_.now;
 }
 
 void CachedCopies::erase_expired(Function& function) {
--- a/src/scheduler/cached_copies.hpp
+++ b/src/scheduler/cached_copies.hpp
@@ -1,7 +1,8 @@
-/// Which functions are estimated to be warm at which invokers, and with how many copies.
+/// Estimates at which invokers a function has warm copies, and how many.
 ///
-/// A function has an entry for an invoker from its first attempt there on. The entry counts as warm until it expires;
-/// an expired one is kept while own attempts are in flight and until the function's next review (FunctionRegistry).
+/// A function has an entry for an invoker from its first attempt there on. The entry counts as warm until it expires.
+/// An expired entry is kept while attempts of this controller are in flight and until the next review of the function
+/// by FunctionRegistry.
 #pragma once
 
 #include "scheduler/scheduler_context.hpp"
@@ -12,35 +13,36 @@
 public:
     explicit CachedCopies(SchedulerContext& context) : context_(context) {}
 
-    /// Null where the function has no entry for the invoker.
+    /// The function's entry for the invoker, or null.
     static CachedFunction* find(Function& function, const Invoker& invoker) {
         return function.cached_copies.find(invoker);
     }
     CachedFunction& get_or_add(Function& function, Invoker& invoker);
-    /// Null is not warm.
+    /// Whether `copy` is an entry that has not expired; false for null.
     bool is_warm(const CachedFunction* copy) const { return copy && copy->expires_at > context_.now; }
-    /// Requests that the copies run at once.
+    /// Requests that the copies of an entry run at once.
     static int concurrency(const Function& function, const CachedFunction* copy);
 
-    /// Every change of an entry's expiry goes through here.
+    /// Sets the entry's expiry and schedules the function's review for it. All changes of an expiry go through here.
     void set_expiry(Function& function, CachedFunction& copy, Time expires_at);
-    /// As after a use now: warm for the keep-alive time.
-    void renew(Function& function, CachedFunction& copy);
+    /// Sets the expiry as after a use now: warm for the keep-alive time.
+    void extend_expiry(Function& function, CachedFunction& copy);
+    /// Records that the invoker no longer holds any copy of the function.
     void mark_unloaded(Function& function, CachedFunction& copy);
-    /// An attempt that failed there says that no usable copy is.
+    /// Marks the function's copies at the invoker as not warm, after a failure that shows that they are not usable.
     void expire(Function& function, const Invoker& invoker);
-    /// Nothing is warm at the invoker any more.
+    /// Marks all functions as unloaded at the invoker.
     void unload_all(Invoker& invoker);
 
     void attempt_sent(Function& function, CachedFunction& copy);
     void attempt_ended(Function& function, const Invoker& invoker);
-    /// A successful response tells how many copies there are; `took_s` is the attempt's duration.
-    void learn_from_success(const Attempt& attempt, LoadEvent load_event, int concurrent_requests, double took_s,
+    /// Updates the number of copies after a successful attempt. `duration_s` is the duration of the attempt.
+    void learn_from_success(const Attempt& attempt, LoadEvent load_event, int concurrent_requests, double duration_s,
                             double load_time_s);
-    /// A preload's response does as well.
-    void preloaded(Function& function, Invoker& invoker, int copies);
+    /// Records the number of copies that a preload's response reports.
+    void record_preload(Function& function, Invoker& invoker, int copies);
 
-    /// Erases the function's expired entries that no attempt uses.
+    /// Erases the function's expired entries without attempts in flight.
     void erase_expired(Function& function);
     /// Erases all entries for the invoker.
     void erase_all(Invoker& invoker);
--- a/src/scheduler/capacity_tracker.hpp
+++ b/src/scheduler/capacity_tracker.hpp
@@ -1,5 +1,6 @@
-/// Invokers that rejected attempts lately: they are left alone for a moment, and for longer where a new copy would need
-/// capacity. Also whether copies are evicted before their time, a sign that memory is short.
+/// Tracks invokers that rejected attempts: for a short time they are sent nothing, and for a longer time nothing that
+/// needs a new copy. Also tracks whether copies are evicted before their keep-alive time ends, which shows that memory
+/// is short.
 #pragma once
 
 #include <vector>
@@ -12,27 +13,29 @@
 public:
     explicit CapacityTracker(SchedulerContext& context) : context_(context) {}
 
-    /// An attempt came back rejected. With `had_free_copy`, a copy with a free slot was expected there. Otherwise the
-    /// invoker has no capacity for loads alone: requests for copies that it has are still sent (day "reload": all
-    /// invokers were backed off from while their cores idled).
+    /// Records a rejected attempt. `had_free_copy` tells whether a copy with a free slot was expected at the invoker;
+    /// if so, the invoker is sent nothing for a while. Otherwise it lacks capacity only for loads, and requests for
+    /// copies that it holds are still sent.
     void record_rejection(Invoker& invoker, bool had_free_copy);
     bool is_backing_off(const Invoker& invoker) const { return invoker.backpressure.backoff_until > context_.now; }
     bool is_full(const Invoker& invoker) const { return invoker.backpressure.full_until > context_.now; }
-    /// Invokers that were full a moment ago; some may not be any more.
+    /// Invokers that had no capacity for a new copy. Some of them may have capacity again: check with is_full().
     const std::vector<Invoker*>& recently_full() const { return recently_full_; }
 
-    /// Whether a copy that was expected at an idle invoker was gone.
+    /// Records whether a copy that was expected at an idle invoker was gone.
     void record_expected_copy(bool was_evicted);
+    /// Whether copies are often evicted before their keep-alive time ends.
     bool evicts_early() const;
 
-    /// Part of the periodic work.
+    /// Part of each periodic sweep. Forgets invokers that are no longer full.
     void sweep();
     void remove(Invoker& invoker) { std::erase(recently_full_, &invoker); }
 
 private:
     SchedulerContext& context_;
     std::vector<Invoker*> recently_full_;
-    double eviction_rate_{};  ///< of the attempts that expected a warm copy, the decaying part that found none
+    /// Decaying share of the attempts with an expected warm copy that found none.
+    double eviction_rate_{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/decision_trace.hpp
+++ b/src/scheduler/decision_trace.hpp
@@ -1,4 +1,4 @@
-/// The reasons behind decisions, gathered as far as the host asks for them.
+/// Records the candidates that a decision considered, in the detail that the host asked for.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
     void set_detail(TraceDetail detail) { detail_ = detail; }
     bool records_transitions() const { return detail_ != TraceDetail::none; }
 
-    /// Notes a candidate of the present placement; beyond a bound the rest is left out.
+    /// Records a candidate of the placement in progress. Candidates beyond `max_candidates` are not recorded.
     void add_candidate(const Candidate& candidate) {
         if (detail_ == TraceDetail::candidates && candidates_.size() < max_candidates) candidates_.push_back(candidate);
     }
--- a/src/scheduler/fleet_table.cpp
+++ b/src/scheduler/fleet_table.cpp
@@ -5,11 +5,11 @@
 namespace plumkeel {
 namespace {
 
-std::vector<Invoker*> values_of(const std::map<std::uint64_t, Invoker*>& map) {
-    std::vector<Invoker*> out;
-    out.reserve(map.size());
-    for (const auto& [number, invoker] : map) out.push_back(invoker);
-    return out;
+std::vector<Invoker*> invokers_in(const std::map<std::uint64_t, Invoker*>& map) {
+    std::vector<Invoker*> result;
+    result.reserve(map.size());
+    for (const auto& [number, invoker] : map) result.push_back(invoker);
+    return result;
 }
 
 }  // namespace
@@ -20,19 +20,19 @@
 
 void FleetTable::add(Invoker& invoker) {
     invoker.table_entry = {};
-    invoker.table_entry.number = ++numbers_;
-    invoker.table_entry.position = all_.size();
-    all_.push_back(&invoker);
+    invoker.table_entry.number = ++last_number_;
+    invoker.table_entry.position = invokers_.size();
+    invokers_.push_back(&invoker);
 }
 
 void FleetTable::remove(Invoker& invoker) {
     set_contribution(invoker, {}, {});
     clear_slow_start(invoker);
     set_delisted(invoker, false);
-    Invoker* const last = all_.back();
-    all_[invoker.table_entry.position] = last;
-    last->table_entry.position = invoker.table_entry.position;
-    all_.pop_back();
+    Invoker* const last_invoker = invokers_.back();
+    invokers_[invoker.table_entry.position] = last_invoker;
+    last_invoker->table_entry.position = invoker.table_entry.position;
+    invokers_.pop_back();
 }
 
 void FleetTable::add_to_totals(const FleetContribution& contribution, std::int64_t sign) {
@@ -44,26 +44,26 @@
     totals_.warm_micro_capacity += contribution.warm ? contribution.micro_capacity * sign : 0;
 }
 
-void FleetTable::set_contribution(Invoker& invoker, const FleetContribution& contribution, Moment last_used_at) {
+void FleetTable::set_contribution(Invoker& invoker, const FleetContribution& contribution, TimePoint last_used_at) {
     FleetTableEntry& entry = entry_of(invoker);
     add_to_totals(entry.contribution, -1);
     add_to_totals(contribution, 1);
     if (contribution.needs_sweep && !entry.contribution.needs_sweep) to_sweep_.emplace(entry.number, &invoker);
     if (!contribution.needs_sweep && entry.contribution.needs_sweep) to_sweep_.erase(entry.number);
     if (entry.contribution.ready && (!contribution.ready || entry.last_used_at != last_used_at))
-        recent_.erase(recent_key(entry));
+        by_last_use_.erase(last_use_key(entry));
     const bool is_added = contribution.ready && (!entry.contribution.ready || entry.last_used_at != last_used_at);
     entry.last_used_at = last_used_at;
     entry.contribution = contribution;
-    if (is_added) recent_.emplace(recent_key(entry), &invoker);
+    if (is_added) by_last_use_.emplace(last_use_key(entry), &invoker);
 }
 
 std::vector<Invoker*> FleetTable::to_sweep() {
-    examined_ += to_sweep_.size();
-    return values_of(to_sweep_);
+    visited_ += to_sweep_.size();
+    return invokers_in(to_sweep_);
 }
 
-void FleetTable::set_slow_start(Invoker& invoker, Moment since) {
+void FleetTable::set_slow_start(Invoker& invoker, TimePoint since) {
     clear_slow_start(invoker);
     FleetTableEntry& entry = entry_of(invoker);
     entry.in_slow_start = true;
@@ -77,9 +77,9 @@
     entry.in_slow_start = false;
 }
 
-Invoker* FleetTable::oldest_slow_start(Moment since_at_most) const {
-    return slow_start_.empty() || slow_start_.begin()->first.first > since_at_most ? nullptr
-                                                                                   : slow_start_.begin()->second;
+Invoker* FleetTable::oldest_slow_start(TimePoint latest_start) const {
+    return slow_start_.empty() || slow_start_.begin()->first.first > latest_start ? nullptr
+                                                                                  : slow_start_.begin()->second;
 }
 
 void FleetTable::set_delisted(Invoker& invoker, bool is_delisted) {
@@ -90,8 +90,8 @@
 }
 
 std::vector<Invoker*> FleetTable::delisted() {
-    examined_ += delisted_.size();
-    return values_of(delisted_);
+    visited_ += delisted_.size();
+    return invokers_in(delisted_);
 }
 
 }  // namespace plumkeel
--- a/src/scheduler/fleet_table.hpp
+++ b/src/scheduler/fleet_table.hpp
@@ -1,6 +1,5 @@
-/// The invokers that a controller knows, and the few of them that its periodic work has to visit, kept in step with
-/// every change: so that a sweep costs what has happened and not the size of the fleet. Plain data; nothing is decided
-/// here.
+/// The invokers that a controller knows. The table keeps totals of the fleet and lists of the invokers that sweeps have
+/// to visit, so that the cost of a sweep does not grow with the fleet. Plain data without decisions.
 #pragma once
 
 #include <chrono>
@@ -14,15 +13,16 @@
 
 struct Invoker;
 
-/// What one invoker adds to the totals of the fleet.
+/// What one invoker contributes to the totals and lists of the fleet.
 struct FleetContribution {
-    bool ready{};                   ///< listed, and takes new attempts
-    bool healthy{};                 ///< accepts requests by its health, and has few errors
-    bool warm{};                    ///< healthy, and not in slow start
-    bool needs_sweep{};             ///< the sweep has to visit it
-    std::size_t attempts{};         ///< own ones in flight there, where it is ready
-    std::int64_t micro_capacity{};  ///< its capacity in millionths, where it is ready: sums of integers do not depend
-                                    ///< on their order
+    bool ready{};  ///< listed and ready for new attempts
+    /// Its health state lets it accept requests, and its error rate is low.
+    bool healthy{};
+    bool warm{};             ///< healthy and not in slow start
+    bool needs_sweep{};      ///< sweeps have to visit the invoker
+    std::size_t attempts{};  ///< attempts of this controller in flight at the invoker
+    /// Capacity in millionths. An integer, so that totals do not depend on the order of additions.
+    std::int64_t micro_capacity{};
 };
 
 struct FleetTotals {
@@ -30,9 +30,10 @@
     std::int64_t ready_micro_capacity{}, warm_micro_capacity{};
 };
 
-/// Kept by the table in each invoker.
+/// The table's own data in each invoker.
 struct FleetTableEntry {
-    std::uint64_t number{};  ///< in the order in which invokers were added, from 1
+    /// Invokers are numbered from 1 in the order in which they were added.
+    std::uint64_t number{};
     std::size_t position{};
     FleetContribution contribution;
     std::chrono::microseconds last_used_at{}, slow_start_since{}, delisted_at{};
@@ -41,58 +42,62 @@
 
 class FleetTable {
 public:
-    using Moment = std::chrono::microseconds;
+    using TimePoint = std::chrono::microseconds;
 
     void add(Invoker& invoker);
     void remove(Invoker& invoker);
-    std::size_t size() const { return all_.size(); }
-    /// Every invoker, in no particular order: for what has to touch the whole fleet.
-    template <class What>
-    void for_each(What what) {
-        examined_ += all_.size();
-        for (Invoker* invoker : all_) what(*invoker);
+    std::size_t size() const { return invokers_.size(); }
+    /// Visits every invoker, in no particular order.
+    template <class Visitor>
+    void for_each(Visitor visit) {
+        visited_ += invokers_.size();
+        for (Invoker* invoker : invokers_) visit(*invoker);
     }
 
-    /// Replaces what the invoker contributes, and when it was last sent something.
-    void set_contribution(Invoker& invoker, const FleetContribution& contribution, Moment last_used_at);
+    /// Replaces the invoker's contribution and the time when it was last sent an attempt.
+    void set_contribution(Invoker& invoker, const FleetContribution& contribution, TimePoint last_used_at);
     const FleetTotals& totals() const { return totals_; }
 
-    /// Those the sweep has to visit, in the order in which they were added.
+    /// Invokers that a sweep has to visit, in the order in which they were added.
     std::vector<Invoker*> to_sweep();
-    /// Ready ones, those used last first, then in the order in which they were added; `what` returns false to stop.
-    template <class What>
-    void for_recently_used(What what) {
-        for (const auto& [key, invoker] : recent_) {
-            ++examined_;
-            if (!what(*invoker)) return;
+    /// Visits ready invokers, most recently used first, until `visit` returns false. Invokers last used at the same
+    /// time are visited in the order in which they were added.
+    template <class Visitor>
+    void for_each_recently_used(Visitor visit) {
+        for (const auto& [key, invoker] : by_last_use_) {
+            ++visited_;
+            if (!visit(*invoker)) return;
         }
     }
 
-    /// In slow start since then.
-    void set_slow_start(Invoker& invoker, Moment since);
+    /// Marks the invoker as in slow start since the given time.
+    void set_slow_start(Invoker& invoker, TimePoint since);
     void clear_slow_start(Invoker& invoker);
-    Invoker* oldest_slow_start(Moment since_at_most) const;
+    /// The invoker that has been in slow start for longest, if it started by `latest_start`; else null.
+    Invoker* oldest_slow_start(TimePoint latest_start) const;
 
-    /// Off the endpoint list, in the order in which they were added.
+    /// Records whether the invoker is off the endpoint list.
     void set_delisted(Invoker& invoker, bool is_delisted);
+    /// Invokers that are off the endpoint list, in the order in which they were added.
     std::vector<Invoker*> delisted();
 
-    std::uint64_t examined() const { return examined_; }  ///< invokers visited, over the table's life
+    /// Invokers visited through this table, over its life.
+    std::uint64_t visited() const { return visited_; }
 
 private:
     using Number = std::uint64_t;
     static FleetTableEntry& entry_of(Invoker& invoker);
-    std::pair<Moment, Number> recent_key(const FleetTableEntry& place) const {
-        return {-place.last_used_at, place.number};
+    std::pair<TimePoint, Number> last_use_key(const FleetTableEntry& entry) const {
+        return {-entry.last_used_at, entry.number};
     }
     void add_to_totals(const FleetContribution& contribution, std::int64_t sign);
 
-    std::vector<Invoker*> all_;
+    std::vector<Invoker*> invokers_;
     std::map<Number, Invoker*> to_sweep_, delisted_;
-    std::map<std::pair<Moment, Number>, Invoker*> recent_, slow_start_;
+    std::map<std::pair<TimePoint, Number>, Invoker*> by_last_use_, slow_start_;
     FleetTotals totals_;
-    Number numbers_{};
-    std::uint64_t examined_{};
+    Number last_number_{};
+    std::uint64_t visited_{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/function.hpp
+++ b/src/scheduler/function.hpp
@@ -1,6 +1,6 @@
-/// A function as the scheduler knows it, in parts that each have one owner.
+/// What the scheduler knows of a function. Each group of fields is changed by one owner only.
 ///
-/// The host owns Function objects and frees one when Actions::released_functions names it.
+/// The host owns Function objects and may free one after Actions::released_functions names it.
 #pragma once
 
 #include <string>
@@ -13,48 +13,50 @@
 
 namespace plumkeel {
 
-/// Requests held at the controller, with the backoff that they share. Owned by Parking.
+/// The parked requests of one function, which share one retry backoff. Owned by Parking.
 struct ParkingQueue {
     std::vector<Request*> requests;  ///< in the order in which they were parked
-    bool active{};                   ///< the backoff timer runs
-    Time since{};                    ///< when it was started
+    bool is_backoff_running{};       ///< a retry is scheduled by `timer`
+    Time backoff_started_at{};
     Time backoff{};
     Time retry_at{};
     TimerKey timer{};
 };
 
-/// The one load of a function that is in progress. Owned by LoadTracker.
+/// The load of a function that is in progress; a controller has at most one per function. Owned by LoadTracker.
 struct LoadInProgress {
-    Invoker* invoker{};  ///< null: none
+    Invoker* invoker{};  ///< null if no load is in progress
     Time started_at{};
-    bool is_preload{};  ///< started by command, not by an attempt
+    bool is_preload{};  ///< started by a PreloadCommand instead of an attempt
 };
 
 struct Function {
     // Set by the host.
     std::string name;
-    int concurrency{};  ///< requests that one copy runs at once; less than 1 counts as 1
+    int concurrency{};  ///< requests that one copy runs at once; see copy_concurrency()
     std::optional<Time> declared_load_time;
 
     // Owned by FunctionRegistry.
     bool is_registered{};
     std::uint64_t hash{};
-    int open_requests{};  ///< not completed
+    int open_requests{};  ///< requests in a state that is not final
     FunctionTableEntry table_entry;
 
     // Owned by LoadEstimator.
-    double run_time_s{};   ///< on an idle invoker of mean speed
-    double load_time_s{};  ///< 0: nothing learned yet
+    double run_time_s{};   ///< run time of a request on an idle invoker of mean speed
+    double load_time_s{};  ///< 0 until a load was observed
 
     // Owned by ArrivalStatistics.
-    double recent_arrivals{};  ///< decaying count
+    double recent_arrivals{};  ///< exponentially decaying number of requests
     Time last_arrival{};
 
     CachedFunctionTable cached_copies;  ///< owned by CachedCopies
-    LoadInProgress load;
+    LoadInProgress current_load;
     ParkingQueue parking;
-    PlacementIndex::Homes homes;  ///< its home invokers, in the order that all controllers share; used by Placement
+    /// The invokers that come first for this function in the order that all controllers compute. Used by Placement.
+    PlacementIndex::Homes homes;
 
+    /// Requests that one copy runs at once, at least 1.
     int copy_concurrency() const { return std::max(1, concurrency); }
 };
 
--- a/src/scheduler/function_registry.hpp
+++ b/src/scheduler/function_registry.hpp
@@ -1,4 +1,4 @@
-/// The functions that the scheduler holds: a bounded number, of which those not in use are released.
+/// Registers functions when they are first called, and releases them when they are unused or when too many are held.
 #pragma once
 
 #include "scheduler/cached_copies.hpp"
@@ -9,17 +9,18 @@
 
 class FunctionRegistry {
 public:
-    FunctionRegistry(SchedulerContext& context, const LoadEstimator& estimator, CachedCopies& copies,
+    FunctionRegistry(SchedulerContext& context, const LoadEstimator& load_estimator, CachedCopies& copies,
                      SlowStart& slow_start)
-        : context_(context), estimator_(estimator), copies_(copies), slow_start_(slow_start) {}
+        : context_(context), load_estimator_(load_estimator), copies_(copies), slow_start_(slow_start) {}
 
-    /// A request for the function arrived.
+    /// Registers the function if it is new, and counts a call of it.
     void record_request(Function& function);
-    /// Part of the periodic work: erases what has expired of functions due for it, and releases those not in use.
+    /// Part of each periodic sweep. Erases expired cached copies of the functions whose review is due, and releases
+    /// functions that are not in use.
     void review_due();
-    /// Part of the periodic work. Where idle memory has a price: a function that is warm at several invokers is
-    /// unloaded where it idles, but for the first in the order of home invokers, which other controllers keep to as
-    /// well.
+    /// Part of each periodic sweep. If idle memory has a price, unloads idle copies of functions that are warm at
+    /// several invokers. The copy at the first invoker in the order of home invokers is kept, as it is by all other
+    /// controllers.
     void unload_idle_replicas();
 
 private:
@@ -30,7 +31,7 @@
     bool is_idle_replica(const CachedFunction& copy) const;
 
     SchedulerContext& context_;
-    const LoadEstimator& estimator_;
+    const LoadEstimator& load_estimator_;
     CachedCopies& copies_;
     SlowStart& slow_start_;
 };
--- a/src/scheduler/function_table.hpp
+++ b/src/scheduler/function_table.hpp
@@ -1,8 +1,8 @@
-/// The functions that a controller holds: how recently each was called, and the few that have parked requests, load,
-/// are warm at several invokers or are due for a review. Plain data; nothing is decided here.
+/// The functions that a controller holds, ordered by recency of use, with sets of functions that need periodic work and
+/// a schedule of reviews. Plain data without decisions.
 ///
-/// Recency is that of a segmented LRU: functions called once are kept apart from those called again, so that a flood of
-/// names that are called but once does not evict the others.
+/// Recency is that of a segmented LRU: functions called once and functions called repeatedly are kept in separate
+/// lists, so that many functions called only once do not evict the others.
 #pragma once
 
 #include <chrono>
@@ -18,52 +18,55 @@
 
 struct Function;
 
-/// Kept by the table in each function.
+/// The table's own data in each function.
 struct FunctionTableEntry {
-    std::uint64_t number{};  ///< in the order in which functions were added, from 1
+    /// Functions are numbered from 1 in the order in which they were added.
+    std::uint64_t number{};
     std::list<Function*>::iterator recency;
-    bool called_again{};
+    bool called_repeatedly{};
     std::chrono::microseconds review_at = std::chrono::microseconds::max();
 };
 
 class FunctionTable {
 public:
-    using Moment = std::chrono::microseconds;
+    using TimePoint = std::chrono::microseconds;
     using Number = std::uint64_t;
 
-    /// It counts as called once.
+    /// Adds a function that was called once.
     void add(Function& function);
     void remove(Function& function);
-    std::size_t size() const { return once_.size() + again_.size(); }
-    void called_again(Function& function);
-    /// The least recently called of those called once, where these are over the stated number, else of the others; null
-    /// where there is none.
-    Function* eviction_candidate(std::size_t once_at_most) const;
-    /// Makes it the most recently used, without counting a call.
+    std::size_t size() const { return called_once_.size() + called_repeatedly_.size(); }
+    /// Moves the function to the most recently used position of those called repeatedly.
+    void record_repeated_call(Function& function);
+    /// The least recently used function that was called once, if more than `max_called_once_kept` of these are held;
+    /// else the least recently used one that was called repeatedly. If there is none of these, one that was called
+    /// once; null if the table is empty.
+    Function* eviction_candidate(std::size_t max_called_once_kept) const;
+    /// Makes the function the most recently used of its list, without counting a call.
     void touch(Function& function);
 
-    /// Has it reviewed no later than then.
-    void schedule_review(Function& function, Moment at);
-    /// Removes those due from the schedule; in the order in which they were added.
-    std::vector<Function*> take_due_reviews(Moment now);
+    /// Schedules a review of the function at the given time, unless an earlier one is scheduled.
+    void schedule_review(Function& function, TimePoint at);
+    /// Removes and returns the functions whose review is due, in the order in which they were added.
+    std::vector<Function*> take_due_reviews(TimePoint now);
 
-    /// A small set, in the order in which functions were added.
+    /// A set of functions, ordered by when they were added to the table.
     class Set {
     public:
         void set(Function& function, bool is_member);
-        std::vector<Function*> members(std::size_t at_most = std::numeric_limits<std::size_t>::max()) const;
+        std::vector<Function*> members(std::size_t max_count = std::numeric_limits<std::size_t>::max()) const;
 
     private:
         std::map<Number, Function*> members_;
     };
-    Set with_parked;  ///< the backoff of their parked requests runs
-    Set loading;      ///< their one load is in progress
-    Set replicated;   ///< with cached copies at several invokers
+    Set with_parked_requests;
+    Set loading;     ///< functions with a load in progress
+    Set replicated;  ///< functions with cached copies at several invokers
 
 private:
-    std::list<Function*> once_, again_;
-    std::map<std::pair<Moment, Number>, Function*> reviews_;
-    Number numbers_{};
+    std::list<Function*> called_once_, called_repeatedly_;
+    std::map<std::pair<TimePoint, Number>, Function*> reviews_;
+    Number last_number_{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/hash.hpp
+++ b/src/scheduler/hash.hpp
@@ -1,5 +1,5 @@
-/// The hash by which all controllers agree on home invokers: FNV-1a over a name, finished by the mixer of SplitMix64.
-/// Controllers agree without talking to each other, so it never changes.
+/// The hash that ranks invokers for a function: FNV-1a over a name, followed by the finalizer of SplitMix64. All
+/// controllers compute the same home invokers from it without communicating, so the hash must never change.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace plumkeel {
 
-/// SplitMix64's finisher: a bijection of 64 bits.
+/// The finalizer of SplitMix64, a bijection on 64-bit integers.
 constexpr std::uint64_t mix(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
--- a/src/scheduler/invoker.hpp
+++ b/src/scheduler/invoker.hpp
@@ -1,6 +1,6 @@
-/// An invoker as the scheduler knows it, in parts that each have one owner.
+/// What the scheduler knows of an invoker. Each group of fields is changed by one owner only.
 ///
-/// The host owns Invoker objects and frees one when Actions::released_invokers names it.
+/// The host owns Invoker objects and may free one after Actions::released_invokers names it.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 
 namespace plumkeel {
 
-/// What is learned of all invokers of a type; the factors of one invoker are relative to these. Owned by the host,
-/// changed by LoadEstimator.
+/// Factors learned from all invokers of one type. The factors of a single invoker are relative to these. Owned by the
+/// host and changed by LoadEstimator.
 struct InvokerType {
     double slowdown_factor{}, contention_factor{};
     int slowdown_samples{}, contention_samples{};
@@ -20,21 +20,26 @@
 
 enum class HealthState {
     healthy,
-    suspect,     ///< it failed once: nothing new is sent, and it is probed
-    ejected,     ///< it failed repeatedly, or is known to be down
-    recovering,  ///< it responds again: a limited, growing number of attempts
+    /// It failed once: it is probed, and no new attempts are sent.
+    suspect,
+    ejected,  ///< it failed repeatedly, or its process is known to be gone
+    /// It responds again: it is sent a limited number of attempts at once, which grows with each response.
+    recovering,
 };
 
-/// Owned by OutlierDetection; the probe's fields by HealthProber.
+/// Owned by OutlierDetection, except for `probe_pending` and `probed_at`, which are set by HealthProber.
 struct InvokerHealth {
-    /// An invoker whose error rate is over this is not used.
+    /// No attempts are sent to an invoker with a higher error rate.
     static constexpr double max_error_rate = 0.35;
 
     HealthState state{};
     int consecutive_timeouts{}, consecutive_resets{}, consecutive_successes{};
-    int recovery_limit{};  ///< attempts in flight while recovering
-    double error_rate{};   ///< decaying share of errors for requests that succeeded elsewhere
-    bool is_down{};        ///< its process is gone: its next response comes from a new start
+    /// The most attempts that may be in flight while the state is `recovering`.
+    int recovery_limit{};
+    /// Decaying share of responses that were errors, counted only for requests that succeeded on another invoker.
+    double error_rate{};
+    /// The process is gone, so the next response comes from a restarted one.
+    bool is_down{};
     bool probe_pending{};
     Time probed_at{}, last_response_at{}, ejected_at{};
 
@@ -44,44 +49,56 @@
 
 /// Owned by SlowStart.
 struct SlowStartState {
-    std::optional<Time> since;  ///< absent: it is warmed up
-    std::deque<Time> attempts;  ///< own ones within the last window
-    double jitter{};  ///< drawn at each start, from 0 to 1: this controller's chance of a fraction of an attempt
+    std::optional<Time> since;  ///< start of the slow start; absent when the invoker is warmed up
+    std::deque<Time> attempts;  ///< when this controller sent attempts in the last rate window
+    /// A random number from 0 to 1, drawn at each start and added to the attempt budget. It rounds a fractional budget
+    /// up at the matching fraction of controllers.
+    double budget_rounding_offset{};
 };
 
 /// Owned by LoadEstimator.
 struct LoadEstimate {
-    double slowdown_factor{};             ///< run time when idle, relative to the invoker's type
-    double contention_factor{};           ///< run time added by each request there, relative to the type
-    std::optional<double> reported_load;  ///< requests running there by its last report
-    double baseline_load{};               ///< others' requests there, over its last reports
+    /// Run time on the idle invoker, relative to other invokers of its type.
+    double slowdown_factor{};
+    /// Growth of the run time with each request at the invoker, relative to other invokers of its type.
+    double contention_factor{};
+    /// Requests running at the invoker by its last load report; absent if there was none since it started.
+    std::optional<double> reported_load;
+    /// Moving average of other controllers' requests at the invoker, computed from its load reports.
+    double baseline_others_load{};
     Time reported_at{};
-    int own_in_flight_at_report{};                    ///< own attempts there when the report was measured
-    std::deque<std::pair<Time, int>> recent_changes;  ///< attempts sent (+1) and ended (-1) within the age of a report
-    int recent_change_sum{};
+    /// Attempts of this controller at the invoker when the last load report was measured.
+    int own_in_flight_at_report{};
+    /// Attempts sent (+1) and ended (-1) more recently than the assumed age of a load report.
+    std::deque<std::pair<Time, int>> recent_in_flight_changes;
+    /// The sum of `recent_in_flight_changes`.
+    int recent_in_flight_change{};
 };
 
 /// Owned by CapacityTracker.
 struct Backpressure {
-    Time backoff_until{};  ///< it rejected an attempt a moment ago: nothing is sent
-    Time full_until{};     ///< it had no capacity for a new copy a moment ago
+    /// No attempts are sent before this time, because the invoker rejected one.
+    Time backoff_until{};
+    /// Nothing that needs a new copy is sent before this time, because the invoker had no capacity for one.
+    Time full_until{};
 };
 
 struct Invoker {
-    // Set by the host, and again with each change of the endpoint list.
+    // Set by the host, and updated with each change of the endpoint list.
     std::string name;
     bool ready{};
     double capacity{};
     std::string zone;
     InvokerType* type{};
     int cell{};
-    std::optional<Time> started_at;  ///< absent: long ago
+    /// When the invoker's process started; absent if that is not known to be recent.
+    std::optional<Time> started_at;
 
     // Owned by InvokerRegistry.
     bool is_registered{}, is_listed{};
     Time delisted_at{};
     std::uint64_t hash{};
-    std::optional<Time> announced_start;  ///< `started_at` of the endpoint list before
+    std::optional<Time> previous_started_at;  ///< `started_at` in the previous endpoint list
     FleetTableEntry table_entry;
 
     InvokerHealth health;
@@ -89,12 +106,15 @@
     LoadEstimate load_estimate;
     Backpressure backpressure;
 
-    std::vector<Attempt*> in_flight;  ///< own attempts, oldest first; changed by RequestLifecycle
+    /// Attempts of this controller, oldest first. Changed by RequestLifecycle.
+    std::vector<Attempt*> in_flight;
     Time last_used_at{};
-    std::vector<Function*> functions;  ///< with an entry for this invoker; owned by CachedCopies
+    /// Functions with a CachedFunction entry for this invoker. Owned by CachedCopies.
+    std::vector<Function*> functions;
 
-    // The last endpoint list, placement and sweep in which it came up.
-    std::uint64_t listed_in{}, scored_in{}, referenced_in{};
+    // Numbers of the last endpoint list that named this invoker, of the last placement that scored it, and of the last
+    // pass over all references that found one to it.
+    std::uint64_t last_list_number{}, last_scored_placement{}, last_referencing_round{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/load_shedding.hpp
+++ b/src/scheduler/load_shedding.hpp
@@ -1,8 +1,8 @@
-/// Load shedding: what happens to a request that would miss its latency target only because of the requests ahead of
-/// it.
+/// Load shedding: decides what happens to a request that would miss its latency target only because of the requests
+/// ahead of it.
 ///
-/// It would make those behind it late as well. This guards against overload, a tenant over its quota and retry storms;
-/// it could harm where run times are overestimated. (docs/design.md, exception "shed")
+/// Such a request would also delay the requests behind it. Load shedding protects against overload, tenants over their
+/// quota and retry storms. If run times are overestimated, it sheds too much. (docs/design.md, exception "shed")
 #pragma once
 
 #include "scheduler/placement.hpp"
@@ -13,12 +13,14 @@
     admit,
     park,
     reject,
-    add_replica,  ///< a further copy is loaded at the choice's replica target (exception "seed")
+    /// Load a further copy at PlacementChoice::replica_target.
+    add_replica,
 };
 
 class LoadShedding {
 public:
-    LoadShedding(const SchedulerContext& context, const LoadEstimator& load) : context_(context), load_(load) {}
+    LoadShedding(const SchedulerContext& context, const LoadEstimator& load_estimator)
+        : context_(context), load_estimator_(load_estimator) {}
 
     SheddingDecision decide(const Request& request, const PlacementChoice& choice, bool may_park) const;
 
@@ -26,7 +28,7 @@
     bool is_overloaded(const Request& request, const PlacementChoice& choice) const;
 
     const SchedulerContext& context_;
-    const LoadEstimator& load_;
+    const LoadEstimator& load_estimator_;
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/outlier_detection.cpp
+++ b/src/scheduler/outlier_detection.cpp
@@ -7,15 +7,21 @@
 
 constexpr int timeouts_to_eject = 2;
 constexpr int resets_to_suspect = 2;
-constexpr int successes_to_recover = 2;     // responses of an ejected invoker
-constexpr int initial_recovery_limit = 2;   // attempts in flight while recovering; one more with each response,
-constexpr int recovered_limit = 8;          // and from here on it is healthy
-constexpr int blind_recovery_limit = 1;     // where no probe may be sent,
-constexpr Time blind_ejection = 2s;         // an ejection ends after so long
-constexpr Time assumed_down_after = 3s;     // ejected for longer than any stall: its copies are not counted on
-constexpr double min_healthy_share = 0.34;  // of the ready invokers; below it panic mode holds
-constexpr double error_gain = 0.12;         // of one response
-constexpr double error_decay = 0.95;        // of one sweep
+constexpr int successes_to_recover = 2;
+/// A recovering invoker may have this many attempts in flight at first, and one more after each response.
+constexpr int initial_recovery_limit = 2;
+/// A recovering invoker is healthy again when its limit reaches this number.
+constexpr int recovery_limit_when_healthy = 8;
+/// Without health checks, an ejection ends after a fixed time, and the invoker may then have this many attempts in
+/// flight.
+constexpr int unprobed_recovery_limit = 1;
+constexpr Time unprobed_ejection_time = 2s;
+/// An invoker that is ejected for longer than this is assumed to have lost its cached copies.
+constexpr Time assumed_down_ejection_time = 3s;
+/// Panic mode holds while a smaller share of the ready invokers is healthy.
+constexpr double min_healthy_share = 0.34;
+constexpr double error_rate_gain_per_response = 0.12;
+constexpr double error_rate_decay_per_sweep = 0.95;
 constexpr double negligible_error_rate = 1e-6;
 
 }  // namespace
@@ -32,8 +38,8 @@
             set_state(invoker, HealthState::healthy);
             break;
         case HealthState::ejected:
-            // Guards against overloading what has started again before the endpoint list says so (incident i4386e0). It
-            // could harm where only the connection was down: the invoker is used little until warm.
+            // The invoker may have restarted before the endpoint list reports it, so it gets a slow start. If only its
+            // connection was interrupted, it is used less than possible until the slow start ends.
             if (health.is_down) slow_start_.begin(invoker, context_.now);
             health.is_down = false;
             if (health.consecutive_successes < successes_to_recover) break;
@@ -41,7 +47,7 @@
             health.recovery_limit = initial_recovery_limit;
             break;
         case HealthState::recovering:
-            if (++health.recovery_limit >= recovered_limit) set_state(invoker, HealthState::healthy);
+            if (++health.recovery_limit >= recovery_limit_when_healthy) set_state(invoker, HealthState::healthy);
             break;
     }
 }
@@ -60,7 +66,7 @@
     }
     if (is_certain && !health.is_down) {
         health.is_down = true;
-        registry_.assume_restarted(invoker);
+        invoker_registry_.assume_restarted(invoker);
     }
 }
 
@@ -70,32 +76,32 @@
 
 void OutlierDetection::attribute_errors(const Attempt& succeeded) {
     record_response_quality(*succeeded.invoker, false);
-    for (const Attempt& other : succeeded.request->attempts)
-        if (other.invoker != succeeded.invoker && other.outcome == AttemptOutcome::failed)
-            record_response_quality(*other.invoker, true);
+    for (const Attempt& other_attempt : succeeded.request->attempts)
+        if (other_attempt.invoker != succeeded.invoker && other_attempt.outcome == AttemptOutcome::failed)
+            record_response_quality(*other_attempt.invoker, true);
 }
 
 void OutlierDetection::record_response_quality(Invoker& invoker, bool was_error) {
-    invoker.health.error_rate += error_gain * ((was_error ? 1 : 0) - invoker.health.error_rate);
+    invoker.health.error_rate += error_rate_gain_per_response * ((was_error ? 1 : 0) - invoker.health.error_rate);
     context_.refresh_fleet_entry(invoker);
 }
 
 void OutlierDetection::review(Invoker& invoker) {
     InvokerHealth& health = invoker.health;
     if (health.error_rate > 0) {
-        const double decayed = health.error_rate * error_decay;
+        const double decayed = health.error_rate * error_rate_decay_per_sweep;
         health.error_rate = decayed < negligible_error_rate ? 0 : decayed;
         context_.refresh_fleet_entry(invoker);
     }
     if (health.state != HealthState::ejected) return;
     const Time ejected_for = context_.now - health.ejected_at;
-    if (ejected_for > assumed_down_after && !health.is_down) {
+    if (ejected_for > assumed_down_ejection_time && !health.is_down) {
         health.is_down = true;
-        registry_.assume_restarted(invoker);
+        invoker_registry_.assume_restarted(invoker);
     }
-    if (!context_.capabilities.health_checks && ejected_for > blind_ejection) {
+    if (!context_.capabilities.health_checks && ejected_for > unprobed_ejection_time) {
         set_state(invoker, HealthState::recovering);
-        health.recovery_limit = blind_recovery_limit;
+        health.recovery_limit = unprobed_recovery_limit;
     }
 }
 
@@ -109,8 +115,8 @@
     if (health.is_error_prone()) return ExclusionReason::unhealthy;
     if (health.state == HealthState::healthy) return ExclusionReason::none;
     if (health.state != HealthState::recovering) return ExclusionReason::unhealthy;
-    const bool has_room = static_cast<int>(invoker.in_flight.size()) < health.recovery_limit;
-    return has_room ? ExclusionReason::none : ExclusionReason::recovery_limit;
+    const bool is_below_recovery_limit = static_cast<int>(invoker.in_flight.size()) < health.recovery_limit;
+    return is_below_recovery_limit ? ExclusionReason::none : ExclusionReason::recovery_limit;
 }
 
 void OutlierDetection::set_state(Invoker& invoker, HealthState state) {
--- a/src/scheduler/outlier_detection.hpp
+++ b/src/scheduler/outlier_detection.hpp
@@ -1,5 +1,6 @@
-/// Outlier detection: invokers that time out, reset connections or return errors are suspected, ejected and taken back
-/// step by step. When nearly all look unhealthy the judgement itself is doubted (panic mode) and nobody is excluded.
+/// Outlier detection: invokers that time out, reset connections or return errors are suspected, then ejected, and taken
+/// back step by step. If nearly all invokers look unhealthy (panic mode), none is excluded, since the cause is probably
+/// not the invokers.
 #pragma once
 
 #include "scheduler/invoker_registry.hpp"
@@ -10,27 +11,29 @@
 
 class OutlierDetection {
 public:
-    OutlierDetection(SchedulerContext& context, SlowStart& slow_start, HealthProber& prober, InvokerRegistry& registry)
-        : context_(context), slow_start_(slow_start), prober_(prober), registry_(registry) {}
+    OutlierDetection(SchedulerContext& context, SlowStart& slow_start, HealthProber& prober,
+                     InvokerRegistry& invoker_registry)
+        : context_(context), slow_start_(slow_start), prober_(prober), invoker_registry_(invoker_registry) {}
 
-    /// The invoker responded, to an attempt or a probe.
+    /// Records a response of the invoker to an attempt or a probe.
     void record_success(Invoker& invoker);
-    /// Silence, or a connection that did not come about. `is_certain`: the invoker's process is gone. Afterwards the
-    /// attempts at an ejected invoker have to be rerouted.
+    /// Records a missing response or a failed connection. `is_certain` tells that the invoker's process is gone. If the
+    /// invoker is ejected afterwards, the caller has to reroute the attempts in flight there.
     void record_failure(Invoker& invoker, bool is_certain);
-    /// Whether this connection reset, with those before it, counts as a failure: a dead process resets all its
-    /// connections, a malformed response or a bad request just its own.
+    /// Records a connection reset and returns whether it counts as a failure of the invoker. A single reset does not: a
+    /// malformed response or request resets only its own connection, while a dead process resets all of them.
     bool record_reset(Invoker& invoker);
-    /// The attempt succeeded: errors of its request's attempts elsewhere count against those invokers. (docs/design.md,
-    /// exception "faulty": an invoker that fails most requests at once looks idle and draws more of them. It could harm
-    /// where a request's own error comes and goes.)
+    /// Called for a successful attempt: failed attempts of the same request at other invokers are counted as errors of
+    /// those invokers. An invoker that fails requests quickly would otherwise look idle and be sent more of them. If a
+    /// request fails at random, invokers are blamed wrongly. (docs/design.md, exception "faulty")
     void attribute_errors(const Attempt& succeeded);
-    /// Part of the periodic work, for invokers with attempts in flight, that are unhealthy or had errors.
+    /// Part of each periodic sweep, for invokers that have attempts in flight, are unhealthy or had errors. Decays the
+    /// error rate and checks how long an ejection has lasted.
     void review(Invoker& invoker);
 
     void update_panic_mode(const FleetTotals& totals);
     bool is_panic_mode() const { return panic_mode_; }
-    /// Whether its health keeps the invoker from being used now.
+    /// Why the invoker's health excludes it now, or `none`.
     ExclusionReason exclusion(const Invoker& invoker) const;
 
 private:
@@ -40,7 +43,7 @@
     SchedulerContext& context_;
     SlowStart& slow_start_;
     HealthProber& prober_;
-    InvokerRegistry& registry_;
+    InvokerRegistry& invoker_registry_;
     bool panic_mode_{};
 };
 
--- a/src/scheduler/parking.hpp
+++ b/src/scheduler/parking.hpp
@@ -1,4 +1,4 @@
-/// Parking: requests that can't be sent now are held at the controller and retried on a growing, jittered backoff,
+/// Parking: requests that cannot be sent now are held at the controller and retried with a growing, randomized backoff,
 /// which all parked requests of a function share (docs/design.md, steps 3 to 5).
 #pragma once
 
@@ -9,17 +9,18 @@
 
 class Parking {
 public:
-    Parking(SchedulerContext& context, RequestLifecycle& lifecycle, const LoadTracker& loads)
-        : context_(context), lifecycle_(lifecycle), loads_(loads) {}
+    Parking(SchedulerContext& context, RequestLifecycle& lifecycle, const LoadTracker& load_tracker)
+        : context_(context), lifecycle_(lifecycle), load_tracker_(load_tracker) {}
 
-    /// Parks the request, or keeps it parked. Where the limit is reached, it is rejected instead.
+    /// Parks the request, or keeps it parked. If the maximum number of requests is parked, it is rejected instead.
     void park(Request& request, DecisionReason reason);
     bool has_capacity() const;
 
-    /// Whether the function's requests have been parked for as long as any may be.
+    /// Whether the function's requests have been parked for the maximum time.
     bool is_budget_exceeded(const Function& function) const;
-    /// The requests are retried now: the backoff grows and the next retry is scheduled.
+    /// Called when the requests are retried: increases the backoff and schedules the next retry.
     void advance_backoff(Function& function);
+    /// Ends the backoff when no request of the function is parked any more.
     void stop(Function& function);
 
 private:
@@ -28,7 +29,7 @@
 
     SchedulerContext& context_;
     RequestLifecycle& lifecycle_;
-    const LoadTracker& loads_;
+    const LoadTracker& load_tracker_;
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/placement.hpp
+++ b/src/scheduler/placement.hpp
@@ -1,5 +1,5 @@
-/// Where a request is sent: the search for candidates among a function's home invokers and its cached copies, and the
-/// choice of the one that would respond first.
+/// Chooses the invoker that a request is sent to: the one with the earliest estimated response among the function's
+/// home invokers and the invokers that hold a cached copy.
 #pragma once
 
 #include <vector>
@@ -11,43 +11,46 @@
 namespace plumkeel {
 
 struct PlacementChoice {
-    Invoker* invoker{};  ///< null: no invoker may be sent the request now
+    Invoker* invoker{};  ///< null if no invoker may be sent the request now
     CompletionEstimate estimate;
-    Invoker* replica_target{};  ///< where a further copy would find capacity, if all candidates are overloaded
+    /// If all candidates are overloaded, an invoker that has capacity for a further copy; else null.
+    Invoker* replica_target{};
 };
 
 class Placement {
 public:
-    Placement(SchedulerContext& context, const ArrivalStatistics& arrivals, const LoadEstimator& load,
-              const CompletionEstimator& estimator, SlowStart& slow_start, const OutlierDetection& outliers,
-              const CapacityTracker& capacity)
+    Placement(SchedulerContext& context, const ArrivalStatistics& arrival_statistics,
+              const LoadEstimator& load_estimator, const CompletionEstimator& completion_estimator,
+              SlowStart& slow_start, const OutlierDetection& outlier_detection, const CapacityTracker& capacity_tracker)
         : context_(context),
-          arrivals_(arrivals),
-          load_(load),
-          estimator_(estimator),
+          arrival_statistics_(arrival_statistics),
+          load_estimator_(load_estimator),
+          completion_estimator_(completion_estimator),
           slow_start_(slow_start),
-          outliers_(outliers),
-          capacity_(capacity) {}
+          outlier_detection_(outlier_detection),
+          capacity_tracker_(capacity_tracker) {}
 
     PlacementChoice choose(Request& request);
 
 private:
-    /// A search in progress.
+    /// The state of one search.
     struct Search {
         Request& request;
         Function& function;
-        std::size_t shared_homes{};    // home invokers that all controllers use
-        std::size_t wanted_homes{};    // candidates wanted among the home invokers
-        bool shared_homes_are_warm{};  // other controllers' requests keep a copy there
-        double tie_s{};                // seconds that make no difference
-        bool is_bounded{};             // the fleet is too large for all of it to be examined
+        std::size_t shared_homes{};     ///< home invokers that all controllers use for this function
+        std::size_t wanted_homes{};     ///< home invokers that should be accepted as candidates
+        bool shared_homes_are_warm{};   ///< other controllers' requests keep copies warm at the shared homes
+        double tie_margin_s{};          ///< estimates that differ by less than this are equally good
+        bool is_examination_limited{};  ///< the fleet is too large to examine all invokers
         std::size_t examinations_left{};
-        std::size_t homes_scored{};        // home invokers that could be scored; and of these
-        std::size_t homes_accepted{};      // those that can take the request
-        std::size_t next_position{};       // in the order of homes: none from here on was examined
-        std::vector<Invoker*> eligible{};  // of the examined homes, in order
+        std::size_t homes_scored{};    ///< home invokers that may be sent attempts
+        std::size_t homes_accepted{};  ///< home invokers that may be sent this request
+        /// No home invoker from this position in the order of homes on has been examined.
+        std::size_t next_position{};
+        std::vector<Invoker*> eligible_homes{};  ///< examined home invokers that may be sent attempts
         PlacementChoice best{};
-        int ties{};
+        /// Number of candidates that are as good as `best`, itself included.
+        int tied_candidates{};
     };
 
     Search start_search(Request& request) const;
@@ -60,17 +63,17 @@
     ExclusionReason exclusion_of(Invoker& invoker);
     ExclusionReason exclusion_for(const Request& request, const Invoker& invoker, bool is_warm) const;
     void score_home(Search& search, Invoker* invoker);
-    bool score(Search& search, Invoker& invoker, double load_bias, bool assumed_warm);
+    bool score(Search& search, Invoker& invoker, double load_time_multiple, bool assumed_warm);
     void keep_better(Search& search, Invoker& invoker, const CompletionEstimate& estimate);
     bool is_capacity_short();
 
     SchedulerContext& context_;
-    const ArrivalStatistics& arrivals_;
-    const LoadEstimator& load_;
-    const CompletionEstimator& estimator_;
+    const ArrivalStatistics& arrival_statistics_;
+    const LoadEstimator& load_estimator_;
+    const CompletionEstimator& completion_estimator_;
     SlowStart& slow_start_;
-    const OutlierDetection& outliers_;
-    const CapacityTracker& capacity_;
+    const OutlierDetection& outlier_detection_;
+    const CapacityTracker& capacity_tracker_;
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/placement_index.hpp
+++ b/src/scheduler/placement_index.hpp
@@ -1,10 +1,10 @@
-/// Weighted rendezvous hashing (highest random weight) over the listed invokers: for a key, the first of them in the
-/// order that all controllers share, found without an order of the whole fleet for each key. Plain data; nothing is
-/// decided here.
+/// Weighted rendezvous hashing (highest random weight) over the listed invokers. For a key, it finds the first invokers
+/// in an order that all controllers compute alike, without sorting the whole fleet for each key. Plain data without
+/// decisions.
 ///
-/// A key's owner keeps its Homes: the invokers up to a rank. They are brought up to date from a log of changes, at a
-/// cost in step with the changes, and found anew by one pass over the hashes (16 bytes an invoker) only where more of
-/// them are needed or the log no longer reaches back.
+/// The owner of a key keeps its Homes: the invokers up to some rank. find() updates them from a log of changes of the
+/// index. It searches all hashes again only if more invokers are needed or if the log no longer contains all changes
+/// since the last update.
 #pragma once
 
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -16,32 +16,33 @@
 
 struct Invoker;
 
-/// A place in a key's order; less is earlier. An exponential variate of rate `weight`, so that the share of keys of
-/// which an invoker is the first goes with its weight.
+/// The rank of an invoker for a key; lower ranks come first. Ranks are exponential variates with rate `weight`, so the
+/// share of keys for which an invoker comes first is proportional to its weight.
 double placement_rank(std::uint64_t key, std::uint64_t invoker_hash, double weight);
 
 class PlacementIndex {
 public:
-    struct Place {
+    struct RankedInvoker {
         double rank{};
         Invoker* invoker{};
     };
-    /// What the owner of a key keeps. `first` holds every listed invoker of at most rank `reach`, in order.
+    /// What the owner of a key keeps: all listed invokers with a rank of at most `max_rank`, in order of rank.
     struct Homes {
-        std::vector<Place> first;
-        double reach = -1;
-        std::uint64_t version{};  ///< of the index that `first` agrees with; 0: none
+        std::vector<RankedInvoker> ranked;
+        double max_rank = -1;
+        std::uint64_t version{};  ///< version of the index when `ranked` was last updated; 0 before the first find()
     };
 
-    /// Lists an invoker, or gives it another weight. `weight` has to be over 0.
+    /// Adds an invoker or changes its weight, which must be greater than 0.
     void put(Invoker& invoker, std::uint64_t hash, double weight);
     void remove(Invoker& invoker);
     std::size_t size() const { return entries_.size(); }
 
-    /// Brings `homes` up to date. It holds at least `count` places then, or all that are listed.
-    const std::vector<Place>& find(std::uint64_t key, Homes& homes, std::size_t count);
+    /// Updates `homes` and returns its ranked invokers: at least `count` of them, or all that are listed.
+    const std::vector<RankedInvoker>& find(std::uint64_t key, Homes& homes, std::size_t count);
 
-    std::uint64_t hashed() const { return hashed_; }  ///< invokers whose rank was computed, over the index's life
+    /// Number of ranks computed over the index's life.
+    std::uint64_t ranks_computed() const { return ranks_computed_; }
 
 private:
     struct Entry {
@@ -51,22 +52,22 @@
     struct Change {
         Invoker* invoker{};
         Entry entry;
-        bool listed{};  // else it was removed, with that entry
+        bool is_listed{};  ///< whether `entry` was added; else it was removed
     };
-    void log(const Change& change);
-    bool catch_up(std::uint64_t key, Homes& homes);
+    void append_change(const Change& change);
+    bool apply_missed_changes(std::uint64_t key, Homes& homes);
     void search(std::uint64_t key, Homes& homes, std::size_t count);
-    void collect(std::uint64_t key, Homes& homes);
-    std::size_t skip(std::uint64_t key, std::size_t from, double reach) const;
-    static void trim(Homes& homes, std::size_t count);
+    void collect_up_to_max_rank(std::uint64_t key, Homes& homes);
+    std::size_t next_possible(std::uint64_t key, std::size_t start, double max_rank) const;
+    static void shorten(Homes& homes, std::size_t count);
 
     std::vector<Entry> entries_;
-    std::vector<Invoker*> invokers_;  // beside entries_
+    std::vector<Invoker*> invokers_;  ///< the invoker of each entry in `entries_`
     boost::unordered_flat_map<const Invoker*, std::uint32_t> positions_;
-    double weights_{};  // the sum over all entries
+    double total_weight_{};  ///< sum of the weights of all entries
     std::deque<Change> changes_;
-    std::uint64_t version_ = 1;  // one more with each change; that of the last in changes_
-    std::uint64_t hashed_{};
+    std::uint64_t version_ = 1;  ///< increases by 1 with each change
+    std::uint64_t ranks_computed_{};
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/probing.hpp
+++ b/src/scheduler/probing.hpp
@@ -1,5 +1,5 @@
-/// Health checks and requests for load reports: which invokers are probed, and when. Probes are paid for by requests:
-/// without that, every controller would probe the whole fleet.
+/// Decides which invokers are probed for health and load reports, and when. Each request that arrives earns an
+/// allowance for probes, because otherwise every controller would probe the whole fleet.
 #pragma once
 
 #include "scheduler/load_estimator.hpp"
@@ -8,24 +8,25 @@
 
 class HealthProber {
 public:
-    HealthProber(SchedulerContext& context, const LoadEstimator& estimator);
+    HealthProber(SchedulerContext& context, const LoadEstimator& load_estimator);
 
-    /// A request arrived: probes for reports are earned by it.
+    /// Adds to the probe allowance, since a request arrived.
     void record_request();
+    /// Sends a probe to the invoker, whatever the allowance.
     void send(Invoker& invoker);
-    /// Probes a suspect or ejected invoker, or one that is silent for longer than its oldest attempt should take.
+    /// Probes the invoker if it is suspect or ejected, or if its oldest attempt takes longer than expected.
     void probe_if_unresponsive(Invoker& invoker);
-    /// Probes for load reports as far as requests have paid for them, first the invokers that were used last.
+    /// Sends probes for load reports while the allowance lasts, most recently used invokers first.
     void request_reports();
 
 private:
-    bool is_overdue(const Invoker& invoker) const;
-    bool is_rested(const Invoker& invoker) const;
+    bool is_oldest_attempt_overdue(const Invoker& invoker) const;
+    bool has_probe_interval_passed(const Invoker& invoker) const;
 
     SchedulerContext& context_;
-    const LoadEstimator& estimator_;
+    const LoadEstimator& load_estimator_;
     double probes_per_request_{};
-    double probe_allowance_{};  ///< earned and not used
+    double probe_allowance_{};  ///< number of probes that may be sent for load reports
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/request.hpp
+++ b/src/scheduler/request.hpp
@@ -1,8 +1,7 @@
-/// A request and its attempts, as the scheduler and its host share them.
+/// A request and its attempts, as shared by the scheduler and its host.
 ///
-/// The host owns Request objects and keeps one until it is settled. It fills in the part marked "set by the host"
-/// before the object first crosses the interface; the rest belongs to the scheduler (RequestLifecycle changes the
-/// state).
+/// The host owns Request objects and keeps each one until Request::is_settled(). Before it submits a request, it fills
+/// in the fields under "Set by the host"; all other fields are changed by the scheduler only.
 #pragma once
 
 #include <algorithm>
@@ -17,23 +16,23 @@
 struct Invoker;
 struct Request;
 
-/// How an attempt ended. never_ran() (retry_policy.hpp) tells which of these prove that the function did not run.
+/// How an attempt ended. never_ran() in retry_policy.hpp tells which outcomes prove that the function did not run.
 enum class AttemptOutcome {
     succeeded,
     failed,       ///< the invoker responded with an error
-    rejected,     ///< the invoker refused it before running it
-    unreachable,  ///< no connection came about
-    never_sent,   ///< no byte of it left
-    load_failed,  ///< the function could not be loaded for it
+    rejected,     ///< the invoker refused the attempt before running it
+    unreachable,  ///< no connection could be opened
+    never_sent,   ///< no byte of the attempt was sent
+    load_failed,  ///< the invoker could not load the function
     timed_out,
     connection_lost,
     cancelled,
 };
 
-/// What an invoker says about the copy that an attempt used.
+/// What an invoker reports about loading the copy that an attempt used.
 enum class LoadEvent { none, was_loaded, started_load, joined_load, load_failed };
 
-/// An invoker's report of its load, as requests over all controllers. Any figure may be missing.
+/// An invoker's report of its load: numbers of requests from all controllers. Either number may be absent.
 struct LoadReport {
     std::optional<double> in_flight, queued;
 };
@@ -41,39 +40,51 @@
 struct Attempt {
     Request* request{};
     Invoker* invoker{};
-    int number{};  ///< within its request, from 0
+    int number{};  ///< the first attempt of a request has number 0
     Time sent_at{};
     Time timeout{};
     bool in_flight{};
-    bool starts_load{};       ///< it is its function's one load in progress
-    bool expected_warm{};     ///< a warm copy was expected at the invoker
-    bool observed_warm{};     ///< the same, by a response from there and not by what other controllers send
-    int own_concurrent{};     ///< own attempts of the function there when it was sent
-    double estimated_load{};  ///< requests estimated to be there when it was sent, itself included
+    /// Whether this attempt made its invoker start to load the function; at most one attempt per function does at a
+    /// time.
+    bool starts_load{};
+    /// Whether the scheduler expected a warm copy at the invoker, learned from responses or inferred from the traffic
+    /// of other controllers.
+    bool expected_warm{};
+    /// Like `expected_warm`, but without inference from the traffic of other controllers.
+    bool observed_warm{};
+    /// Attempts of this controller for the same function at the invoker when this one was sent.
+    int own_concurrent_attempts{};
+    /// Estimated number of requests at the invoker when this one was sent, itself included.
+    double estimated_load{};
     std::optional<AttemptOutcome> outcome;
 };
 
-/// The states from `succeeded` on are final.
+/// The states from `succeeded` on are final: the request has its response or needs none any more.
 enum class RequestState { received, in_flight, parked, streaming, succeeded, rejected, failed, cancelled };
 
 /// Why a request changed its state.
 enum class DecisionReason {
     none,
-    best_invoker,          ///< of the candidates
-    new_replica,           ///< all candidates are overloaded: a copy is loaded on an invoker that is not
-    invoker_unresponsive,  ///< its invoker does not respond: it is sent to another
-    no_eligible_invoker,   ///< no invoker may be sent it now
-    overloaded,            ///< it would miss its latency target only because of other requests
+    best_invoker,  ///< sent to the candidate with the earliest estimated response
+    /// All candidates are overloaded, so a further copy is loaded at another invoker.
+    new_replica,
+    /// The invoker of the previous attempt does not respond, so the request is sent to another one.
+    invoker_unresponsive,
+    no_eligible_invoker,  ///< no invoker may be sent the request now
+    /// The request would miss its latency target only because of other requests.
+    overloaded,
     load_in_progress,
-    concurrency_limit,  ///< of all warm copies
+    /// All copies of the function run as many requests as they may.
+    concurrency_limit,
     preload_sent,
     load_budget_exhausted,
-    attempt_never_ran,  ///< it waits for the next retry
+    attempt_never_ran,  ///< the request waits for the next retry of its function
     attempts_exhausted,
     parking_full,
     parking_budget_exceeded,
     deadline_exceeded,
-    may_have_run,  ///< and must not run again anywhere
+    /// An attempt may have run, and the request must not run again.
+    may_have_run,
     response_received,
     response_begun,
     response_truncated,
@@ -86,23 +97,25 @@
     const RequestClass* request_class{};
     Tenant* tenant{};
     Function* function{};
-    Time remaining{};        ///< how long its client waits, from the arrival
-    bool is_client_retry{};  ///< its client says that it tried before
+    Time remaining{};        ///< from the arrival until the client gives up
+    bool is_client_retry{};  ///< the client marked the request as a repeated one
 
     RequestState state{};
     Time received_at{}, target_at{}, deadline{};
-    std::deque<Attempt> attempts;  ///< pointers to them hold until the request is freed
+    /// A deque, since pointers to attempts stay valid until the request is freed.
+    std::deque<Attempt> attempts;
     TimerKey timer{};
-    Time retry_after{};  ///< told to its client with a rejection; 0: none
-    bool over_quota{};   ///< its tenant was over its quota when it arrived
+    /// How long the client is asked to wait before it tries again, sent with a rejection; 0 if it is not asked.
+    Time retry_after{};
+    bool over_quota{};  ///< the tenant was over its quota when the request arrived
     DecisionReason reason{};
 
-    /// It has its final response.
+    /// Whether the request is in a final state.
     bool is_completed() const { return state >= RequestState::succeeded; }
     bool has_attempt_in_flight() const {
         return std::ranges::any_of(attempts, [](const Attempt& attempt) { return attempt.in_flight; });
     }
-    /// Nothing of it is in flight any more: the host may free it.
+    /// Whether the host may free the request: it is in a final state and no attempt is in flight.
     bool is_settled() const { return is_completed() && !has_attempt_in_flight(); }
 };
 
--- a/src/scheduler/request_lifecycle.cpp
+++ b/src/scheduler/request_lifecycle.cpp
@@ -8,7 +8,8 @@
 namespace plumkeel {
 namespace {
 
-constexpr double min_run_share = 0.7;  // of a run's time that must still fit before the deadline of a parked request
+/// A parked request is rejected when less than this share of the function's run time is left before its deadline.
+constexpr double min_run_time_share_before_deadline = 0.7;
 constexpr double min_retry_after_s = 0.3, retry_after_jitter_s = 0.4;
 
 }  // namespace
@@ -31,18 +32,20 @@
         context_.actions.transitions.push_back({&request, to, reason, attempt, context_.trace.candidates()});
     context_.trace.clear_candidates();
     if (from == RequestState::parked && to != RequestState::parked) leave_parking(request);
-    const Time last_moment = request.deadline - 2 * context_.capabilities.clock_resolution;
+    const Time latest_response_at = request.deadline - 2 * context_.capabilities.clock_resolution;
     switch (to) {
         case RequestState::received:
             break;
         case RequestState::parked:
             if (from != RequestState::parked) enter_parking(request);
-            // For as long as a run still fits before its deadline.
-            context_.timers.set(request.timer, last_moment - from_seconds(request.function->run_time_s * min_run_share),
-                                {&request, nullptr});
+            // Parked requests are rejected when a run no longer fits before the deadline.
+            context_.timers.set(
+                request.timer,
+                latest_response_at - from_seconds(request.function->run_time_s * min_run_time_share_before_deadline),
+                {&request, nullptr});
             break;
         case RequestState::in_flight:
-            context_.timers.set(request.timer, last_moment, {&request, nullptr});
+            context_.timers.set(request.timer, latest_response_at, {&request, nullptr});
             break;
         case RequestState::streaming:
             context_.timers.cancel(request.timer);
@@ -86,7 +89,7 @@
 
 Time RequestLifecycle::retry_after(const Request& request) {
     const Time max_retry_after = context_.capabilities.max_retry_after;
-    // Late already: a further try could earn little, so the client is asked to stay away for long.
+    // The latency target has passed, so the client is asked to wait as long as possible before it tries again.
     if (context_.now >= request.target_at) return max_retry_after;
     return std::min(from_seconds(min_retry_after_s + retry_after_jitter_s * context_.random_unit()), max_retry_after);
 }
@@ -104,16 +107,16 @@
     attempt.in_flight = true;
     attempt.expected_warm = choice.estimate.is_warm;
     attempt.observed_warm = copies_.is_warm(&copy);
-    attempt.own_concurrent = copy.in_flight;
-    attempt.estimated_load = load_.estimated_load(invoker) + 1;
-    if (!attempt.expected_warm && !function.load.invoker) {
+    attempt.own_concurrent_attempts = copy.in_flight;
+    attempt.estimated_load = load_estimator_.estimated_load(invoker) + 1;
+    if (!attempt.expected_warm && !function.current_load.invoker) {
         attempt.starts_load = true;
-        loads_.begin(function, invoker, false);
+        load_tracker_.begin(function, invoker, false);
     }
     copies_.attempt_sent(function, copy);
     invoker.in_flight.push_back(&attempt);
     invoker.last_used_at = context_.now;
-    load_.record_change(invoker, 1);
+    load_estimator_.record_change(invoker, 1);
     context_.refresh_fleet_entry(invoker);
     slow_start_.record_attempt(invoker);
     context_.actions.to_send.push_back(&attempt);
@@ -125,7 +128,7 @@
     attempt.in_flight = false;
     attempt.outcome = outcome;
     std::erase(invoker.in_flight, &attempt);
-    load_.record_change(invoker, -1);
+    load_estimator_.record_change(invoker, -1);
     context_.refresh_fleet_entry(invoker);
     copies_.attempt_ended(*attempt.request->function, invoker);
 }
--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -5,7 +5,8 @@
 namespace plumkeel {
 namespace {
 
-/// An invoker may forget an idempotency key by this moment. Its clock and the host's may each be a tick off.
+/// Whether the invoker may have forgotten the attempt's idempotency key by now. The clocks of the invoker and the host
+/// may each be off by one unit of their resolution.
 bool key_may_be_forgotten(const Request& request, const Attempt& attempt, Time now, const Capabilities& capabilities) {
     const Time window = request.request_class->deduplication_window;
     return now + 2 * capabilities.clock_resolution >= attempt.sent_at + window;
@@ -15,8 +16,8 @@
     return !attempt.in_flight && never_ran(*attempt.outcome);
 }
 
-/// Whether the second invoker recognises a key that the first has seen.
-bool shares_keys(DeduplicationScope scope, const Invoker& first, const Invoker& second) {
+/// Whether the second invoker recognises idempotency keys that the first invoker has seen.
+bool recognises_keys_of(DeduplicationScope scope, const Invoker& first, const Invoker& second) {
     if (scope == DeduplicationScope::zone) return first.zone == second.zone;
     if (scope == DeduplicationScope::cell) return first.cell == second.cell;
     return true;
@@ -34,7 +35,7 @@
         if (request_class.idempotency == Idempotency::idempotent) continue;
         if (request_class.idempotency == Idempotency::at_most_once) return false;
         if (key_may_be_forgotten(request, attempt, now, capabilities)) return false;
-        if (!shares_keys(request_class.deduplication_scope, *attempt.invoker, invoker)) return false;
+        if (!recognises_keys_of(request_class.deduplication_scope, *attempt.invoker, invoker)) return false;
     }
     return true;
 }
--- a/src/scheduler/retry_policy.hpp
+++ b/src/scheduler/retry_policy.hpp
@@ -14,7 +14,7 @@
 /// Whether the request may be sent (again) to this invoker now, by its class, the attempt limit and its deadline.
 bool may_attempt(const Request& request, const Invoker& invoker, Time now, const Capabilities& capabilities);
 
-/// Whether a rejection, which promises that the request had no effect, is true whatever its attempts did.
+/// Whether a rejection, which tells the client that the request had no effect, would be true.
 bool may_reject(const Request& request, Time now, const Capabilities& capabilities);
 
 /// Whether an attempt of the request failed with an error at this invoker.
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -10,47 +10,51 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time stall_threshold = 100ms;            // a sweep later than that: this process itself stalled
-constexpr std::size_t max_timers_per_call = 64;    // the rest runs at the next call, which is due at once
-constexpr std::size_t max_functions_retried = 64;  // when the endpoint list changes; others wait for their next retry
+/// If a sweep is later than this, the controller's own process stalled.
+constexpr Time stall_threshold = 100ms;
+/// Further timers run in the next call, which is then due at once.
+constexpr std::size_t max_timers_per_call = 64;
+/// Limits the retries after a change of the endpoint list. Other functions wait for their next regular retry.
+constexpr std::size_t max_functions_retried_per_list = 64;
 
 }  // namespace
 
 Scheduler::Scheduler(std::uint64_t seed, const SafetyRules& rules, const Capabilities& capabilities)
     : context_(seed, rules, capabilities),
-      arrivals_(context_),
-      load_(context_),
+      arrival_statistics_(context_),
+      load_estimator_(context_),
       load_budget_(context_.rules),
       copies_(context_),
-      loads_(context_, copies_, load_),
-      capacity_(context_),
+      load_tracker_(context_, copies_, load_estimator_),
+      capacity_tracker_(context_),
       slow_start_(context_),
-      invokers_(context_, load_, copies_, slow_start_, capacity_),
-      functions_(context_, load_, copies_, slow_start_),
-      prober_(context_, load_),
-      outliers_(context_, slow_start_, prober_, invokers_),
-      estimator_(context_, load_, copies_, slow_start_),
-      placement_(context_, arrivals_, load_, estimator_, slow_start_, outliers_, capacity_),
-      shedding_(context_, load_),
-      lifecycle_(context_, load_, copies_, loads_, slow_start_),
-      parking_(context_, lifecycle_, loads_) {}
+      invoker_registry_(context_, load_estimator_, copies_, slow_start_, capacity_tracker_),
+      function_registry_(context_, load_estimator_, copies_, slow_start_),
+      prober_(context_, load_estimator_),
+      outlier_detection_(context_, slow_start_, prober_, invoker_registry_),
+      completion_estimator_(context_, load_estimator_, copies_, slow_start_),
+      placement_(context_, arrival_statistics_, load_estimator_, completion_estimator_, slow_start_, outlier_detection_,
+                 capacity_tracker_),
+      shedding_(context_, load_estimator_),
+      lifecycle_(context_, load_estimator_, copies_, load_tracker_, slow_start_),
+      parking_(context_, lifecycle_, load_tracker_) {}
 
 DecisionWork Scheduler::work() const {
-    DecisionWork out = context_.work;
-    out.hashed = context_.placement_index.hashed();
-    out.swept = context_.fleet.examined();
-    return out;
+    DecisionWork result = context_.work;
+    result.hashed = context_.placement_index.ranks_computed();
+    result.swept = context_.fleet.visited();
+    return result;
 }
 
-// ---------------------------------------------------------------- the ordinary path of a request
+// Placing requests
 
-// Steps 1 to 5 of the design. Called when the request arrives, when a backoff of its function ends, and when its
-// attempt ended without a response and it may go on.
+// Sends, parks or rejects the request (docs/design.md, steps 1 to 5). Called when the request arrives, when the backoff
+// of its function ends, and when an attempt ended without a response and another one is allowed.
 void Scheduler::place(Request& request) {
     Function& function = *request.function;
     if (static_cast<int>(request.attempts.size()) >= context_.capabilities.max_attempts)
         return lifecycle_.reject_or_fail(request, DecisionReason::attempts_exhausted);
-    loads_.finish_overdue(function);
+    load_tracker_.finish_overdue(function);
     PlacementChoice choice = placement_.choose(request);
     if (!choice.invoker) return parking_.park(request, DecisionReason::no_eligible_invoker);
 
@@ -68,15 +72,15 @@
             break;
     }
 
-    // Step 2: one load a function at a time. While it is in progress and no warm copy responds in time, requests wait
-    // for it. Where all copies of an invoker are fully used, more requests there would only start more copies: they
-    // wait for a free one.
-    const bool is_limited = choice.estimate.at_concurrency_limit;
-    const double left_s = in_seconds(request.target_at - context_.now);
-    const bool is_in_time = choice.estimate.is_warm && choice.estimate.finish_s <= left_s;
-    if ((is_limited || (function.load.invoker && !is_in_time)) && parking_.has_capacity())
-        return parking_.park(request,
-                             is_limited ? DecisionReason::concurrency_limit : DecisionReason::load_in_progress);
+    // Step 2 of the design: a function has one load in progress at a time. Unless a warm copy can respond in time,
+    // requests wait for the load. If all copies at an invoker are fully used, a further request would only make it load
+    // another copy, so the request waits for a free one.
+    const bool is_at_concurrency_limit = choice.estimate.at_concurrency_limit;
+    const double time_to_target_s = in_seconds(request.target_at - context_.now);
+    const bool is_in_time = choice.estimate.is_warm && choice.estimate.finish_s <= time_to_target_s;
+    if ((is_at_concurrency_limit || (function.current_load.invoker && !is_in_time)) && parking_.has_capacity())
+        return parking_.park(
+            request, is_at_concurrency_limit ? DecisionReason::concurrency_limit : DecisionReason::load_in_progress);
     send_or_preload(request, choice, reason);
 }
 
@@ -84,8 +88,9 @@
     Function& function = *request.function;
     const Capabilities& capabilities = context_.capabilities;
     const bool is_warm = choice.estimate.is_warm;
-    if (!is_warm && capabilities.preload && !function.load.invoker && load_budget_.try_take(context_.now)) {
-        loads_.begin(function, *choice.invoker, true);
+    if (!is_warm && capabilities.preload && !function.current_load.invoker &&
+        load_budget_.try_consume_preload(context_.now)) {
+        load_tracker_.begin(function, *choice.invoker, true);
         context_.actions.to_preload.push_back({&function, choice.invoker, 1});
         return parking_.park(request, DecisionReason::preload_sent);
     }
@@ -94,34 +99,36 @@
     lifecycle_.start_attempt(request, choice, reason);
 }
 
-/// Retries the function's parked requests, oldest first; place() parks again what still has to wait.
+/// Retries the function's parked requests, oldest first. place() parks those again that still have to wait.
 void Scheduler::retry_parked(Function& function) {
-    const std::vector<Request*> waiting = function.parking.requests;
-    for (Request* request : waiting)
+    const std::vector<Request*> parked_requests = function.parking.requests;
+    for (Request* request : parked_requests)
         if (request->state == RequestState::parked) place(*request);
     if (function.parking.requests.empty()) parking_.stop(function);
 }
 
-/// Functions whose requests wait may have somewhere to send them now (docs/design.md, exception "turn").
+/// Retries parked requests after a change of the endpoint list (docs/design.md, exception "turn").
 void Scheduler::retry_all_parked() {
-    for (Function* function : context_.functions.with_parked.members(max_functions_retried)) retry_parked(*function);
+    for (Function* function : context_.functions.with_parked_requests.members(max_functions_retried_per_list))
+        retry_parked(*function);
 }
 
+/// Ends the function's load in progress and retries its parked requests.
 void Scheduler::finish_load(Function& function) {
-    loads_.end(function);
+    load_tracker_.end(function);
     retry_parked(function);
 }
 
-// ---------------------------------------------------------------- events
+// Events reported by the host
 
 Actions Scheduler::submit(Time now, Request& request) {
     begin_call(now);
-    load_.initialize_run_time(*request.request_class);
-    functions_.record_request(*request.function);
+    load_estimator_.initialize_run_time(*request.request_class);
+    function_registry_.record_request(*request.function);
     lifecycle_.receive(request);
     if (!request.is_client_retry) prober_.record_request();
     load_budget_.record_request(now);
-    arrivals_.record(request);
+    arrival_statistics_.record(request);
     place(request);
     return end_call();
 }
@@ -140,11 +147,12 @@
     Request& request = *attempt.request;
     Function& function = *request.function;
     lifecycle_.end_attempt(attempt, outcome);
-    load_.on_load_report(*attempt.invoker, report);
+    load_estimator_.on_load_report(*attempt.invoker, report);
     learn_from_outcome(attempt, load_event, concurrent_requests);
     if (!request.is_completed()) continue_request(request, attempt);
-    if (attempt.starts_load && function.load.invoker == attempt.invoker) loads_.end(function);
-    // The load is over or a copy is free. What was rejected waits for the next retry.
+    if (attempt.starts_load && function.current_load.invoker == attempt.invoker) load_tracker_.end(function);
+    // A load has ended or a copy has a free slot, so parked requests may be sent. If the attempt never ran, nothing has
+    // changed for them, and they wait for the next retry.
     if (!never_ran(outcome)) retry_parked(function);
     return end_call();
 }
@@ -156,14 +164,14 @@
             learn_from_success(attempt, load_event, concurrent_requests);
             break;
         case AttemptOutcome::rejected:
-            outliers_.record_success(invoker);
-            capacity_.record_rejection(invoker, had_free_copy(attempt, concurrent_requests));
+            outlier_detection_.record_success(invoker);
+            capacity_tracker_.record_rejection(invoker, had_free_copy(attempt, concurrent_requests));
             break;
         case AttemptOutcome::unreachable:
             invoker_failed(invoker, true);
             break;
         case AttemptOutcome::connection_lost:
-            if (outliers_.record_reset(invoker)) invoker_failed(invoker, false);
+            if (outlier_detection_.record_reset(invoker)) invoker_failed(invoker, false);
             break;
         case AttemptOutcome::failed:
         case AttemptOutcome::load_failed:
@@ -179,51 +187,52 @@
 }
 
 void Scheduler::learn_from_success(const Attempt& attempt, LoadEvent load_event, int concurrent_requests) {
-    outliers_.attribute_errors(attempt);
+    outlier_detection_.attribute_errors(attempt);
     slow_start_.record_success();
-    outliers_.record_success(*attempt.invoker);
-    const double took_s = in_seconds(context_.now - attempt.sent_at);
-    const double load_time_s = load_.load_time_s(*attempt.request->function);
-    if (attempt.expected_warm && attempt.own_concurrent == 0)
-        capacity_.record_expected_copy(load_event == LoadEvent::started_load);
-    copies_.learn_from_success(attempt, load_event, concurrent_requests, took_s, load_time_s);
-    load_.learn_from_success(attempt, load_event);
+    outlier_detection_.record_success(*attempt.invoker);
+    const double duration_s = in_seconds(context_.now - attempt.sent_at);
+    const double load_time_s = load_estimator_.load_time_s(*attempt.request->function);
+    if (attempt.expected_warm && attempt.own_concurrent_attempts == 0)
+        capacity_tracker_.record_expected_copy(load_event == LoadEvent::started_load);
+    copies_.learn_from_success(attempt, load_event, concurrent_requests, duration_s, load_time_s);
+    load_estimator_.learn_from_success(attempt, load_event);
 }
 
 void Scheduler::learn_from_unfinished(const Attempt& attempt) {
-    load_.learn_from_unfinished(attempt);
-    // A load that has begun goes on without the request that wanted it.
+    load_estimator_.learn_from_unfinished(attempt);
+    // The invoker finishes a load even if the request that started it is gone.
     Function& function = *attempt.request->function;
     Invoker& invoker = *attempt.invoker;
-    const bool load_has_ended = in_seconds(context_.now - attempt.sent_at) > load_.load_time_s(function);
+    const bool load_has_ended = in_seconds(context_.now - attempt.sent_at) > load_estimator_.load_time_s(function);
     if (attempt.starts_load && invoker.health.state == HealthState::healthy && load_has_ended)
         copies_.set_expiry(function, copies_.get_or_add(function, invoker),
                            context_.now + context_.capabilities.keep_alive / 2);
 }
 
-/// What happens to a request that is not completed when one of its attempts has ended.
+/// Decides what happens to a request without a response after one of its attempts ended.
 void Scheduler::continue_request(Request& request, const Attempt& ended) {
     const Capabilities& capabilities = context_.capabilities;
     if (ended.outcome == AttemptOutcome::succeeded)
         return lifecycle_.transition(request, RequestState::succeeded, DecisionReason::response_received);
     if (request.state == RequestState::streaming)
         return lifecycle_.transition(request, RequestState::cancelled, DecisionReason::response_truncated);
-    // The other attempt, or the function's backoff, decides.
+    // The request continues when its other attempt ends or its function's backoff ends.
     if (request.has_attempt_in_flight() || request.state == RequestState::parked) return;
     if (context_.now + 2 * capabilities.clock_resolution >= request.deadline)
         return lifecycle_.reject_or_fail(request, DecisionReason::deadline_exceeded);
-    // Step 1: it never ran, so it waits for the next retry.
+    // Step 1 of the design: the attempt never ran, so the request waits for the next retry.
     if (never_ran(*ended.outcome)) return parking_.park(request, DecisionReason::attempt_never_ran);
-    // It may have run. Where no invoker may run it again, this one may not either.
+    // The attempt may have run. If the request may not be sent to the same invoker again, it may not be sent to any
+    // other.
     if (may_attempt(request, *ended.invoker, context_.now, capabilities)) return place(request);
     lifecycle_.reject_or_fail(request, DecisionReason::may_have_run);
 }
 
-/// Whether a copy with a free slot was at the attempt's invoker, as far as this controller could see.
+/// Whether a copy with a free slot was at the attempt's invoker, as far as this controller knows.
 bool Scheduler::had_free_copy(const Attempt& attempt, int concurrent_requests) const {
     Function& function = *attempt.request->function;
     const int slots = CachedCopies::concurrency(function, CachedCopies::find(function, *attempt.invoker));
-    return attempt.observed_warm && std::max(attempt.own_concurrent, concurrent_requests) < slots;
+    return attempt.observed_warm && std::max(attempt.own_concurrent_attempts, concurrent_requests) < slots;
 }
 
 Actions Scheduler::client_disconnected(Time now, Request& request) {
@@ -235,7 +244,7 @@
 
 Actions Scheduler::endpoints_changed(Time now, const std::vector<Invoker*>& changed, bool is_complete) {
     begin_call(now);
-    invokers_.apply(changed, is_complete);
+    invoker_registry_.apply(changed, is_complete);
     retry_all_parked();
     return end_call();
 }
@@ -243,7 +252,7 @@
 Actions Scheduler::endpoints_removed(Time now, const std::vector<Invoker*>& removed) {
     begin_call(now);
     for (Invoker* invoker : removed)
-        if (invoker->is_registered) invokers_.delist(*invoker);
+        if (invoker->is_registered) invoker_registry_.delist(*invoker);
     retry_all_parked();
     return end_call();
 }
@@ -258,10 +267,11 @@
     begin_call(now);
     InvokerHealth& health = invoker.health;
     health.probe_pending = false;
-    load_.on_load_report(invoker, report);
-    if (responded) outliers_.record_success(invoker);
-    // Otherwise it works, and its probes are crowded out; or this process has stalled meanwhile.
-    else if (health.last_response_at <= health.probed_at && health.probed_at >= context_.resumed_at)
+    load_estimator_.on_load_report(invoker, report);
+    if (responded) outlier_detection_.record_success(invoker);
+    // A missing response says nothing if the invoker has responded since the probe was sent, or if this process stalled
+    // meanwhile.
+    else if (health.last_response_at <= health.probed_at && health.probed_at >= context_.last_stall_end)
         invoker_failed(invoker, false);
     return end_call();
 }
@@ -270,35 +280,36 @@
     begin_call(now);
     const bool succeeded = outcome == AttemptOutcome::succeeded;
     const bool is_loaded = succeeded || copies > 0;
-    const bool is_current = function.load.invoker == &invoker;
+    const bool is_load_in_progress = function.current_load.invoker == &invoker;
     if (is_loaded) {
-        copies_.preloaded(function, invoker, copies);
-        if (is_current && succeeded) load_.learn_load_time(function, in_seconds(now - function.load.started_at));
+        copies_.record_preload(function, invoker, copies);
+        if (is_load_in_progress && succeeded)
+            load_estimator_.learn_load_time(function, in_seconds(now - function.current_load.started_at));
     }
     if (outcome == AttemptOutcome::unreachable) invoker_failed(invoker, true);
     if (outcome == AttemptOutcome::connection_lost) invoker_failed(invoker, false);
-    if (outcome == AttemptOutcome::rejected) capacity_.record_rejection(invoker, false);
-    if (function.load.invoker == &invoker) {
-        // Step 3: what could not be loaded is tried again with the next retry, not at once.
+    if (outcome == AttemptOutcome::rejected) capacity_tracker_.record_rejection(invoker, false);
+    if (function.current_load.invoker == &invoker) {
+        // Step 3 of the design: after a failed load, requests wait for the next retry.
         if (is_loaded)
             finish_load(function);
         else
-            loads_.end(function);
+            load_tracker_.end(function);
     }
     return end_call();
 }
 
 void Scheduler::invoker_failed(Invoker& invoker, bool is_certain) {
-    outliers_.record_failure(invoker, is_certain);
+    outlier_detection_.record_failure(invoker, is_certain);
     if (invoker.health.state == HealthState::ejected) reroute(invoker);
 }
 
-/// What is in flight at an unresponsive invoker is sent elsewhere where the rules allow a second attempt; where two at
-/// once are not allowed, its attempt is cancelled first.
+/// Sends requests in flight at an unresponsive invoker to other invokers if a second attempt is allowed. If hedging is
+/// not allowed, the attempt is cancelled first.
 void Scheduler::reroute(Invoker& invoker) {
-    if (outliers_.is_panic_mode()) return;
+    if (outlier_detection_.is_panic_mode()) return;
     for (Function* function : context_.functions.loading.members())
-        if (function->load.invoker == &invoker) finish_load(*function);
+        if (function->current_load.invoker == &invoker) finish_load(*function);
     const Capabilities& capabilities = context_.capabilities;
     for (Attempt* attempt : std::vector<Attempt*>(invoker.in_flight)) {
         Request& request = *attempt->request;
@@ -312,13 +323,13 @@
     }
 }
 
-// ---------------------------------------------------------------- time
+// Timers and periodic work
 
-/// Called first with every event. A sweep long overdue shows that this process itself stalled: what was in flight
-/// meanwhile looks slow and says nothing of the invokers (incident i544b59).
+/// Called first for each event. If a sweep is long overdue, this process stalled: attempts that were in flight look
+/// slow, but their invokers are not at fault.
 void Scheduler::begin_call(Time now) {
     context_.now = now;
-    if (next_sweep_ != Time{} && now > next_sweep_ + stall_threshold) context_.resumed_at = now;
+    if (next_sweep_ != Time{} && now > next_sweep_ + stall_threshold) context_.last_stall_end = now;
 }
 
 Actions Scheduler::end_call() {
@@ -338,7 +349,7 @@
 Actions Scheduler::wake(Time now) {
     begin_call(now);
     for (std::size_t i = 0; i < max_timers_per_call && context_.timers.is_due(now); ++i)
-        run_timer(context_.timers.first());
+        run_timer(context_.timers.earliest_owner());
     return end_call();
 }
 
@@ -348,30 +359,30 @@
     if (parking_.is_budget_exceeded(function)) {
         parking_.stop(function);
         for (Request* request : std::vector<Request*>(function.parking.requests))
-            lifecycle_.reject_or_fail(*request, DecisionReason::parking_budget_exceeded);  // step 4
+            lifecycle_.reject_or_fail(*request, DecisionReason::parking_budget_exceeded);
         return;
     }
     parking_.advance_backoff(function);
     retry_parked(function);
 }
 
-/// The periodic work: it costs what has happened since the last time, not the size of the fleet.
+/// Does the periodic work. Its cost depends on the number of recent events and not on the size of the fleet.
 void Scheduler::sweep() {
     const FleetTotals totals = context_.fleet.totals();
     for (Invoker* invoker : context_.fleet.to_sweep()) {
         if (!invoker->is_listed || !invoker->ready) continue;
-        outliers_.review(*invoker);
+        outlier_detection_.review(*invoker);
         prober_.probe_if_unresponsive(*invoker);
     }
     prober_.request_reports();
-    outliers_.update_panic_mode(totals);
+    outlier_detection_.update_panic_mode(totals);
     slow_start_.update_service_rate(static_cast<double>(totals.warm_micro_capacity) / 1e6);
-    arrivals_.update_span();
-    load_.update_mean_load(totals);
-    functions_.unload_idle_replicas();
-    capacity_.sweep();
-    invokers_.release_delisted();
-    functions_.review_due();
+    arrival_statistics_.update_decay_time();
+    load_estimator_.update_mean_load(totals);
+    function_registry_.unload_idle_replicas();
+    capacity_tracker_.sweep();
+    invoker_registry_.release_delisted();
+    function_registry_.review_due();
 }
 
 }  // namespace plumkeel
--- a/src/scheduler/scheduler_context.hpp
+++ b/src/scheduler/scheduler_context.hpp
@@ -1,5 +1,5 @@
-/// What the parts of one scheduler share: the deployment's rules, the present moment, the tables of invokers and
-/// functions, the timers, the random numbers and the actions of the call in progress.
+/// State that all parts of one scheduler share: the deployment's settings, the current time, the tables of invokers and
+/// functions, the timers, the random number generator and the actions of the call in progress.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,41 @@
 
 namespace plumkeel {
 
-/// How often the scheduler does its periodic work: often enough to notice an unresponsive invoker within a second.
+/// The interval of the scheduler's periodic work, called a sweep. It is short enough to notice an unresponsive invoker
+/// within a second.
 constexpr Time sweep_period = std::chrono::milliseconds(250);
 
-/// Counts of what decisions cost, over the scheduler's life. They do not depend on the machine.
+/// Counts of the work done for decisions over the scheduler's life. They are the same on every machine.
 struct DecisionWork {
     std::uint64_t placements{};
-    std::uint64_t examined{};  ///< invokers checked for whether they may be sent anything
-    std::uint64_t scored{};    ///< of these, those whose completion time was estimated
-    std::uint64_t hashed{};    ///< invokers ranked for a function
-    std::uint64_t swept{};     ///< invokers visited by periodic work or because of an endpoint list
+    /// Invokers that a placement checked for whether they may be sent attempts.
+    std::uint64_t examined{};
+    /// Invokers for which a placement estimated the completion time.
+    std::uint64_t scored{};
+    /// Invokers for which the placement index computed a rank.
+    std::uint64_t hashed{};
+    /// Invokers visited by sweeps and by updates of the endpoint list.
+    std::uint64_t swept{};
 };
 
 struct SchedulerContext {
     SchedulerContext(std::uint64_t seed, const SafetyRules& safety_rules, const Capabilities& deployment_capabilities);
 
-    /// From 0 up to 1. The order of these draws is part of a recorded trace: it must not change.
+    /// A random number in [0, 1). Replaying a recorded trace needs the same draws in the same order.
     double random_unit() { return random.next(); }
-    /// The weight of an invoker in the order of home invokers that all controllers share.
+    /// The weight of an invoker in the placement index, which all controllers compute alike.
     double placement_weight(const Invoker& invoker) const;
-    /// Brings the fleet's totals and the lists of the periodic work in step with the invoker's state. To be called
-    /// after each change of its readiness, health, slow start or attempts in flight.
+    /// Updates the fleet's totals and the invoker's place in the lists of the fleet table. Must be called after each
+    /// change of the invoker's readiness, health, slow start or attempts in flight.
     void refresh_fleet_entry(Invoker& invoker);
 
     const SafetyRules rules;
     const Capabilities capabilities;
     Pcg random;
     Time now{};
-    Time resumed_at{};  ///< when this process went on after its last stall: attempts sent before teach nothing
+    /// When this process continued after its last stall. Durations of attempts sent before then say nothing about
+    /// invokers.
+    Time last_stall_end{};
     FleetTable fleet;
     FunctionTable functions;
     PlacementIndex placement_index;
--- a/src/scheduler/time.hpp
+++ b/src/scheduler/time.hpp
@@ -11,15 +11,14 @@
 /// A duration, or a moment as the duration since the host's start.
 using Time = std::chrono::microseconds;
 
-/// A timer's place in the order of due times: when it is due, and a number that tells timers due at once apart. The
-/// number 0 means that no timer is set.
+/// Orders timers by due time, then by a number that is unique to each timer. The number 0 means that no timer is set.
 using TimerKey = std::pair<Time, std::uint64_t>;
 
 constexpr double in_seconds(Time duration) {
     return static_cast<double>(duration.count()) / 1e6;
 }
 
-/// Negative values give zero.
+/// Converts seconds to a duration; negative values give zero.
 constexpr Time from_seconds(double seconds) {
     return Time(static_cast<Time::rep>(std::max(0.0, seconds) * 1e6));
 }
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -1,4 +1,4 @@
-/// All types that a host shares with the scheduler. Plain data: nothing is decided here.
+/// Includes all types that a host shares with the scheduler. They are plain data without decisions.
 #pragma once
 
 #include "scheduler/actions.hpp"
--- a/tests/placement_index_test.cpp
+++ b/tests/placement_index_test.cpp
@@ -35,16 +35,16 @@
         for (const auto& [invoker, weight] : listed_)
             ranked.emplace_back(placement_rank(key, hash_of(invoker->name), weight), invoker);
         std::sort(ranked.begin(), ranked.end());
-        std::vector<const Invoker*> out;
-        for (std::size_t i = 0; i < std::min(count, ranked.size()); ++i) out.push_back(ranked[i].second);
-        return out;
+        std::vector<const Invoker*> result;
+        for (std::size_t i = 0; i < std::min(count, ranked.size()); ++i) result.push_back(ranked[i].second);
+        return result;
     }
     std::vector<const Invoker*> found(std::uint64_t key, PlacementIndex::Homes& homes, std::size_t count) {
-        std::vector<const Invoker*> out;
-        for (const auto& place : index_.find(key, homes, count)) out.push_back(place.invoker);
-        EXPECT_GE(out.size(), std::min(count, listed_.size()));
-        out.resize(std::min(count, out.size()));
-        return out;
+        std::vector<const Invoker*> result;
+        for (const auto& place : index_.find(key, homes, count)) result.push_back(place.invoker);
+        EXPECT_GE(result.size(), std::min(count, listed_.size()));
+        result.resize(std::min(count, result.size()));
+        return result;
     }
 
     PlacementIndex index_;
@@ -107,12 +107,12 @@
     for (int i = 0; i < 10'000; ++i) add();
     PlacementIndex::Homes homes;
     index_.find(mix(9), homes, 3);
-    const auto before = index_.hashed();
+    const auto before = index_.ranks_computed();
     for (int i = 0; i < 100; ++i) {
         remove(*invokers_[static_cast<std::size_t>(i)]);
         index_.find(mix(9), homes, 3);
     }
-    EXPECT_LE(index_.hashed() - before, 100u + 10'000u) << "one rank a change, and at most one new search";
+    EXPECT_LE(index_.ranks_computed() - before, 100u + 10'000u) << "one rank a change, and at most one new search";
 }
 
 TEST_F(PlacementIndexTest, HomesStayShortInALargeFleet) {
@@ -120,11 +120,11 @@
     for (std::uint64_t key = 1; key < 100; ++key) {
         PlacementIndex::Homes homes;
         index_.find(mix(key), homes, 3);
-        EXPECT_LE(homes.first.size(), 64u);
+        EXPECT_LE(homes.ranked.size(), 64u);
         index_.find(mix(key), homes, 5000);
-        EXPECT_GE(homes.first.size(), 5000u);
+        EXPECT_GE(homes.ranked.size(), 5000u);
         index_.find(mix(key), homes, 3);
-        EXPECT_LE(homes.first.size(), 64u) << "what is not needed any more is released";
+        EXPECT_LE(homes.ranked.size(), 64u) << "what is not needed any more is released";
     }
 }
 
@@ -133,10 +133,10 @@
     for (int i = 0; i < 100; ++i) add(2);
     PlacementIndex::Homes homes;
     index_.find(mix(3), homes, 3);
-    const auto before = index_.hashed();
+    const auto before = index_.ranks_computed();
     for (int i = 0; i < 1000; ++i) put(invoker, 2);
     index_.find(mix(3), homes, 3);
-    EXPECT_EQ(index_.hashed(), before);
+    EXPECT_EQ(index_.ranks_computed(), before);
 }
 
 // What controllers agree on without talking must not depend on the order in which they learned of the fleet.
--- a/tests/scheduler_tables_test.cpp
+++ b/tests/scheduler_tables_test.cpp
@@ -52,9 +52,9 @@
 
 TEST_F(FunctionTableTest, EvictionCandidateIsCalledOnceWhereTheseAreMany) {
     Function &a = add(), &b = add(), &c = add();
-    table_.called_again(a);
-    table_.called_again(b);
-    table_.called_again(a);
+    table_.record_repeated_call(a);
+    table_.record_repeated_call(b);
+    table_.record_repeated_call(a);
     EXPECT_EQ(table_.eviction_candidate(0), &c) << "one called once is over none";
     EXPECT_EQ(table_.eviction_candidate(1), &b) << "else the least recent of the others";
     table_.touch(b);
@@ -84,14 +84,14 @@
 TEST_F(FunctionTableTest, RemovedFunctionIsInNoSet) {
     Function &a = add(), &b = add();
     for (Function* each : {&b, &a}) {
-        table_.with_parked.set(*each, true);
+        table_.with_parked_requests.set(*each, true);
         table_.loading.set(*each, true);
         table_.replicated.set(*each, true);
     }
-    EXPECT_EQ(table_.with_parked.members(), (std::vector<Function*>{&a, &b}));
-    EXPECT_EQ(table_.with_parked.members(1), (std::vector<Function*>{&a}));
+    EXPECT_EQ(table_.with_parked_requests.members(), (std::vector<Function*>{&a, &b}));
+    EXPECT_EQ(table_.with_parked_requests.members(1), (std::vector<Function*>{&a}));
     table_.remove(a);
-    for (const FunctionTable::Set* set : {&table_.with_parked, &table_.loading, &table_.replicated})
+    for (const FunctionTable::Set* set : {&table_.with_parked_requests, &table_.loading, &table_.replicated})
         EXPECT_EQ(set->members(), (std::vector<Function*>{&b}));
 }
 
@@ -145,7 +145,7 @@
     table_.set_contribution(invokers_[9], ready, 6s);
     table_.set_contribution(invokers_[0], {}, 7s);
     std::vector<Invoker*> seen;
-    table_.for_recently_used([&](Invoker& invoker) {
+    table_.for_each_recently_used([&](Invoker& invoker) {
         seen.push_back(&invoker);
         return seen.size() < 4;
     });
