--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -5,9 +5,9 @@
 using wire::EventType;
 
 json Adapter::handle(const json& batch) {
-    const wire::Batch decoded = wire::decode_batch(batch);
+    const wire::Batch decoded_batch = wire::decode_batch(batch);
     json actions = json::array();
-    for (const json& event : *decoded.events) handle_event(event, decoded.now, actions);
+    for (const json& event : *decoded_batch.events) handle_event(event, decoded_batch.now, actions);
     return {{"actions", std::move(actions)}};
 }
 
@@ -15,7 +15,7 @@
     const EventType type = wire::decode_type(event);
     if (type == EventType::endpoint_bank) {
         wire::EndpointBank bank = wire::decode_endpoint_bank(event);
-        banks_[bank.number] = std::move(bank.endpoints);
+        endpoint_banks_[bank.number] = std::move(bank.endpoints);
         return;
     }
     const std::optional<std::string> name = wire::decode_controller(event);
@@ -26,7 +26,7 @@
     }
     const auto it = controllers_.find(*name);
     if (it == controllers_.end())
-        throw platform_settings::SettingsError("field 'who': no controller '" + *name + "' was started");
+        throw platform_settings::SettingsError("field 'who': controller '" + *name + "' has not been started");
     if (type == EventType::controller_crashed) {
         controllers_.erase(it);
         return;
@@ -36,8 +36,8 @@
 }
 
 const json* Adapter::find_bank(const json& event) const {
-    const auto it = banks_.find(wire::decode_bank_number(event));
-    return it == banks_.end() ? nullptr : &it->second;
+    const auto it = endpoint_banks_.find(wire::decode_bank_number(event));
+    return it == endpoint_banks_.end() ? nullptr : &it->second;
 }
 
 }  // namespace plumkeel::simulator_adapter
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -1,4 +1,4 @@
-/// The adapter's controllers: hands each event of the simulator to the controller that it is for.
+/// Dispatches each event of the simulator to the controller that it is for.
 #pragma once
 
 #include <map>
@@ -11,14 +11,14 @@
 
 class Adapter {
 public:
-    /// Handles one line of input; returns the line to print. Throws `platform_settings::SettingsError`.
+    /// Handles one line of input and returns the line to print. Throws `platform_settings::SettingsError`.
     json handle(const json& batch);
 
 private:
     void handle_event(const json& event, Time now, json& actions);
     const json* find_bank(const json& event) const;
 
-    std::map<int, json> banks_;
+    std::map<int, json> endpoint_banks_;  ///< endpoint lists by bank number
     std::map<std::string, std::unique_ptr<Controller>> controllers_;
 };
 
--- a/src/simulator_adapter/controller.cpp
+++ b/src/simulator_adapter/controller.cpp
@@ -17,7 +17,8 @@
       scheduler_(make_scheduler({name_, started_at_, start.seed, start.settings.safety_rules,
                                  start.settings.capabilities, request_classes_, tenants_})) {}
 
-void Controller::handle(EventType type, const json& event, Time simulated_now, const json* bank, json& actions) {
+void Controller::handle(EventType type, const json& event, Time simulated_now, const json* endpoint_bank,
+                        json& actions) {
     const Time now = simulated_now - started_at_;
     switch (type) {
         case EventType::request_received:
@@ -31,7 +32,7 @@
         case EventType::timer_fired:
             return on_timer(event, now, actions);
         case EventType::endpoints_updated:
-            return on_endpoints(event, now, bank, actions);
+            return on_endpoints(event, now, endpoint_bank, actions);
         case EventType::health_check_ended:
             return on_health_check(event, now, actions);
         case EventType::preload_ended:
@@ -48,10 +49,11 @@
     const wire::RequestReceived received = wire::decode_request(event);
     const auto request_class = request_classes_.find(received.request_class);
     if (request_class == request_classes_.end())
-        throw SettingsError("the settings have no request class '" + received.request_class + "'");
+        throw SettingsError("field 'cls': the settings have no request class '" + received.request_class + "'");
     Function& function = update_function(received);
     const auto [it, is_new] = requests_.try_emplace(received.id, std::make_unique<Request>());
-    if (!is_new) throw SettingsError("request " + std::to_string(received.id) + " was received twice");
+    if (!is_new)
+        throw SettingsError("field 'txn': request " + std::to_string(received.id) + " has already been received");
     Request& request = *it->second;
     request.id = received.id;
     request.request_class = &request_class->second;
@@ -105,17 +107,17 @@
 }
 
 void Controller::on_timer(const json& event, Time now, json& actions) {
-    if (wire::decode_timer(event) != std::to_string(timers_set_)) return;  // replaced by a later timer
+    if (wire::decode_timer(event) != std::to_string(last_timer_number_)) return;  // a later timer has replaced this one
     timer_due_at_ = Time::max();
     apply(scheduler_->wake(now), now, actions);
 }
 
-void Controller::on_endpoints(const json& event, Time now, const json* bank, json& actions) {
+void Controller::on_endpoints(const json& event, Time now, const json* endpoint_bank, json& actions) {
     const wire::UpdateMode mode = wire::decode_update_mode(event);
     if (mode == wire::UpdateMode::stream_lost) return apply(scheduler_->endpoint_stream_lost(now), now, actions);
-    if (!bank) throw SettingsError("an endpoint update refers to a bank that was never sent");
+    if (!endpoint_bank) throw SettingsError("field 'bank': the endpoint bank of this update has not been received");
     std::vector<Invoker*> changed;
-    for (const json& entry : *bank) changed.push_back(update_invoker(entry));
+    for (const json& entry : *endpoint_bank) changed.push_back(update_invoker(entry));
     const bool is_complete = mode == wire::UpdateMode::complete;
     apply(scheduler_->endpoints_changed(now, changed, is_complete), now, actions);
 }
@@ -161,20 +163,20 @@
     if (it != requests_.end() && it->second->is_settled()) requests_.erase(it);
 }
 
-void Controller::apply(const Actions& results, Time now, json& actions) {
-    wire::ActionList out(name_, actions);
-    if (results.subscribe_endpoints) out.subscribe_endpoints();
-    for (const Attempt* attempt : results.to_cancel) out.cancel(*attempt);
-    for (const Request* request : results.completed) out.complete(*request);
-    for (const Attempt* attempt : results.to_send) out.send(*attempt);
-    for (const Invoker* invoker : results.to_probe) out.probe(*invoker);
-    for (const PreloadCommand& command : results.to_preload) out.preload(command);
-    for (const Request* request : results.completed) erase_if_settled(request->id);
-    for (const Function* function : results.released_functions) functions_.erase(std::string(function->name));
-    for (const Invoker* invoker : results.released_invokers) invokers_.erase(std::string(invoker->name));
-    if (results.next_wake < timer_due_at_) {
-        timer_due_at_ = results.next_wake;
-        out.set_timer(std::max(timer_due_at_ - now, Time{}), ++timers_set_);
+void Controller::apply(const Actions& decisions, Time now, json& actions) {
+    wire::ActionList action_list(name_, actions);
+    if (decisions.subscribe_endpoints) action_list.subscribe_endpoints();
+    for (const Attempt* attempt : decisions.to_cancel) action_list.cancel(*attempt);
+    for (const Request* request : decisions.completed) action_list.complete(*request);
+    for (const Attempt* attempt : decisions.to_send) action_list.send(*attempt);
+    for (const Invoker* invoker : decisions.to_probe) action_list.probe(*invoker);
+    for (const PreloadCommand& command : decisions.to_preload) action_list.preload(command);
+    for (const Request* request : decisions.completed) erase_if_settled(request->id);
+    for (const Function* function : decisions.released_functions) functions_.erase(std::string(function->name));
+    for (const Invoker* invoker : decisions.released_invokers) invokers_.erase(std::string(invoker->name));
+    if (decisions.next_wake < timer_due_at_) {
+        timer_due_at_ = decisions.next_wake;
+        action_list.set_timer(std::max(timer_due_at_ - now, Time{}), ++last_timer_number_);
     }
 }
 
--- a/src/simulator_adapter/controller.hpp
+++ b/src/simulator_adapter/controller.hpp
@@ -1,5 +1,5 @@
-/// One simulated controller: turns decoded events into calls of its scheduler and the scheduler's answers into actions.
-/// It owns the requests, functions and invokers that the scheduler refers to, and decides nothing.
+/// One simulated controller. It converts events into calls of its scheduler and the resulting actions into messages to
+/// the simulator. It owns the requests, functions and invokers that the scheduler refers to.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 
 class Controller {
 public:
-    /// `started_at` is the simulated time; the scheduler's clock counts from it.
+    /// `started_at` is in simulated time. The scheduler's time is counted from it.
     Controller(std::string name, Time started_at, const wire::ControllerStarted& start);
 
-    /// Handles one event and appends the resulting actions. `bank` is the endpoint list that an endpoint update refers
-    /// to; null if it is not known.
-    void handle(wire::EventType type, const json& event, Time simulated_now, const json* bank, json& actions);
+    /// Handles one event and appends the resulting actions. `endpoint_bank` is the endpoint list that an endpoint
+    /// update refers to; null if that list was not received.
+    void handle(wire::EventType type, const json& event, Time simulated_now, const json* endpoint_bank, json& actions);
 
 private:
     void on_request(const json& event, Time now, json& actions);
@@ -30,7 +30,7 @@
     void on_attempt_ended(const json& event, Time now, json& actions);
     void on_client_disconnected(const json& event, Time now, json& actions);
     void on_timer(const json& event, Time now, json& actions);
-    void on_endpoints(const json& event, Time now, const json* bank, json& actions);
+    void on_endpoints(const json& event, Time now, const json* endpoint_bank, json& actions);
     void on_health_check(const json& event, Time now, json& actions);
     void on_preload_ended(const json& event, Time now, json& actions);
 
@@ -39,7 +39,7 @@
     Attempt* find_attempt_in_flight(const json& event);
     Invoker* find_invoker(const json& event);
     void erase_if_settled(std::uint64_t request_id);
-    void apply(const Actions& results, Time now, json& actions);
+    void apply(const Actions& decisions, Time now, json& actions);
 
     const std::string name_;
     const Time started_at_;
@@ -53,7 +53,7 @@
     std::unordered_map<std::string, std::unique_ptr<Invoker>> invokers_;
     std::unique_ptr<HostedScheduler> scheduler_;
     Time timer_due_at_ = Time::max();
-    std::uint64_t timers_set_{};  // the number of the last timer; earlier ones are ignored
+    std::uint64_t last_timer_number_{};  ///< when an earlier timer fires, it is ignored
 };
 
 }  // namespace plumkeel::simulator_adapter
--- a/src/simulator_adapter/hosted_scheduler.hpp
+++ b/src/simulator_adapter/hosted_scheduler.hpp
@@ -1,5 +1,5 @@
-/// The scheduler that the adapter hosts: plain, or recording its calls if built with PLUMKEEL_TRACED. Both define
-/// `HostedScheduler` and `make_scheduler()`.
+/// Selects the scheduler that the adapter hosts: one that records its calls if PLUMKEEL_TRACED is defined, else a plain
+/// one. Both headers define `HostedScheduler` and `make_scheduler()`.
 #pragma once
 
 #ifdef PLUMKEEL_TRACED
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,5 @@
-/// The adapter to the simulator: reads one line of JSON, prints one. See `wire.hpp` for the codec.
+/// Connects the scheduler to the simulator: for each line of JSON on standard input, prints one line of JSON. The
+/// format is defined in `wire.hpp`.
 #include <iostream>
 #include <string>
 
@@ -16,7 +17,7 @@
         try {
             std::cout << adapter.handle(json::parse(line)).dump() << '\n' << std::flush;
         } catch (const json::parse_error&) {
-            std::cerr << "plumkeel_simulator_adapter: line " << line_number << ": not JSON\n";
+            std::cerr << "plumkeel_simulator_adapter: line " << line_number << ": not valid JSON\n";
             return 1;
         } catch (const std::exception& error) {
             std::cerr << "plumkeel_simulator_adapter: line " << line_number << ": " << error.what() << '\n';
--- a/src/simulator_adapter/plain_scheduler.hpp
+++ b/src/simulator_adapter/plain_scheduler.hpp
@@ -1,4 +1,4 @@
-/// The scheduler as the adapter hosts it for the simulator.
+/// The scheduler that the adapter hosts, without recording of its calls.
 #pragma once
 
 #include <memory>
--- a/src/simulator_adapter/recording_scheduler.hpp
+++ b/src/simulator_adapter/recording_scheduler.hpp
@@ -1,5 +1,5 @@
-/// The scheduler with its calls recorded: each controller writes a trace file of its own to the folder that
-/// PLUMKEEL_TRACES names. It writes synchronously and drops nothing, since the simulator waits.
+/// The scheduler with its calls recorded. Each controller writes a trace file to the folder named by the environment
+/// variable PLUMKEEL_TRACES. Records are written synchronously, so none is dropped.
 #pragma once
 
 #include <cstdlib>
@@ -24,14 +24,14 @@
     ~TraceFile() { writer.finish(); }
 };
 
-/// FOLDER/CONTROLLER-STARTED_MS-N.trace with the first N that is not taken.
+/// Returns FOLDER/CONTROLLER-STARTED_MS-N.trace with the lowest N for which no file exists.
 inline std::string unused_trace_name(const std::string& folder, std::string controller, Time started_at) {
-    for (char& c : controller)
-        if (c == '/') c = '-';
+    for (char& character : controller)
+        if (character == '/') character = '-';
     std::string name;
-    for (int n = 0; name.empty() || std::filesystem::exists(name); ++n)
-        name = folder + "/" + controller + "-" + std::to_string(started_at.count() / 1000) + "-" + std::to_string(n) +
-               ".trace";
+    for (int suffix = 0; name.empty() || std::filesystem::exists(name); ++suffix)
+        name = folder + "/" + controller + "-" + std::to_string(started_at.count() / 1000) + "-" +
+               std::to_string(suffix) + ".trace";
     return name;
 }
 
--- a/src/simulator_adapter/scheduler_setup.hpp
+++ b/src/simulator_adapter/scheduler_setup.hpp
@@ -1,4 +1,4 @@
-/// What a scheduler hosted by the adapter is constructed from.
+/// Arguments for the construction of a hosted scheduler.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace plumkeel::simulator_adapter {
 
-/// The maps must outlive the scheduler.
+/// The referenced maps must outlive the scheduler.
 struct SchedulerSetup {
     const std::string& controller;
-    Time started_at;  ///< Simulated time.
+    Time started_at;  ///< simulated time
     std::uint64_t seed;
     const SafetyRules& safety_rules;
     const Capabilities& capabilities;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -13,8 +13,8 @@
 using platform_settings::require;
 using platform_settings::SettingsError;
 
-// A remark packs what the invoker did about the function's copy with how many requests ran beside the attempt.
-constexpr std::int64_t load_event_count = 8;
+// The value of the field 'remark' is the number of concurrent requests times this modulus, plus a load event.
+constexpr std::int64_t load_event_modulus = 8;
 
 const char* const completed = "completed";
 
@@ -30,12 +30,12 @@
         {"severed", AttemptOutcome::connection_lost},  {"recalled", AttemptOutcome::cancelled},
     };
     const auto it = outcomes.find(state);
-    // The wire's word for a failure, or one not known here: the attempt may have run.
+    // All other states count as a failure, after which the attempt may have run.
     return it == outcomes.end() ? AttemptOutcome::failed : it->second;
 }
 
 LoadEvent decode_load_event(std::int64_t remark) {
-    switch (remark % load_event_count) {
+    switch (remark % load_event_modulus) {
         case 1:
             return LoadEvent::was_loaded;
         case 2:
@@ -110,34 +110,34 @@
 }
 
 RequestReceived decode_request(const json& event) {
-    RequestReceived out;
-    out.request_class = require<std::string>(event, "cls");
-    out.function = get_or<std::string>(event, "function");
-    out.function_concurrency = get_or<int>(event, "per_copy", 1);
-    if (has(event, "warm_ms")) out.declared_load_time = duration_or(event, "warm_ms");
-    out.id = decode_request_id(event);
-    out.remaining = from_ms(require<double>(event, "time_left"));
-    out.is_client_retry = get_or<bool>(event, "is_retry");
+    RequestReceived result;
+    result.request_class = require<std::string>(event, "cls");
+    result.function = get_or<std::string>(event, "function");
+    result.function_concurrency = get_or<int>(event, "per_copy", 1);
+    if (has(event, "warm_ms")) result.declared_load_time = duration_or(event, "warm_ms");
+    result.id = decode_request_id(event);
+    result.remaining = from_ms(require<double>(event, "time_left"));
+    result.is_client_retry = get_or<bool>(event, "is_retry");
     if (const auto tenant = event.find("user_group"); tenant != event.end() && tenant->is_string())
-        out.tenant = tenant->get<std::string>();
-    return out;
+        result.tenant = tenant->get<std::string>();
+    return result;
 }
 
 AttemptEnded decode_attempt_ended(const json& event, bool reports_concurrency) {
     const auto remark = get_or<std::int64_t>(event, "remark");
     return {decode_outcome(require<std::string>(event, "state_code")), decode_load_event(remark),
-            reports_concurrency ? static_cast<int>(remark / load_event_count) : 0};
+            reports_concurrency ? static_cast<int>(remark / load_event_modulus) : 0};
 }
 
 LoadReport decode_load_report(const json& event, const std::vector<std::string>& fields) {
-    LoadReport out;
-    const auto figures = event.find("gauge");
-    if (figures == event.end() || !figures->is_array()) return out;
-    for (std::size_t i = 0; i < figures->size() && i < fields.size(); ++i) {
-        const json& figure = (*figures)[i];
-        if (figure.is_number()) platform_settings::set_report_field(out, fields[i], figure.get<double>());
+    LoadReport result;
+    const auto values = event.find("gauge");
+    if (values == event.end() || !values->is_array()) return result;
+    for (std::size_t i = 0; i < values->size() && i < fields.size(); ++i) {
+        const json& value = (*values)[i];
+        if (value.is_number()) platform_settings::set_report_field(result, fields[i], value.get<double>());
     }
-    return out;
+    return result;
 }
 
 std::string decode_timer(const json& event) {
@@ -164,15 +164,15 @@
 }
 
 Endpoint decode_endpoint(const json& entry) {
-    Endpoint out;
-    out.name = require<std::string>(entry, "invoker");
-    out.ready = get_or<std::string>(entry, "readiness") == "Ready";
-    out.capacity = get_or<double>(entry, "units", 1.0);
-    out.zone = get_or<std::string>(entry, "locality");
-    out.type = get_or<std::string>(entry, "shape");
-    out.cell = get_or<int>(entry, "unit_group");
-    if (const Time started_at = duration_or(entry, "start_time"); started_at != Time{}) out.started_at = started_at;
-    return out;
+    Endpoint result;
+    result.name = require<std::string>(entry, "invoker");
+    result.ready = get_or<std::string>(entry, "readiness") == "Ready";
+    result.capacity = get_or<double>(entry, "units", 1.0);
+    result.zone = get_or<std::string>(entry, "locality");
+    result.type = get_or<std::string>(entry, "shape");
+    result.cell = get_or<int>(entry, "unit_group");
+    if (const Time started_at = duration_or(entry, "start_time"); started_at != Time{}) result.started_at = started_at;
+    return result;
 }
 
 json& ActionList::add(const char* action) {
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,5 +1,6 @@
-/// Codec of the simulator's wire: JSON events in, JSON actions out. All names of the wire stand in `wire.cpp`, beside
-/// the terms that the code uses. Decoding errors are `platform_settings::SettingsError`s that name the field.
+/// Codec of the simulator's protocol: decodes JSON events and encodes JSON actions. The names on the wire appear only
+/// in `wire.cpp`, which maps them to the terms of the code. Decoding errors are `platform_settings::SettingsError`s
+/// that name the field.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 using platform_settings::json;
 
 enum class EventType {
-    endpoint_bank,  ///< A numbered list of endpoints that later updates refer to.
+    endpoint_bank,  ///< a numbered list of endpoints, which later updates refer to
     controller_started,
     controller_crashed,
     request_received,
@@ -29,10 +30,10 @@
     unknown,
 };
 
-/// One line of input: events at one moment of simulated time.
+/// One line of input: events with the same simulated time.
 struct Batch {
     Time now{};
-    const json* events{};  ///< An array.
+    const json* events{};  ///< a JSON array
 };
 Batch decode_batch(const json& batch);
 
@@ -71,14 +72,14 @@
 struct AttemptEnded {
     AttemptOutcome outcome{};
     LoadEvent load_event{};
-    int concurrent_requests{};  ///< 0 where invokers do not report it.
+    int concurrent_requests{};  ///< other requests of the function that ran meanwhile; 0 if not reported
 };
 AttemptEnded decode_attempt_ended(const json& event, bool reports_concurrency);
 
-/// The figures of a load report; `fields` names them in order.
+/// Decodes a load report. `fields` names its numbers in order.
 LoadReport decode_load_report(const json& event, const std::vector<std::string>& fields);
 
-/// The number of the timer that fired, as `ActionList::set_timer` was given it.
+/// The number of the timer that fired, as passed to `ActionList::set_timer`.
 std::string decode_timer(const json& event);
 
 std::string decode_invoker_name(const json& event);
@@ -99,11 +100,11 @@
     bool ready{};
     double capacity{};
     int cell{};
-    std::optional<Time> started_at;  ///< Simulated time.
+    std::optional<Time> started_at;  ///< simulated time
 };
 Endpoint decode_endpoint(const json& entry);
 
-/// Appends the actions of one controller to a JSON array.
+/// Encodes the actions of one controller and appends them to a JSON array.
 class ActionList {
 public:
     ActionList(const std::string& controller, json& actions) : controller_(controller), actions_(actions) {}
