--- a/src/scheduler/cached_copies.hpp
+++ b/src/scheduler/cached_copies.hpp
@@ -25,7 +25,7 @@
 
     /// Sets the entry's expiry and schedules the function's review for it. All changes of an expiry go through here.
     void set_expiry(Function& function, CachedFunction& copy, Time expires_at);
-    /// Sets the expiry as after a use now: warm for the keep-alive time.
+    /// Sets the expiry to one keep-alive time from now, as after each use of a copy.
     void extend_expiry(Function& function, CachedFunction& copy);
     /// Records that the invoker no longer holds any copy of the function.
     void mark_unloaded(Function& function, CachedFunction& copy);
--- a/src/scheduler/cached_function_table.hpp
+++ b/src/scheduler/cached_function_table.hpp
@@ -16,7 +16,7 @@
 struct CachedFunction {
     Invoker* invoker{};
     std::chrono::microseconds expires_at{};  ///< the copies count as warm until then
-    int in_flight{};                         ///< attempts of this controller for the function there
+    int in_flight{};                         ///< attempts of this controller for the function at the invoker
     int copies{};                            ///< estimated number of copies at the invoker
     /// The highest `in_flight` within the last keep-alive time.
     int peak_in_flight{};
--- a/src/scheduler/deployment.hpp
+++ b/src/scheduler/deployment.hpp
@@ -7,7 +7,7 @@
 
 /// Whether a request may run more than once.
 enum class Idempotency {
-    idempotent,  ///< it may run any number of times
+    idempotent,  ///< the request may run any number of times
     /// Repeats under the same idempotency key take effect once, within a deduplication scope and a time window.
     deduplicated,
     /// The request must not be sent again once an attempt may have run.
--- a/src/scheduler/fleet_table.hpp
+++ b/src/scheduler/fleet_table.hpp
@@ -15,10 +15,10 @@
 
 /// What one invoker contributes to the totals and lists of the fleet.
 struct FleetContribution {
-    bool ready{};  ///< listed and ready for new attempts
-    /// Its health state lets it accept requests, and its error rate is low.
+    bool ready{};  ///< the invoker is listed and ready for new attempts
+    /// The invoker's health state lets it accept requests, and its error rate is low.
     bool healthy{};
-    bool warm{};             ///< healthy and not in slow start
+    bool warm{};             ///< the invoker is healthy and not in slow start
     bool needs_sweep{};      ///< sweeps have to visit the invoker
     std::size_t attempts{};  ///< attempts of this controller in flight at the invoker
     /// Capacity in millionths. An integer, so that totals do not depend on the order of additions.
@@ -48,10 +48,10 @@
     void remove(Invoker& invoker);
     std::size_t size() const { return invokers_.size(); }
     /// Visits every invoker, in no particular order.
-    template <class Visitor>
-    void for_each(Visitor visit) {
+    template <class Callback>
+    void for_each(Callback callback) {
         visited_ += invokers_.size();
-        for (Invoker* invoker : invokers_) visit(*invoker);
+        for (Invoker* invoker : invokers_) callback(*invoker);
     }
 
     /// Replaces the invoker's contribution and the time when it was last sent an attempt.
@@ -60,13 +60,13 @@
 
     /// Invokers that a sweep has to visit, in the order in which they were added.
     std::vector<Invoker*> to_sweep();
-    /// Visits ready invokers, most recently used first, until `visit` returns false. Invokers last used at the same
+    /// Visits ready invokers, most recently used first, until `callback` returns false. Invokers last used at the same
     /// time are visited in the order in which they were added.
-    template <class Visitor>
-    void for_each_recently_used(Visitor visit) {
+    template <class Callback>
+    void for_each_recently_used(Callback callback) {
         for (const auto& [key, invoker] : by_last_use_) {
             ++visited_;
-            if (!visit(*invoker)) return;
+            if (!callback(*invoker)) return;
         }
     }
 
--- a/src/scheduler/function.hpp
+++ b/src/scheduler/function.hpp
@@ -15,7 +15,7 @@
 
 /// The parked requests of one function, which share one retry backoff. Owned by Parking.
 struct ParkingQueue {
-    std::vector<Request*> requests;  ///< in the order in which they were parked
+    std::vector<Request*> requests;  ///< parked requests, oldest first
     bool is_backoff_running{};       ///< a retry is scheduled by `timer`
     Time backoff_started_at{};
     Time backoff{};
@@ -25,9 +25,9 @@
 
 /// The load of a function that is in progress; a controller has at most one per function. Owned by LoadTracker.
 struct LoadInProgress {
-    Invoker* invoker{};  ///< null if no load is in progress
+    Invoker* invoker{};  ///< where the function is loaded; null if no load is in progress
     Time started_at{};
-    bool is_preload{};  ///< started by a PreloadCommand instead of an attempt
+    bool is_preload{};  ///< whether a PreloadCommand started the load, not an attempt
 };
 
 struct Function {
@@ -44,7 +44,7 @@
 
     // Owned by LoadEstimator.
     double run_time_s{};   ///< run time of a request on an idle invoker of mean speed
-    double load_time_s{};  ///< 0 until a load was observed
+    double load_time_s{};  ///< learned load time; 0 until a load was observed
 
     // Owned by ArrivalStatistics.
     double recent_arrivals{};  ///< exponentially decaying number of requests
--- a/src/scheduler/invoker.hpp
+++ b/src/scheduler/invoker.hpp
@@ -20,10 +20,10 @@
 
 enum class HealthState {
     healthy,
-    /// It failed once: it is probed, and no new attempts are sent.
+    /// The invoker failed once: it is probed, and no new attempts are sent.
     suspect,
-    ejected,  ///< it failed repeatedly, or its process is known to be gone
-    /// It responds again: it is sent a limited number of attempts at once, which grows with each response.
+    ejected,  ///< the invoker failed repeatedly, or its process is known to be gone
+    /// The invoker responds again: it is sent a limited number of attempts at once, which grows with each response.
     recovering,
 };
 
@@ -38,7 +38,7 @@
     int recovery_limit{};
     /// Decaying share of responses that were errors, counted only for requests that succeeded on another invoker.
     double error_rate{};
-    /// The process is gone, so the next response comes from a restarted one.
+    /// The invoker's process is gone, so its next response comes from a restarted process.
     bool is_down{};
     bool probe_pending{};
     Time probed_at{}, last_response_at{}, ejected_at{};
--- a/src/scheduler/load_estimator.hpp
+++ b/src/scheduler/load_estimator.hpp
@@ -55,8 +55,8 @@
     void learn_slowdown(const Attempt& attempt, double duration_s);
 
     SchedulerContext& context_;
-    double default_run_time_s_{};       ///< mean over all functions
-    double default_load_time_s_ = 1.0;  ///< mean over all functions
+    double default_run_time_s_{};       ///< mean run time over all functions
+    double default_load_time_s_ = 1.0;  ///< mean load time over all functions
     double others_per_capacity_{};      ///< estimated requests of other controllers per unit of capacity
     double own_per_capacity_{};         ///< mean attempts of this controller per unit of capacity
     /// Means of own and others' requests per unit of capacity, each updated when a load report arrives.
--- a/src/scheduler/parking.cpp
+++ b/src/scheduler/parking.cpp
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 
 // These values are specified in docs/design.md, steps 3 to 5.
-constexpr std::size_t max_parked_requests = 1024;  // sum over all functions
-constexpr Time parking_budget = 5s;                // measured from the start of a function's backoff
+constexpr std::size_t max_parked_requests = 1024;  // number of requests over all functions
+constexpr Time parking_budget = 5s;                // time from the start of a function's backoff
 constexpr Time initial_backoff = 100ms;
 constexpr double backoff_growth = 1.1, backoff_jitter = 0.1;
 
--- a/src/scheduler/placement.hpp
+++ b/src/scheduler/placement.hpp
@@ -33,7 +33,7 @@
     PlacementChoice choose(Request& request);
 
 private:
-    /// The state of one search.
+    /// The state of one search for candidates.
     struct Search {
         Request& request;
         Function& function;
@@ -43,8 +43,8 @@
         double tie_margin_s{};          ///< estimates that differ by less than this are equally good
         bool is_examination_limited{};  ///< the fleet is too large to examine all invokers
         std::size_t examinations_left{};
-        std::size_t homes_scored{};    ///< home invokers that may be sent attempts
-        std::size_t homes_accepted{};  ///< home invokers that may be sent this request
+        std::size_t homes_scored{};    ///< home invokers examined so far that may be sent attempts
+        std::size_t homes_accepted{};  ///< home invokers examined so far that may be sent this request
         /// No home invoker from this position in the order of homes on has been examined.
         std::size_t next_position{};
         std::vector<Invoker*> eligible_homes{};  ///< examined home invokers that may be sent attempts
--- a/src/scheduler/placement_index.cpp
+++ b/src/scheduler/placement_index.cpp
@@ -62,8 +62,8 @@
 
 // Gives the radix sort the bits of a rank. Ranks are never negative.
 struct RankBits {
-    std::int64_t operator()(const PlacementIndex::RankedInvoker& ranked, unsigned offset) const {
-        return boost::sort::spreadsort::float_mem_cast<double, std::int64_t>(ranked.rank) >> offset;
+    std::int64_t operator()(const PlacementIndex::RankedInvoker& home, unsigned offset) const {
+        return boost::sort::spreadsort::float_mem_cast<double, std::int64_t>(home.rank) >> offset;
     }
 };
 
@@ -137,7 +137,7 @@
         if (change.is_listed)
             insert(homes.ranked, {*rank, change.invoker});
         else
-            std::erase_if(homes.ranked, [&](const RankedInvoker& ranked) { return ranked.invoker == change.invoker; });
+            std::erase_if(homes.ranked, [&](const RankedInvoker& home) { return home.invoker == change.invoker; });
     }
     ranks_computed_ += missed_changes;
     homes.version = version_;
--- a/src/scheduler/placement_index.hpp
+++ b/src/scheduler/placement_index.hpp
@@ -52,7 +52,7 @@
     struct Change {
         Invoker* invoker{};
         Entry entry;
-        bool is_listed{};  ///< whether `entry` was added; else it was removed
+        bool is_listed{};  ///< whether the change added `entry`; else it removed `entry`
     };
     void append_change(const Change& change);
     bool apply_missed_changes(std::uint64_t key, Homes& homes);
@@ -66,7 +66,7 @@
     boost::unordered_flat_map<const Invoker*, std::uint32_t> positions_;
     double total_weight_{};  ///< sum of the weights of all entries
     std::deque<Change> changes_;
-    std::uint64_t version_ = 1;  ///< increases by 1 with each change
+    std::uint64_t version_ = 1;  ///< increases by 1 with each change of the index
     std::uint64_t ranks_computed_{};
 };
 
--- a/src/scheduler/probing.cpp
+++ b/src/scheduler/probing.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time probe_interval = 600ms;  // between two probes of one invoker
+constexpr Time probe_interval = 600ms;  // minimum time between two probes of one invoker
 /// An invoker without a response for this time may be unresponsive.
 constexpr Time min_silence_timeout = 400ms;
 /// A sweep may run this much earlier or later than planned.
--- a/src/scheduler/request.hpp
+++ b/src/scheduler/request.hpp
@@ -40,7 +40,7 @@
 struct Attempt {
     Request* request{};
     Invoker* invoker{};
-    int number{};  ///< the first attempt of a request has number 0
+    int number{};  ///< the attempts of a request are numbered from 0
     Time sent_at{};
     Time timeout{};
     bool in_flight{};
@@ -65,7 +65,7 @@
 /// Why a request changed its state.
 enum class DecisionReason {
     none,
-    best_invoker,  ///< sent to the candidate with the earliest estimated response
+    best_invoker,  ///< the request is sent to the candidate with the earliest estimated response
     /// All candidates are overloaded, so a further copy is loaded at another invoker.
     new_replica,
     /// The invoker of the previous attempt does not respond, so the request is sent to another one.
@@ -97,7 +97,7 @@
     const RequestClass* request_class{};
     Tenant* tenant{};
     Function* function{};
-    Time remaining{};        ///< from the arrival until the client gives up
+    Time remaining{};        ///< time from the arrival until the client gives up
     bool is_client_retry{};  ///< the client marked the request as a repeated one
 
     RequestState state{};
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -99,7 +99,7 @@
     LoadShedding shedding_;
     RequestLifecycle lifecycle_;
     Parking parking_;
-    Time next_sweep_{};  ///< 0 until the first call ends
+    Time next_sweep_{};  ///< when the next sweep is due; 0 until the first call ends
 };
 
 }  // namespace plumkeel
--- a/src/scheduler/time.hpp
+++ b/src/scheduler/time.hpp
@@ -8,7 +8,7 @@
 
 namespace plumkeel {
 
-/// A duration, or a moment as the duration since the host's start.
+/// A duration, or a point in time as the duration since the host started.
 using Time = std::chrono::microseconds;
 
 /// Orders timers by due time, then by a number that is unique to each timer. The number 0 means that no timer is set.
