--- a/tests/arrival_statistics_test.cpp
+++ b/tests/arrival_statistics_test.cpp
@@ -1,4 +1,4 @@
-/// Which requests count as over their tenant's quota, for a scheduler that sees several times the mean of the traffic.
+/// Detection of tenants over their quota, by a scheduler that receives several times the mean traffic.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(ArrivalStatistics, BusyControllerDoesNotMistakeItsTrafficForTenantsOverQuota) {
+TEST(ArrivalStatistics, ControllerWithMuchTrafficDetectsOnlyTenantsOverQuota) {
     Capabilities capabilities;
     capabilities.max_attempts = 5;
     capabilities.controller_count = 100;
@@ -20,7 +20,7 @@
     request_class.latency_target = 1500ms;
     Function function;
     function.name = "f";
-    Tenant a{20, 0, {}}, b{20, 0, {}};
+    Tenant busy_tenant{20, 0, {}}, quiet_tenant{20, 0, {}};
     std::vector<std::unique_ptr<Request>> requests;
     Time now{};
     const auto submit = [&](Tenant& tenant) {
@@ -33,13 +33,14 @@
         scheduler.submit(now += 100ms, request);
         return request.over_quota;
     };
-    for (int i = 0; i < 20; ++i) submit(i % 2 ? a : b);
-    // 10 requests a second here would be 1,000 of all controllers, for quotas of 40: but both tenants have their part.
-    for (int i = 0; i < 40; ++i) EXPECT_FALSE(submit(i % 2 ? a : b)) << i;
-    // One sends nine times as many as the other: it is over its quota, the other is not.
-    for (int i = 0; i < 100; ++i) submit(i % 10 ? a : b);
-    EXPECT_TRUE(submit(a));
-    EXPECT_FALSE(submit(b));
+    for (int i = 0; i < 20; ++i) submit(i % 2 ? busy_tenant : quiet_tenant);
+    // 10 requests per second here would be 1,000 at all 100 controllers together, for quotas of 40. But each tenant
+    // sends only its share of the requests.
+    for (int i = 0; i < 40; ++i) EXPECT_FALSE(submit(i % 2 ? busy_tenant : quiet_tenant)) << i;
+    // The busy tenant sends nine times as many requests as the quiet one, and only it is over its quota.
+    for (int i = 0; i < 100; ++i) submit(i % 10 ? busy_tenant : quiet_tenant);
+    EXPECT_TRUE(submit(busy_tenant));
+    EXPECT_FALSE(submit(quiet_tenant));
 }
 
 }  // namespace
--- a/tests/placement_index_test.cpp
+++ b/tests/placement_index_test.cpp
@@ -1,4 +1,4 @@
-/// The index against the order that it stands for: every invoker ranked for the key, sorted.
+/// Compares the index with a sort of all invokers by their rank for the key.
 #include "scheduler/placement_index.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
     }
     std::vector<const Invoker*> found(std::uint64_t key, PlacementIndex::Homes& homes, std::size_t count) {
         std::vector<const Invoker*> result;
-        for (const auto& place : index_.find(key, homes, count)) result.push_back(place.invoker);
+        for (const auto& ranked : index_.find(key, homes, count)) result.push_back(ranked.invoker);
         EXPECT_GE(result.size(), std::min(count, listed_.size()));
         result.resize(std::min(count, result.size()));
         return result;
@@ -75,7 +75,7 @@
     }
 }
 
-// Homes kept by their owners while the list changes, each used now and then, some seldom.
+// The invokers change while several owners keep their homes, and some owners update theirs rarely.
 TEST_F(PlacementIndexTest, UpdatedHomesEqualANewSearch) {
     Pcg random(5);
     for (int i = 0; i < 300; ++i) add(4);
@@ -88,12 +88,12 @@
     for (std::uint64_t i = 0; i < 40; ++i)
         owners.push_back({mix(i + 1), i % 4 ? std::size_t{3} : std::size_t{120}, {}});
     for (int step = 0; step < 4000; ++step) {
-        Invoker& any = *invokers_[static_cast<std::size_t>(random.next() * static_cast<double>(invokers_.size()))];
-        const double what = random.next();
-        if (what < 0.3)
-            remove(any);
-        else if (what < 0.9)
-            put(any, 1 + static_cast<int>(random.next() * 4));
+        Invoker& invoker = *invokers_[static_cast<std::size_t>(random.next() * static_cast<double>(invokers_.size()))];
+        const double action = random.next();
+        if (action < 0.3)
+            remove(invoker);
+        else if (action < 0.9)
+            put(invoker, 1 + static_cast<int>(random.next() * 4));
         else
             add(4);
         Owner& owner =
@@ -107,12 +107,13 @@
     for (int i = 0; i < 10'000; ++i) add();
     PlacementIndex::Homes homes;
     index_.find(mix(9), homes, 3);
-    const auto before = index_.ranks_computed();
+    const auto ranks_before = index_.ranks_computed();
     for (int i = 0; i < 100; ++i) {
         remove(*invokers_[static_cast<std::size_t>(i)]);
         index_.find(mix(9), homes, 3);
     }
-    EXPECT_LE(index_.ranks_computed() - before, 100u + 10'000u) << "one rank a change, and at most one new search";
+    EXPECT_LE(index_.ranks_computed() - ranks_before, 100u + 10'000u)
+        << "one rank per change, and at most one new search";
 }
 
 TEST_F(PlacementIndexTest, HomesStayShortInALargeFleet) {
@@ -124,7 +125,7 @@
         index_.find(mix(key), homes, 5000);
         EXPECT_GE(homes.ranked.size(), 5000u);
         index_.find(mix(key), homes, 3);
-        EXPECT_LE(homes.ranked.size(), 64u) << "what is not needed any more is released";
+        EXPECT_LE(homes.ranked.size(), 64u) << "invokers that are no longer needed are released";
     }
 }
 
@@ -133,23 +134,23 @@
     for (int i = 0; i < 100; ++i) add(2);
     PlacementIndex::Homes homes;
     index_.find(mix(3), homes, 3);
-    const auto before = index_.ranks_computed();
+    const auto ranks_before = index_.ranks_computed();
     for (int i = 0; i < 1000; ++i) put(invoker, 2);
     index_.find(mix(3), homes, 3);
-    EXPECT_EQ(index_.ranks_computed(), before);
+    EXPECT_EQ(index_.ranks_computed(), ranks_before);
 }
 
-// What controllers agree on without talking must not depend on the order in which they learned of the fleet.
+// All controllers must compute the same order, whatever the order in which they learned of the invokers.
 TEST_F(PlacementIndexTest, InsertionOrderDoesNotMatter) {
     for (int i = 0; i < 200; ++i) add(1 + i % 3);
-    PlacementIndex other;
-    for (auto it = invokers_.rbegin(); it != invokers_.rend(); ++it)
-        other.put(**it, hash_of((*it)->name), listed_[it->get()]);
+    PlacementIndex other_index;
+    for (auto reversed = invokers_.rbegin(); reversed != invokers_.rend(); ++reversed)
+        other_index.put(**reversed, hash_of((*reversed)->name), listed_[reversed->get()]);
     for (std::uint64_t key = 1; key < 50; ++key) {
-        PlacementIndex::Homes here, there;
-        const auto& a = index_.find(mix(key), here, 20);
-        const auto& b = other.find(mix(key), there, 20);
-        for (std::size_t i = 0; i < 20; ++i) EXPECT_EQ(a[i].invoker, b[i].invoker);
+        PlacementIndex::Homes homes, other_homes;
+        const auto& ranked = index_.find(mix(key), homes, 20);
+        const auto& other_ranked = other_index.find(mix(key), other_homes, 20);
+        for (std::size_t i = 0; i < 20; ++i) EXPECT_EQ(ranked[i].invoker, other_ranked[i].invoker);
     }
 }
 
--- a/tests/scheduler_tables_test.cpp
+++ b/tests/scheduler_tables_test.cpp
@@ -1,4 +1,4 @@
-/// The scheduler's plain tables, each against the simplest thing that would do the same.
+/// Compares each table of the scheduler with a simple implementation of the same behaviour.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(CachedFunctionTable, FindsLikeALinearScanAndKeepsTheOrder) {
+TEST(CachedFunctionTable, FindsTheSameEntriesAsALinearScanInTheSameOrder) {
     std::vector<Invoker> invokers(200);
     CachedFunctionTable table;
     std::vector<const Invoker*> expected;
@@ -21,19 +21,19 @@
         Invoker& invoker = invokers[static_cast<std::size_t>(random.next() * 200)];
         if (random.next() < 0.05) {
             table.erase_if([&](const CachedFunction& cached) { return cached.invoker < &invoker; });
-            std::erase_if(expected, [&](const Invoker* it) { return it < &invoker; });
+            std::erase_if(expected, [&](const Invoker* listed) { return listed < &invoker; });
         } else if (!table.find(invoker)) {
             table.add(invoker).in_flight = step;
             expected.push_back(&invoker);
         }
         ASSERT_EQ(table.size(), expected.size());
         for (std::size_t i = 0; i < expected.size(); ++i) ASSERT_EQ(table[i].invoker, expected[i]);
-        for (const Invoker& each : invokers) {
-            const bool known = std::find(expected.begin(), expected.end(), &each) != expected.end();
-            const CachedFunction* const found = table.find(each);
-            ASSERT_EQ(found != nullptr, known);
+        for (const Invoker& invoker_to_find : invokers) {
+            const bool is_expected = std::find(expected.begin(), expected.end(), &invoker_to_find) != expected.end();
+            const CachedFunction* const found = table.find(invoker_to_find);
+            ASSERT_EQ(found != nullptr, is_expected);
             if (found) {
-                ASSERT_EQ(found->invoker, &each);
+                ASSERT_EQ(found->invoker, &invoker_to_find);
             }
         }
     }
@@ -50,18 +50,18 @@
     FunctionTable table_;
 };
 
-TEST_F(FunctionTableTest, EvictionCandidateIsCalledOnceWhereTheseAreMany) {
+TEST_F(FunctionTableTest, FunctionsCalledOnceAreEvictedFirstAboveTheLimit) {
     Function &a = add(), &b = add(), &c = add();
     table_.record_repeated_call(a);
     table_.record_repeated_call(b);
     table_.record_repeated_call(a);
-    EXPECT_EQ(table_.eviction_candidate(0), &c) << "one called once is over none";
-    EXPECT_EQ(table_.eviction_candidate(1), &b) << "else the least recent of the others";
+    EXPECT_EQ(table_.eviction_candidate(0), &c) << "more than 0 functions were called once";
+    EXPECT_EQ(table_.eviction_candidate(1), &b) << "otherwise the least recently used of those called repeatedly";
     table_.touch(b);
     EXPECT_EQ(table_.eviction_candidate(1), &a);
     table_.remove(a);
     table_.remove(b);
-    EXPECT_EQ(table_.eviction_candidate(1), &c) << "there are no others";
+    EXPECT_EQ(table_.eviction_candidate(1), &c) << "no function called repeatedly is left";
     table_.remove(c);
     EXPECT_EQ(table_.eviction_candidate(1), nullptr);
     EXPECT_EQ(table_.size(), 0u);
@@ -83,10 +83,10 @@
 
 TEST_F(FunctionTableTest, RemovedFunctionIsInNoSet) {
     Function &a = add(), &b = add();
-    for (Function* each : {&b, &a}) {
-        table_.with_parked_requests.set(*each, true);
-        table_.loading.set(*each, true);
-        table_.replicated.set(*each, true);
+    for (Function* function : {&b, &a}) {
+        table_.with_parked_requests.set(*function, true);
+        table_.loading.set(*function, true);
+        table_.replicated.set(*function, true);
     }
     EXPECT_EQ(table_.with_parked_requests.members(), (std::vector<Function*>{&a, &b}));
     EXPECT_EQ(table_.with_parked_requests.members(1), (std::vector<Function*>{&a}));
@@ -108,31 +108,31 @@
     Pcg random(8);
     std::vector<FleetContribution> contributions(invokers_.size());
     for (int step = 0; step < 5000; ++step) {
-        const auto at = static_cast<std::size_t>(random.next() * 60);
-        FleetContribution& contribution = contributions[at];
+        const auto index = static_cast<std::size_t>(random.next() * 60);
+        FleetContribution& contribution = contributions[index];
         contribution.ready = random.next() < 0.7;
         contribution.healthy = random.next() < 0.8;
         contribution.warm = random.next() < 0.8;
         contribution.needs_sweep = random.next() < 0.3;
         contribution.attempts = static_cast<std::size_t>(random.next() * 5);
         contribution.micro_capacity = static_cast<std::int64_t>(random.next() * 8e6);
-        table_.set_contribution(invokers_[at], contribution, Time(step % 50));
-        FleetTotals sum;
+        table_.set_contribution(invokers_[index], contribution, Time(step % 50));
+        FleetTotals expected_totals;
         std::vector<Invoker*> to_sweep;
         for (std::size_t i = 0; i < contributions.size(); ++i) {
             if (contributions[i].needs_sweep) to_sweep.push_back(&invokers_[i]);
             if (!contributions[i].ready) continue;
-            ++sum.ready;
-            sum.healthy += contributions[i].healthy;
-            sum.attempts += contributions[i].attempts;
-            sum.ready_micro_capacity += contributions[i].micro_capacity;
-            sum.warm_micro_capacity += contributions[i].warm ? contributions[i].micro_capacity : 0;
+            ++expected_totals.ready;
+            expected_totals.healthy += contributions[i].healthy;
+            expected_totals.attempts += contributions[i].attempts;
+            expected_totals.ready_micro_capacity += contributions[i].micro_capacity;
+            expected_totals.warm_micro_capacity += contributions[i].warm ? contributions[i].micro_capacity : 0;
         }
-        ASSERT_EQ(table_.totals().ready, sum.ready);
-        ASSERT_EQ(table_.totals().healthy, sum.healthy);
-        ASSERT_EQ(table_.totals().attempts, sum.attempts);
-        ASSERT_EQ(table_.totals().ready_micro_capacity, sum.ready_micro_capacity);
-        ASSERT_EQ(table_.totals().warm_micro_capacity, sum.warm_micro_capacity);
+        ASSERT_EQ(table_.totals().ready, expected_totals.ready);
+        ASSERT_EQ(table_.totals().healthy, expected_totals.healthy);
+        ASSERT_EQ(table_.totals().attempts, expected_totals.attempts);
+        ASSERT_EQ(table_.totals().ready_micro_capacity, expected_totals.ready_micro_capacity);
+        ASSERT_EQ(table_.totals().warm_micro_capacity, expected_totals.warm_micro_capacity);
         ASSERT_EQ(table_.to_sweep(), to_sweep);
     }
 }
@@ -144,15 +144,15 @@
     table_.set_contribution(invokers_[7], ready, 5s);
     table_.set_contribution(invokers_[9], ready, 6s);
     table_.set_contribution(invokers_[0], {}, 7s);
-    std::vector<Invoker*> seen;
+    std::vector<Invoker*> visited;
     table_.for_each_recently_used([&](Invoker& invoker) {
-        seen.push_back(&invoker);
-        return seen.size() < 4;
+        visited.push_back(&invoker);
+        return visited.size() < 4;
     });
-    EXPECT_EQ(seen, (std::vector<Invoker*>{&invokers_[9], &invokers_[7], &invokers_[1], &invokers_[2]}));
+    EXPECT_EQ(visited, (std::vector<Invoker*>{&invokers_[9], &invokers_[7], &invokers_[1], &invokers_[2]}));
 }
 
-TEST_F(FleetTableTest, SlowStartsEndOldestFirstAndRemovedInvokerIsInNoList) {
+TEST_F(FleetTableTest, OldestSlowStartComesFirstAndRemovedInvokerIsInNoList) {
     table_.set_slow_start(invokers_[3], 4s);
     table_.set_slow_start(invokers_[1], 2s);
     table_.set_slow_start(invokers_[2], 3s);
@@ -167,9 +167,9 @@
     EXPECT_EQ(table_.oldest_slow_start(8s), nullptr);
     EXPECT_TRUE(table_.delisted().empty());
     EXPECT_EQ(table_.size(), 59u);
-    std::size_t all = 0;
-    table_.for_each([&](Invoker& invoker) { all += &invoker != &invokers_[2]; });
-    EXPECT_EQ(all, 59u);
+    std::size_t visited_count = 0;
+    table_.for_each([&](Invoker& invoker) { visited_count += &invoker != &invokers_[2]; });
+    EXPECT_EQ(visited_count, 59u);
 }
 
 }  // namespace
