--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -64,20 +64,20 @@
     --requests_;
 }
 
-RejectionReason Admission::parse_remaining(std::string_view milliseconds, Time& remaining) const {
+RejectionReason Admission::parse_remaining_time(std::string_view milliseconds, Time& remaining) const {
     if (milliseconds.empty()) {
-        if (!limits_.default_remaining) return RejectionReason::remaining_missing;
-        remaining = *limits_.default_remaining;
+        if (!limits_.default_remaining_time) return RejectionReason::remaining_time_missing;
+        remaining = *limits_.default_remaining_time;
         return RejectionReason::none;
     }
     std::int64_t ms = 0;
     const char* const first = milliseconds.data();
     const char* const last = first + milliseconds.size();
     const auto [end, error] = std::from_chars(first, last, ms);
-    if (error != std::errc{} || end != last) return RejectionReason::remaining_invalid;
+    if (error != std::errc{} || end != last) return RejectionReason::remaining_time_invalid;
     // Compared in milliseconds: what a client sends may not fit into microseconds.
-    if (ms > limits_.max_remaining / 1ms || std::chrono::milliseconds(ms) < limits_.min_remaining)
-        return RejectionReason::remaining_invalid;
+    if (ms > limits_.max_remaining_time / 1ms || std::chrono::milliseconds(ms) < limits_.min_remaining_time)
+        return RejectionReason::remaining_time_invalid;
     remaining = std::chrono::milliseconds(ms);
     return RejectionReason::none;
 }
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -20,15 +20,15 @@
     std::size_t max_requests = 10'000;
     std::size_t max_head_bytes = 16 * 1024;
     std::size_t max_body_bytes = 1024 * 1024;
-    std::size_t max_memory_bytes = 256 * 1024 * 1024;  ///< bodies of all open requests, and those being read
-    std::size_t max_name_bytes = 256;                  ///< of a function, a tenant or an idempotency key
-    Time head_timeout = std::chrono::seconds(10);      ///< for the whole head, from its first byte
-    Time idle_timeout = std::chrono::seconds(60);      ///< between requests
-    std::size_t min_body_rate = 1024;                  ///< bytes a second, over the whole body
-    Time unread_timeout = std::chrono::seconds(10);    ///< for a response of which the client reads nothing
-    Time max_remaining = std::chrono::minutes(10);     ///< a longer remaining time is taken for an error
-    Time min_remaining = std::chrono::milliseconds(1);
-    std::optional<Time> default_remaining;  ///< where a request has none; absent: it must have one
+    std::size_t max_memory_bytes = 256 * 1024 * 1024;    ///< bodies of all open requests, and those being read
+    std::size_t max_name_bytes = 256;                    ///< of a function, a tenant or an idempotency key
+    Time head_timeout = std::chrono::seconds(10);        ///< for the whole head, from its first byte
+    Time idle_timeout = std::chrono::seconds(60);        ///< between requests
+    std::size_t min_body_rate = 1024;                    ///< bytes a second, over the whole body
+    Time unread_timeout = std::chrono::seconds(10);      ///< for a response of which the client reads nothing
+    Time max_remaining_time = std::chrono::minutes(10);  ///< a longer remaining time is taken for an error
+    Time min_remaining_time = std::chrono::milliseconds(1);
+    std::optional<Time> default_remaining_time;  ///< where a request has none; absent: it must have one
 };
 
 class Admission {
@@ -52,7 +52,7 @@
     void release_request();
 
     /// `milliseconds`: as the client sent them, or empty. Sets `remaining` when it returns `none`.
-    RejectionReason parse_remaining(std::string_view milliseconds, Time& remaining) const;
+    RejectionReason parse_remaining_time(std::string_view milliseconds, Time& remaining) const;
     /// Of a function.
     RejectionReason check_name(std::string_view name) const;
     /// While a body is being read: `bytes` came since `began_at`.
--- a/src/admission/rejection.hpp
+++ b/src/admission/rejection.hpp
@@ -16,8 +16,8 @@
     bad_function,
     bad_field,
     idempotency_key_missing,
-    remaining_missing,
-    remaining_invalid,
+    remaining_time_missing,
+    remaining_time_invalid,
     no_time_remaining,
     body_too_big,
     body_too_slow,
@@ -25,7 +25,7 @@
     no_memory,
     too_many_connections,
     no_descriptors,
-    unread_answer,  ///< the client did not read its response
+    unread_response,  ///< the client did not read its response
     closing,
 };
 
--- a/src/config/connection_sections.cpp
+++ b/src/config/connection_sections.cpp
@@ -23,12 +23,13 @@
     in.read("idle_for", limits.idle_timeout);
     in.read("least_rate", limits.min_body_rate);
     in.read("unread_for", limits.unread_timeout);
-    in.read("longest_left", limits.max_remaining);
-    in.read("shortest_left", limits.min_remaining);
+    in.read("longest_left", limits.max_remaining_time);
+    in.read("shortest_left", limits.min_remaining_time);
     if (in.has("assumed_left")) {
-        limits.default_remaining = Time{};
-        in.read("assumed_left", *limits.default_remaining);
-        if (*limits.default_remaining < limits.min_remaining || *limits.default_remaining > limits.max_remaining)
+        limits.default_remaining_time = Time{};
+        in.read("assumed_left", *limits.default_remaining_time);
+        if (*limits.default_remaining_time < limits.min_remaining_time ||
+            *limits.default_remaining_time > limits.max_remaining_time)
             in.fail("assumed_left", "must be from \"shortest_left\" to \"longest_left\"");
     }
     if (limits.max_head_bytes > max_head_bytes)
--- a/src/fastcgi/connection.cpp
+++ b/src/fastcgi/connection.cpp
@@ -25,7 +25,7 @@
 constexpr Time malformed_read_pause = 1ms;  // between reads of malformed input: a flood of it costs no more
 
 std::uint16_t request_id_of(const ActiveRequest& request) {
-    return static_cast<std::uint16_t>(request.sink_key);
+    return static_cast<std::uint16_t>(request.sink_request_id);
 }
 
 }  // namespace
@@ -85,13 +85,13 @@
 bool Connection::enforce_rejection_limit() {
     if (write_queue_->pending_bytes() <= max_pending_bytes) unread_rejection_bytes_ = 0;
     if (unread_rejection_bytes_ <= max_rejection_bytes) return true;
-    gateway_.admission().count(RejectionReason::unread_answer);
+    gateway_.admission().count(RejectionReason::unread_response);
     reset_unread();
     return false;
 }
 
 void Connection::note_backlog(Time lag) {
-    const Time unread = gateway_.waited_unread(lag);
+    const Time unread = gateway_.max_unread_time(lag);
     if (unread > Time{} && !backlog_since_) backlog_since_ = loop().now() - unread;
 }
 
@@ -179,11 +179,11 @@
 void Connection::submit(RequestMessage message, IncomingRequest request) {
     const std::uint16_t request_id = message.request_id;
     discarded_bytes_at_submit_ = parser_.discarded_bytes();
-    request.waited = time_unread();
+    request.unread_time = time_unread();
     request.read_at = read_at_;
     request.held_bytes = message.body.size();
     request.body = std::move(message.body);
-    request.sink_key = request_id;
+    request.sink_request_id = request_id;
     server_.open_request_ids().insert(request.name);
     open_requests_[request_id] = {nullptr, message.keep_connection};
     ActiveRequest* active = gateway_.submit(std::move(request), shared_from_this());
--- a/src/fastcgi/connection_timeouts.cpp
+++ b/src/fastcgi/connection_timeouts.cpp
@@ -45,7 +45,7 @@
 // False: the client has read nothing of what is pending for too long, and the connection was reset.
 bool Connection::check_unread_responses(Time now) {
     if (write_stall_.check(now, *write_queue_) < gateway_.admission().limits().unread_timeout) return true;
-    gateway_.admission().count(RejectionReason::unread_answer);
+    gateway_.admission().count(RejectionReason::unread_response);
     gateway_.log().write(Log::Level::info, "client_not_reading",
                          {{"connection", id_},
                           {"open_requests", open_requests_.size()},
--- a/src/fastcgi/request_fields.cpp
+++ b/src/fastcgi/request_fields.cpp
@@ -82,10 +82,11 @@
 }
 
 RejectionReason parse_remaining(std::string_view text, const AdmissionLimits& limits, Time& remaining) {
-    const auto milliseconds = parse_number(text, static_cast<double>(limits.max_remaining / 1ms));
-    if (!milliseconds) return text.empty() ? RejectionReason::remaining_missing : RejectionReason::remaining_invalid;
+    const auto milliseconds = parse_number(text, static_cast<double>(limits.max_remaining_time / 1ms));
+    if (!milliseconds)
+        return text.empty() ? RejectionReason::remaining_time_missing : RejectionReason::remaining_time_invalid;
     remaining = from_milliseconds(*milliseconds);
-    return remaining < limits.min_remaining ? RejectionReason::no_time_remaining : RejectionReason::none;
+    return remaining < limits.min_remaining_time ? RejectionReason::no_time_remaining : RejectionReason::none;
 }
 
 bool is_flag(std::string_view text) {
--- a/src/fastcgi/server.cpp
+++ b/src/fastcgi/server.cpp
@@ -41,7 +41,7 @@
     for (;;) {
         if (!listener->has_pending()) backlog_since_.reset();
         auto accepted = co_await listener->accept();
-        note_backlog(gateway_.waited_unread());
+        note_backlog(gateway_.max_unread_time());
         if (accepted.error == net::asio::error::operation_aborted) co_return;
         if (accepted.error) {
             co_await handle_accept_error(accepted.error);
--- a/src/gateway/connection_pool.cpp
+++ b/src/gateway/connection_pool.cpp
@@ -28,7 +28,7 @@
     loop_.call_at(loop_.now(), [this, call = std::move(call), outcome] { finish(call, outcome); });
 }
 
-delivery::StopCause ConnectionPool::cause_of(const net::Error& error) {
+delivery::StopCause ConnectionPool::connect_failure_cause(const net::Error& error) {
     namespace asio = net::asio;
     for (const net::Error& not_there : {net::Error(asio::error::connection_refused), net::Error(asio::error::timed_out),
                                         net::Error(asio::error::host_unreachable)})
--- a/src/gateway/connection_pool.hpp
+++ b/src/gateway/connection_pool.hpp
@@ -61,7 +61,7 @@
     /// Why connecting failed. Only a refusal, a timeout and an unreachable host show that the invoker was not there: a
     /// connection that was reset had come up, and where descriptors, ports, buffers or a route are lacking on this
     /// machine, the invoker was never asked (connect(2)).
-    static delivery::StopCause cause_of(const net::Error& error);
+    static delivery::StopCause connect_failure_cause(const net::Error& error);
     void finish(const std::shared_ptr<UpstreamCall>& call, CallResult result);
     void finish(const std::shared_ptr<UpstreamCall>& call, AttemptOutcome outcome);
     void finish_soon(std::shared_ptr<UpstreamCall> call, AttemptOutcome outcome);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -53,7 +53,7 @@
     void client_disconnected(ActiveRequest& request);
     /// How long what an edge reads now may have waited in its socket at the most: above 0 after a pause of the process.
     /// `lateness`: what the reader knows of that by itself.
-    Time waited_unread(Time lateness = {}) const { return stall_monitor_.max_unread_time(lateness); }
+    Time max_unread_time(Time lateness = {}) const { return stall_monitor_.max_unread_time(lateness); }
 
     /// For the source of endpoints. `complete`: `changed` is the whole list, and all other invokers are gone.
     void update_endpoints(const std::vector<Endpoint>& changed, bool complete);
--- a/src/gateway/request_table.cpp
+++ b/src/gateway/request_table.cpp
@@ -19,7 +19,7 @@
     request.request_class = incoming.request_class;
     request.function = &function;
     const Time since_read = incoming.read_at ? now - *incoming.read_at : Time{};
-    request.remaining = std::max(Time{}, incoming.remaining - incoming.waited - since_read);
+    request.remaining = std::max(Time{}, incoming.remaining - incoming.unread_time - since_read);
     request.is_client_retry = incoming.is_client_retry;
     if (const auto tenant = tenants_.find(incoming.tenant); tenant != tenants_.end()) {
         request.tenant = &tenant->second;
@@ -28,7 +28,7 @@
     request.sink = std::move(sink);
     request.held_bytes = incoming.held_bytes;
     request.name = std::move(incoming.name);
-    request.sink_key = incoming.sink_key;
+    request.sink_request_id = incoming.sink_request_id;
     request.idempotency_key = std::move(incoming.idempotency_key);
     request.forwarded_headers = std::move(incoming.forwarded_headers);
     request.concurrency = incoming.concurrency;
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -21,12 +21,12 @@
 /// What a client asked for, as its edge has read it and admission has accepted it.
 struct IncomingRequest {
     const NamedRequestClass* request_class{};
-    std::string name;          ///< the request's id among those of its client; empty where the protocol has none
-    std::uint64_t sink_key{};  ///< by which its ResponseSink knows it
+    std::string name;                 ///< the request's id among those of its client; empty where the protocol has none
+    std::uint64_t sink_request_id{};  ///< by which its ResponseSink knows it
     std::string function, tenant, idempotency_key;
     std::string forwarded_headers;  ///< header lines that go on to the invoker
     Time remaining{};               ///< to its deadline, when it arrived
-    Time waited{};                  ///< since then, before its bytes were read
+    Time unread_time{};             ///< since then, before its bytes were read
     std::optional<Time> read_at;
     int concurrency = 1;        ///< requests that one copy of its function runs at once
     std::optional<int> memory;  ///< MB of a loaded copy
@@ -40,7 +40,7 @@
 struct ActiveRequest : Request {
     std::shared_ptr<ResponseSink> sink;  ///< until its final response is given, or the client has disconnected
     std::string name, idempotency_key, forwarded_headers;  ///< as in IncomingRequest, down to `memory`
-    std::uint64_t sink_key{};
+    std::uint64_t sink_request_id{};
     int concurrency{};
     std::optional<int> memory;
     std::string encoded_suffix;  ///< kept for the invokers' edge: the bytes that all its attempts have in common
--- a/src/invoker_protocol/invoker_connection.cpp
+++ b/src/invoker_protocol/invoker_connection.cpp
@@ -234,7 +234,7 @@
     StopCause cause = StopCause::connection_lost;
     auto connected = co_await loop_.connect(address, pool_.config_.connect_timeout);
     if (connected.error) {
-        cause = ConnectionPool::cause_of(connected.error);
+        cause = ConnectionPool::connect_failure_cause(connected.error);
         if (cause == StopCause::no_connection) ++pool_.counts_.unreachable;
         alive_ = false;
     } else {
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -90,7 +90,7 @@
     config.pool.idle_timeout = settings.idle_timeout / 2;
     config.pool.max_attempts_per_connection = settings.max_attempts_per_connection;
     config.admission.max_body_bytes = max_body_bytes;
-    config.admission.max_remaining = settings.max_wait;
+    config.admission.max_remaining_time = settings.max_wait;
     config.admission.head_timeout = head_timeout;
     config.admission.idle_timeout = client_idle_timeout;
     config.admission.unread_timeout = client_unread_timeout;
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -110,7 +110,7 @@
         reject(reason);
         co_return false;
     }
-    request.waited = gateway_.waited_unread();
+    request.unread_time = gateway_.max_unread_time();
     request_ = gateway_.submit(std::move(request), shared_from_this());
     co_return co_await wait_finished();
 }
@@ -337,7 +337,7 @@
 void Connection::check_unread_response() {
     if (write_queue_->pending_bytes() == 0 || write_queue_->sent_bytes() != sent_bytes_at_watch_)
         return watch_unread_response();
-    gateway_.admission().count(RejectionReason::unread_answer);
+    gateway_.admission().count(RejectionReason::unread_response);
     stream_->reset();
     write_queue_->abandon();
 }
--- a/src/web/invoker_connection.cpp
+++ b/src/web/invoker_connection.cpp
@@ -117,7 +117,7 @@
 }
 
 void InvokerConnection::on_connect_failed(const std::shared_ptr<InvokerConnection>& self, const net::Error& error) {
-    const StopCause cause = ConnectionPool::cause_of(error);
+    const StopCause cause = ConnectionPool::connect_failure_cause(error);
     if (cause == StopCause::no_connection) ++pool_.counts_.unreachable;
     alive_ = false;
     if (const auto call = release_call()) pool_.finish(call, delivery::outcome_of(Progress::not_connected, cause));
--- a/src/web/request_fields.cpp
+++ b/src/web/request_fields.cpp
@@ -52,7 +52,7 @@
     request.tenant = own.tenant;
     request.idempotency_key = own.idempotency_key;
     if (const auto reason = check_names(request, admission.limits()); reason != RejectionReason::none) return reason;
-    if (const auto reason = admission.parse_remaining(own.remaining, request.remaining);
+    if (const auto reason = admission.parse_remaining_time(own.remaining, request.remaining);
         reason != RejectionReason::none)
         return reason;
     return parse_hints(own, request);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -33,13 +33,13 @@
     AdmissionLimits limits;
     Admission strict(limits);
     Time remaining{};
-    EXPECT_EQ(strict.parse_remaining("", remaining), RejectionReason::remaining_missing);
+    EXPECT_EQ(strict.parse_remaining_time("", remaining), RejectionReason::remaining_time_missing);
     for (const char* invalid : {"0", "-5", "1e3", "4000ms", "99999999999999999999", "9223372036854775807"})
-        EXPECT_EQ(strict.parse_remaining(invalid, remaining), RejectionReason::remaining_invalid) << invalid;
-    EXPECT_EQ(strict.parse_remaining("4000", remaining), RejectionReason::none);
+        EXPECT_EQ(strict.parse_remaining_time(invalid, remaining), RejectionReason::remaining_time_invalid) << invalid;
+    EXPECT_EQ(strict.parse_remaining_time("4000", remaining), RejectionReason::none);
     EXPECT_EQ(remaining, 4s);
-    limits.default_remaining = 3s;
-    EXPECT_EQ(Admission(limits).parse_remaining("", remaining), RejectionReason::none);
+    limits.default_remaining_time = 3s;
+    EXPECT_EQ(Admission(limits).parse_remaining_time("", remaining), RejectionReason::none);
     EXPECT_EQ(remaining, 3s);
 }
 
--- a/tests/invoker_connection_test.cpp
+++ b/tests/invoker_connection_test.cpp
@@ -36,7 +36,7 @@
                                          InvokerBehaviour::fail));
 
 struct ExposedPool : gateway::ConnectionPool {
-    using gateway::ConnectionPool::cause_of;
+    using gateway::ConnectionPool::connect_failure_cause;
 };
 
 // A connection that is reset while connecting does not mean that the machine is gone, with all functions loaded there.
@@ -44,12 +44,12 @@
     namespace error = net::asio::error;
     for (const net::Error& nobody :
          {net::Error(error::connection_refused), net::Error(error::timed_out), net::Error(error::host_unreachable)})
-        EXPECT_EQ(ExposedPool::cause_of(nobody), delivery::StopCause::no_connection);
+        EXPECT_EQ(ExposedPool::connect_failure_cause(nobody), delivery::StopCause::no_connection);
     for (const net::Error& here : {net::Error(error::connection_reset), net::Error(error::no_descriptors),
                                    net::Error(error::broken_pipe), net::Error(error::no_buffer_space),
                                    net::Error(error::operation_aborted), net::Error(error::network_unreachable)}) {
-        EXPECT_EQ(ExposedPool::cause_of(here), delivery::StopCause::connection_lost);
-        EXPECT_EQ(delivery::outcome_of(delivery::Progress::not_connected, ExposedPool::cause_of(here)),
+        EXPECT_EQ(ExposedPool::connect_failure_cause(here), delivery::StopCause::connection_lost);
+        EXPECT_EQ(delivery::outcome_of(delivery::Progress::not_connected, ExposedPool::connect_failure_cause(here)),
                   AttemptOutcome::never_sent);
     }
 }
--- a/tests/platform_config_test.cpp
+++ b/tests/platform_config_test.cpp
@@ -196,7 +196,7 @@
     EXPECT_EQ(gateway.admission.max_connections, 128u);
     EXPECT_EQ(gateway.admission.max_body_bytes, 16'384u);
     EXPECT_EQ(gateway.admission.max_memory_bytes, 8'388'608u);
-    EXPECT_EQ(gateway.admission.max_remaining, 3s);
+    EXPECT_EQ(gateway.admission.max_remaining_time, 3s);
     EXPECT_EQ(gateway.admission.head_timeout, 1500ms);
     EXPECT_EQ(gateway.admission.idle_timeout, 6s);
     EXPECT_EQ(gateway.admission.unread_timeout, 2s);
