--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// A body's rate is not judged before.
+/// Time after the start of a body before its rate is checked.
 constexpr Time body_rate_grace = 2s;
-/// Of the time that a body has taken, not counted against its rate.
-constexpr double free_body_seconds = 1;
+/// Part of a body's transfer time that does not count against its rate.
+constexpr double uncounted_body_seconds = 1;
 
 constexpr Time accept_pause_unit = 10ms;
-/// The pause doubles with each failed accept, from 20 ms to 160 ms at the most: clients in the backlog have deadlines,
-/// and a try in vain costs little.
+/// The pause doubles with each failed accept, from 20 ms to 160 ms. It stays short because clients in the backlog have
+/// deadlines.
 constexpr int max_accept_pause_doublings = 4;
 
 bool is_control(unsigned char byte) {
@@ -75,7 +75,7 @@
     const char* const last = first + milliseconds.size();
     const auto [end, error] = std::from_chars(first, last, ms);
     if (error != std::errc{} || end != last) return RejectionReason::remaining_time_invalid;
-    // Compared in milliseconds: what a client sends may not fit into microseconds.
+    // Compared in milliseconds, because a client may send a number that overflows in microseconds.
     if (ms > limits_.max_remaining_time / 1ms || std::chrono::milliseconds(ms) < limits_.min_remaining_time)
         return RejectionReason::remaining_time_invalid;
     remaining = std::chrono::milliseconds(ms);
@@ -91,7 +91,7 @@
 RejectionReason Admission::check_body_rate(Time began_at, Time now, std::size_t bytes) const {
     if (now - began_at < body_rate_grace) return RejectionReason::none;
     const double seconds = std::chrono::duration<double>(now - began_at).count();
-    const double min_bytes = static_cast<double>(limits_.min_body_rate) * (seconds - free_body_seconds);
+    const double min_bytes = static_cast<double>(limits_.min_body_bytes_per_s) * (seconds - uncounted_body_seconds);
     return static_cast<double>(bytes) < min_bytes ? RejectionReason::body_too_slow : RejectionReason::none;
 }
 
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -1,5 +1,5 @@
-/// What the gateway admits: limits on connections, open requests, sizes, memory and slowness. Free of I/O, clocks and
-/// threads: the clients' edges ask it and act on its answer. It counts the rejections of each reason.
+/// Admission control: limits on connections, open requests, sizes, memory and slow clients. It does no I/O and reads no
+/// clock: the servers for clients call it and act on the result. It counts the rejections by reason.
 #pragma once
 
 #include <array>
@@ -14,21 +14,21 @@
 
 using Time = std::chrono::microseconds;
 
-/// Read from the settings at start.
+/// The limits, read from the settings at start.
 struct AdmissionLimits {
     std::size_t max_connections = 10'000;
     std::size_t max_requests = 10'000;
     std::size_t max_head_bytes = 16 * 1024;
     std::size_t max_body_bytes = 1024 * 1024;
-    std::size_t max_memory_bytes = 256 * 1024 * 1024;    ///< bodies of all open requests, and those being read
-    std::size_t max_name_bytes = 256;                    ///< of a function, a tenant or an idempotency key
-    Time head_timeout = std::chrono::seconds(10);        ///< for the whole head, from its first byte
-    Time idle_timeout = std::chrono::seconds(60);        ///< between requests
-    std::size_t min_body_rate = 1024;                    ///< bytes a second, over the whole body
-    Time unread_timeout = std::chrono::seconds(10);      ///< for a response of which the client reads nothing
-    Time max_remaining_time = std::chrono::minutes(10);  ///< a longer remaining time is taken for an error
+    std::size_t max_memory_bytes = 256 * 1024 * 1024;  ///< bodies of open requests and of requests being read
+    std::size_t max_name_bytes = 256;                  ///< for names of functions and tenants and for idempotency keys
+    Time head_timeout = std::chrono::seconds(10);      ///< from the first byte of a request's head to its last
+    Time idle_timeout = std::chrono::seconds(60);      ///< between two requests on a connection
+    std::size_t min_body_bytes_per_s = 1024;           ///< averaged over the whole body
+    Time unread_timeout = std::chrono::seconds(10);    ///< for a response that the client does not read
+    Time max_remaining_time = std::chrono::minutes(10);  ///< requests with a longer remaining time are rejected
     Time min_remaining_time = std::chrono::milliseconds(1);
-    std::optional<Time> default_remaining_time;  ///< where a request has none; absent: it must have one
+    std::optional<Time> default_remaining_time;  ///< for requests without one; absent: they are rejected
 };
 
 class Admission {
@@ -36,42 +36,46 @@
     explicit Admission(AdmissionLimits limits) : limits_(limits) {}
     const AdmissionLimits& limits() const { return limits_; }
 
-    /// `none`: the connection is counted, until release_connection().
+    /// Returns `none` and counts the connection until release_connection(), or returns why it is rejected.
     RejectionReason admit_connection();
-    /// Counts a connection over the limit, in the place of another that is about to close.
+    /// Counts a connection beyond the limit, which replaces one that is about to close.
     void admit_replacement() { ++connections_; }
     void release_connection();
 
-    /// Before the body of a request is read. `known_size`: 0 if its length was not sent. Counts nothing.
+    /// Checks a request before its body is read, and counts nothing. `known_size`: 0 if the body's length is unknown.
     RejectionReason admit_body(std::size_t known_size) const;
-    /// `none`: the bytes are counted, until release(). MemoryReservation does both.
+    /// Returns `none` and counts the bytes until release(), or returns why they are rejected. Use MemoryReservation to
+    /// release them automatically.
     RejectionReason reserve(std::size_t bytes);
     void release(std::size_t bytes);
-    /// `none`: the request is counted, until release_request().
+    /// Returns `none` and counts the request until release_request(), or returns why it is rejected.
     RejectionReason admit_request();
     void release_request();
 
-    /// `milliseconds`: as the client sent them, or empty. Sets `remaining` when it returns `none`.
+    /// Parses a request's remaining time. `milliseconds`: the text sent by the client, or empty if it sent none. Sets
+    /// `remaining` if it returns `none`.
     RejectionReason parse_remaining_time(std::string_view milliseconds, Time& remaining) const;
-    /// Of a function.
+    /// Checks the name of a function.
     RejectionReason check_name(std::string_view name) const;
-    /// While a body is being read: `bytes` came since `began_at`.
+    /// Checks the rate of a body that is being read, of which `bytes` have arrived since `began_at`.
     RejectionReason check_body_rate(Time began_at, Time now, std::size_t bytes) const;
 
-    /// Accepting a connection failed: counts that, and returns how long to pause before the next try.
+    /// Counts a failed accept, and returns how long to pause before the next accept.
     Time accept_pause();
-    /// Accepting succeeded: the next pause is the shortest again.
+    /// Called after a successful accept: resets the pause to its minimum.
     void accepted() { failed_accepts_ = 0; }
     /// How long a rejected client is asked to wait before it retries.
     Time retry_after() const { return std::chrono::seconds(1); }
 
-    /// From now on requests are rejected as `closing`.
+    /// Makes all further requests be rejected as `closing`, until reopen().
     void close() { closing_ = true; }
     void reopen() { closing_ = false; }
     bool closing() const { return closing_; }
 
     void count(RejectionReason reason) { ++rejections_[static_cast<std::size_t>(reason)]; }
-    std::uint64_t counted(RejectionReason reason) const { return rejections_[static_cast<std::size_t>(reason)]; }
+    std::uint64_t rejection_count(RejectionReason reason) const {
+        return rejections_[static_cast<std::size_t>(reason)];
+    }
     std::size_t connections() const { return connections_; }
     std::size_t open_requests() const { return requests_; }
     std::size_t reserved_bytes() const { return reserved_bytes_; }
--- a/src/admission/memory_reservation.hpp
+++ b/src/admission/memory_reservation.hpp
@@ -1,4 +1,4 @@
-/// The bytes of one body, reserved while it is being read.
+/// Reserves memory for one request body while it is being read.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace plumkeel {
 
-/// Releases its bytes at Admission when it is destroyed, unless release() has passed them on.
+/// Releases its bytes at Admission when it is destroyed, unless release() has handed them over to the caller.
 class MemoryReservation {
 public:
     explicit MemoryReservation(Admission& admission) : admission_(admission) {}
@@ -16,13 +16,14 @@
     MemoryReservation(const MemoryReservation&) = delete;
     MemoryReservation& operator=(const MemoryReservation&) = delete;
 
+    /// Reserves `bytes` in total. If Admission rejects them, the reservation stays as it was.
     RejectionReason grow_to(std::size_t bytes) {
         if (bytes <= bytes_) return RejectionReason::none;
         const RejectionReason reason = admission_.reserve(bytes - bytes_);
         if (reason == RejectionReason::none) bytes_ = bytes;
         return reason;
     }
-    /// Returns the reserved bytes, which the caller must release at Admission from now on.
+    /// Returns the number of reserved bytes, which the caller must release at Admission later.
     std::size_t release() { return std::exchange(bytes_, 0); }
 
 private:
--- a/src/admission/rejection.cpp
+++ b/src/admission/rejection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// By RejectionReason.
+/// Indexed by RejectionReason.
 constexpr RejectionResponse responses[] = {
     {200, "none", "", false},
     {400, "malformed", "not HTTP/1.1 as this door reads it", false},
--- a/src/admission/rejection.hpp
+++ b/src/admission/rejection.hpp
@@ -1,4 +1,4 @@
-/// Why the gateway rejects a connection or a request before the scheduler sees it, and what its client is sent then.
+/// Reasons for rejecting a connection or a request before the scheduler receives it, and the responses to clients.
 #pragma once
 
 #include <cstddef>
@@ -31,12 +31,12 @@
 
 constexpr std::size_t rejection_reason_count = static_cast<std::size_t>(RejectionReason::closing) + 1;
 
-/// A rejection as the client is sent it.
+/// The response that a rejected client gets.
 struct RejectionResponse {
     int status;             ///< HTTP status code
-    std::string_view word;  ///< the reason, for programs: in a header, in status, in metrics and in the log
-    std::string_view text;  ///< the reason, for people
-    bool is_retryable;      ///< a later attempt may be admitted: the response has a Retry-After
+    std::string_view word;  ///< machine-readable reason in the response header, status document, metrics and log
+    std::string_view text;  ///< human-readable reason in the response body
+    bool is_retryable;      ///< a later request may be admitted: the response has a Retry-After header
 };
 
 const RejectionResponse& response_for(RejectionReason reason);
--- a/src/config/connection_sections.cpp
+++ b/src/config/connection_sections.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t max_head_bytes = 64 * 1024;  // a head has to fit into the buffer that it is read through
+constexpr std::size_t max_head_bytes = 64 * 1024;  // the head of a request must fit into the read buffer
 
 void check_address(JsonnetReader& in, std::string_view key, const std::string& address) {
     if (!net::Address::parse(address))
@@ -21,7 +21,7 @@
     in.read("name_bytes", limits.max_name_bytes, 1);
     in.read("head_within", limits.head_timeout);
     in.read("idle_for", limits.idle_timeout);
-    in.read("least_rate", limits.min_body_rate);
+    in.read("least_rate", limits.min_body_bytes_per_s);
     in.read("unread_for", limits.unread_timeout);
     in.read("longest_left", limits.max_remaining_time);
     in.read("shortest_left", limits.min_remaining_time);
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -19,7 +19,7 @@
     std::string name;
 };
 
-/// One invoker of a fixed list.
+/// One invoker of a fixed list in the configuration.
 struct StaticInvoker {
     std::string name, address, zone, type;
     double capacity = 1;
@@ -31,35 +31,35 @@
     std::string consul;  ///< `HOST:PORT` of Consul's HTTP interface.
     std::string service = "invokers";
     Time wait = std::chrono::seconds(30);           ///< How long Consul may block a poll.
-    Time response_slack = std::chrono::seconds(5);  ///< Beyond `wait`, before a poll counts as failed.
+    Time response_slack = std::chrono::seconds(5);  ///< Added to `wait` before a poll counts as failed.
     std::vector<StaticInvoker> fixed;
 };
 
 /// The connections to invokers. Limits are per invoker unless stated otherwise.
 struct PoolConfig {
     std::size_t max_connections = 256;
-    /// Invokers known at once, with those removed within the last seconds; further ones are ignored.
+    /// Limit on the invokers known at once, including those just removed; further ones are ignored.
     std::size_t max_invokers = 40'000;
-    /// To all invokers together; each may have one connection all the same.
+    /// Limit for all invokers together; an invoker may have one connection even if it is reached.
     std::size_t max_total_connections = 100'000;
-    std::size_t max_attempts_per_connection = 1;  ///< More than 1 where the protocol multiplexes.
+    std::size_t max_attempts_per_connection = 1;  ///< Above 1 if the protocol multiplexes.
     std::size_t max_queued = 1024;  ///< Attempts waiting for a connection; further ones end as never sent.
     Time connect_timeout = std::chrono::milliseconds(250);
     Time idle_timeout = std::chrono::seconds(15);
     Time health_check_timeout = std::chrono::milliseconds(500);
     Time preload_timeout = std::chrono::seconds(10);
-    /// From a response's first byte to its last, where other responses wait behind it.
+    /// Time from a response's first byte to its last, where other responses wait on the same connection.
     Time response_timeout = std::chrono::milliseconds(500);
-    std::size_t max_buffered_response = 64 * 1024;  ///< Bytes; larger responses are streamed to the client.
-    std::size_t stream_buffer_bytes = 256 * 1024;   ///< Of a streamed response, buffered for a slow client.
+    std::size_t max_buffered_response = 64 * 1024;  ///< Bytes; larger responses are streamed.
+    std::size_t stream_buffer_bytes = 256 * 1024;   ///< Buffered for a slow client.
 };
 
 struct LogConfig {
     std::string file;               ///< Empty: standard error.
     std::string level = "info";     ///< debug, info, warn or error.
-    double max_lines_per_s = 20;    ///< Per kind of line.
-    double burst = 100;             ///< Lines of one kind written at once before the rate applies.
-    std::size_t queue_size = 8192;  ///< Lines that wait for the disk.
+    double max_lines_per_s = 20;    ///< Per event name.
+    double burst = 100;             ///< Lines per event name written before the rate applies.
+    std::size_t queue_size = 8192;  ///< Lines waiting to be written.
 };
 
 struct MetricsSettings {
--- a/src/config/jsonnet_reader.cpp
+++ b/src/config/jsonnet_reader.cpp
@@ -10,10 +10,10 @@
 
 constexpr const char* duration_examples = R"(a duration such as "250ms", "1.5s" or "2min")";
 constexpr double max_duration_us = 1e15;   // 31 years
-constexpr double max_whole_number = 1e15;  // below it a double is exact
+constexpr double max_whole_number = 1e15;  // a double represents smaller whole numbers exactly
 constexpr std::size_t max_int = 1'000'000'000;
 
-// What was found, short enough for an error message.
+// Describes the value that was found, for error messages.
 std::string describe(const boost::json::value& value) {
     if (value.is_object()) return "an object";
     if (value.is_array()) return "an array";
--- a/src/config/jsonnet_reader.hpp
+++ b/src/config/jsonnet_reader.hpp
@@ -24,13 +24,13 @@
 /// Evaluates a Jsonnet file to a JSON value. `variables` are its external variables (`std.extVar`), as strings.
 boost::json::value evaluate_jsonnet(const std::string& file, const std::map<std::string, std::string>& variables = {});
 
-/// Parses "250ms", "1.5s", "2min" or "1h"; throws `ConfigError` with the text.
+/// Parses a duration such as "250ms", "1.5s", "2min" or "1h". Throws a `ConfigError` that quotes an invalid text.
 Time parse_duration(std::string_view text);
 
-/// One object of a configuration. Read each field, then call `reject_unknown_fields()`.
+/// Reads one object of a configuration. Read each field, then call `reject_unknown_fields()`.
 class JsonnetReader {
 public:
-    /// `path` is where the object stands in the file, such as `pool.limits`; empty for the whole file.
+    /// `path` is the object's position in the file, such as `pool.limits`; empty for the whole file.
     JsonnetReader(const boost::json::value& value, std::string file, std::string path = "");
 
     /// True if the field is present and not null.
@@ -40,7 +40,7 @@
     void read(std::string_view key, std::string& into);
     void read(std::string_view key, bool& into);
     void read(std::string_view key, Time& into);
-    void read(std::string_view key, double& into);  ///< Not negative.
+    void read(std::string_view key, double& into);  ///< Rejects negative numbers.
     void read(std::string_view key, int& into, int min = 0);
     void read(std::string_view key, std::size_t& into, std::size_t min = 0);
 
@@ -68,11 +68,11 @@
     void read_array(std::string_view key, const std::function<void(JsonnetReader&)>& read_element);
     /// Reads an object of objects: each member's name and its reader.
     void read_members(std::string_view key, const std::function<void(const std::string&, JsonnetReader&)>& read_member);
-    /// The field's JSON value, or null if it is absent.
+    /// Returns the field's JSON value, or null if it is absent.
     const boost::json::value* raw(std::string_view key);
 
     void reject_unknown_fields() const;
-    /// Throws a `ConfigError`: file, path and key, then the problem. An empty key means the object itself.
+    /// Throws a `ConfigError` with file, path, key and `problem`. An empty key stands for the object itself.
     [[noreturn]] void fail(std::string_view key, const std::string& problem) const;
 
 private:
--- a/src/config/sections.hpp
+++ b/src/config/sections.hpp
@@ -1,5 +1,5 @@
-/// Readers of the sections of a gateway's configuration, one function a section. Private to this package; `load_config`
-/// calls them. Keys and units are the configuration's, names in the structs are the code's.
+/// Functions that each read one section of a gateway's configuration; called by `load_config`, and private to
+/// src/config. Some settings have other names in the file than the fields that store them.
 #pragma once
 
 #include <string>
--- a/src/config/telemetry_sections.cpp
+++ b/src/config/telemetry_sections.cpp
@@ -49,7 +49,7 @@
 
 namespace {
 
-// A file that other users of the machine may read is rejected: the token would not be a secret.
+// Rejects a token file that other users of the machine can access.
 std::string read_token(JsonnetReader& in, const std::string& file) {
     struct stat status {};
     std::ifstream stream(file);
@@ -73,7 +73,7 @@
     in.read("catch_up", receiver.send_control.catch_up_ratio);
     if (!bearer_file.empty()) receiver.bearer = read_token(in, bearer_file);
     if (!(receiver.send_control.catch_up_ratio > 1))
-        in.fail("catch_up", "must be above 1: otherwise a backlog is never sent off");
+        in.fail("catch_up", "must be above 1: otherwise a backlog of samples never shrinks");
     receiver.send_control.min_batch = std::min(receiver.send_control.min_batch, receiver.send_control.max_batch);
 }
 
@@ -95,7 +95,7 @@
         in.fail("parts", "found " + std::to_string(shards) + ", expected at most " + std::to_string(max_shards));
     if (remote_write.interval < min_interval) in.fail("every", "must be at least 100ms");
     if (!remote_write.receivers.empty() && remote_write.queue.folder.empty())
-        in.fail("folder", "is missing: samples wait there for their receivers");
+        in.fail("folder", "is missing: samples are queued there until their receivers accept them");
     remote_write.queue.shards = static_cast<int>(shards);
     remote_write.queue.max_age = std::chrono::duration_cast<std::chrono::milliseconds>(max_age);
     for (remote_write::ReceiverConfig& receiver : remote_write.receivers)
--- a/src/gateway/status.cpp
+++ b/src/gateway/status.cpp
@@ -16,29 +16,29 @@
     return static_cast<double>(static_cast<long>(value * 10 + 0.5)) / 10;
 }
 
-/// How much slower than the average invoker of the fleet it is, as learned.
+/// The learned factor by which the invoker is slower than the average of the fleet.
 double total_slowdown(const Invoker& invoker) {
     return invoker.type ? invoker.type->slowdown_factor * invoker.load.slowdown_factor : invoker.load.slowdown_factor;
 }
 
-/// As the status document and the label `standing` of plumkeel_invokers call it.
-std::string_view status_word(const InvokerEndpoint& endpoint) {
-    static constexpr std::string_view words[] = {"trusted", "suspect", "aside", "easing"};
-    return endpoint.accepts_attempts() ? words[static_cast<std::size_t>(endpoint.health.state)] : "not_ready";
+/// Name of the invoker's health in the status document and in the label `standing` of plumkeel_invokers.
+std::string_view status_health_name(const InvokerEndpoint& endpoint) {
+    static constexpr std::string_view names[] = {"trusted", "suspect", "aside", "easing"};
+    return endpoint.accepts_attempts() ? names[static_cast<std::size_t>(endpoint.health.state)] : "not_ready";
 }
 
-/// As the log calls it.
-std::string_view health_name(const InvokerEndpoint& endpoint) {
+/// Name of the invoker's health in the log.
+std::string_view log_health_name(const InvokerEndpoint& endpoint) {
     static constexpr std::string_view names[] = {"healthy", "suspect", "ejected", "recovering"};
     return endpoint.accepts_attempts() ? names[static_cast<std::size_t>(endpoint.health.state)] : "not_ready";
 }
 
-/// Calls back with the word and the count of each reason that occurred.
+/// Calls `callback` with the name and the count of each rejection reason that has occurred.
 template <class Callback>
 void for_each_rejection(const Admission& admission, Callback callback) {
     for (std::size_t i = 1; i < rejection_reason_count; ++i) {
         const auto reason = static_cast<RejectionReason>(i);
-        if (const std::uint64_t count = admission.counted(reason)) callback(response_for(reason).word, count);
+        if (const std::uint64_t count = admission.rejection_count(reason)) callback(response_for(reason).word, count);
     }
 }
 
@@ -106,7 +106,7 @@
 boost::json::object StatusReader::endpoint_counts() const {
     boost::json::object result{{"trusted", 0}, {"suspect", 0}, {"aside", 0}, {"easing", 0}, {"not_ready", 0}};
     for (const auto& [name, endpoint] : sources_.endpoints.endpoints()) {
-        boost::json::value& count = result[status_word(*endpoint)];
+        boost::json::value& count = result[status_health_name(*endpoint)];
         count = count.as_int64() + 1;
     }
     return result;
@@ -126,7 +126,7 @@
         const ConnectionPool& pool = *endpoint->pool;
         if (!endpoint->is_listed && endpoint->in_flight.empty() && pool.connection_count() == 0) continue;
         boost::json::object row{{"invoker", name},
-                                {"health", health_name(*endpoint)},
+                                {"health", log_health_name(*endpoint)},
                                 {"in_flight", endpoint->in_flight.size()},
                                 {"sent", pool.in_flight_count()},
                                 {"queued", pool.queued_count()},
@@ -180,9 +180,9 @@
             levels.in_flight_at_unhealthy += static_cast<double>(endpoint->in_flight.size());
     }
     if (slowdowns.empty()) return;
-    const auto middle = slowdowns.begin() + static_cast<std::ptrdiff_t>(slowdowns.size() / 2);
-    std::ranges::nth_element(slowdowns, middle);
-    levels.slowdown_median = *middle;
+    const auto median = slowdowns.begin() + static_cast<std::ptrdiff_t>(slowdowns.size() / 2);
+    std::ranges::nth_element(slowdowns, median);
+    levels.slowdown_median = *median;
     levels.slowdown_worst = *std::ranges::max_element(slowdowns);
 }
 
--- a/src/gateway/status.hpp
+++ b/src/gateway/status.hpp
@@ -1,4 +1,4 @@
-/// What the gateway shows of its state: the status document, a row for each invoker, and the levels of its metrics.
+/// Reports the gateway's state: the status document, one row per invoker for the log, and the gauges of its metrics.
 #pragma once
 
 #include <boost/json.hpp>
@@ -18,10 +18,10 @@
 
 namespace plumkeel::gateway {
 
-/// When the list of invokers was last confirmed by its source, on the event loop's clock; absent: never.
+/// Returns when discovery last confirmed the list of invokers, on the event loop's clock; absent if it never did.
 using ListConfirmedAt = std::function<std::optional<Time>()>;
 
-/// The parts of a gateway that its status is read from; all outlive the reader.
+/// The objects that a gateway's status is read from; all must outlive the reader.
 struct StatusSources {
     const net::EventLoop& loop;
     const Log& log;
@@ -33,19 +33,19 @@
     const trace::RecordingScheduler& scheduler;
 };
 
-/// Reads and changes nothing.
+/// Builds the gateway's status without changing anything.
 class StatusReader {
 public:
-    /// `incarnation`: the gateway's name and start.
+    /// `incarnation`: the gateway's name and start time.
     StatusReader(StatusSources sources, std::string incarnation)
         : sources_(sources), incarnation_(std::move(incarnation)) {}
 
     void set_list_age_source(ListConfirmedAt confirmed_at) { list_confirmed_at_ = std::move(confirmed_at); }
     const std::string& incarnation() const { return incarnation_; }
 
-    /// The document of GET /v1/status, whose words are a stable format; they are those of the metrics' labels.
+    /// The document of GET /v1/status. Its names are a stable format, and match the labels of the metrics.
     boost::json::object status() const;
-    /// For each invoker what the scheduler estimates, beside what is on the connections.
+    /// One row per invoker: the scheduler's estimates, and the number of calls and connections.
     boost::json::array estimates() const;
     metrics::Levels levels() const;
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -42,7 +42,7 @@
     for (const LevelInfo& each : levels)
         if (config.level == each.name) min_level_ = each.level;
     spdlog::init_thread_pool(config.queue_size, 1);
-    // A full queue drops its oldest lines: the thread that schedules requests never waits for the disk.
+    // A full queue drops its oldest lines, so that the thread that schedules requests never waits for the disk.
     logger_ = std::make_shared<spdlog::async_logger>("plumkeel", make_sink(config.file), spdlog::thread_pool(),
                                                      spdlog::async_overflow_policy::overrun_oldest);
     logger_->set_pattern("%v");
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,6 +1,6 @@
-/// Structured logs: one JSON object a line, written by a thread of spdlog's through a bounded queue. Lines of one kind
-/// are written at a bounded rate, so that a burst cannot fill the disk; the next line of the kind carries the number of
-/// those that were suppressed.
+/// Structured log: one JSON object per line, written by an spdlog thread through a bounded queue. The rate of lines
+/// with the same event name is limited, so that a burst cannot fill the disk; the next line of that event tells how
+/// many were suppressed.
 #pragma once
 
 #include <boost/json.hpp>
@@ -19,7 +19,7 @@
 
 namespace plumkeel {
 
-/// The process's log. There may be one at a time, since it owns spdlog's global thread pool.
+/// The log of the process. Only one may exist at a time, since it owns spdlog's global thread pool.
 class Log {
 public:
     enum class Level { debug, info, warn, error };
@@ -31,12 +31,12 @@
     Log(const Log&) = delete;
     Log& operator=(const Log&) = delete;
 
-    /// Whether lines of this level are written: saves building fields that would be dropped.
+    /// Whether lines of this level are written. Lets a caller skip building the fields of a line that is not.
     bool is_enabled(Level level) const { return level >= min_level_; }
 
-    /// Writes a line with the event's name, in snake case, and its fields, beside the common fields `at` (seconds since
-    /// the Unix epoch), `level`, `kind` (the name) and, where lines were, `suppressed`. The string behind `event` must
-    /// outlive the log. Never waits for the disk.
+    /// Writes a line with `fields` and the common fields `at` (seconds since the Unix epoch), `level`, `kind` (the
+    /// event name, in snake case) and, if lines were suppressed before, `suppressed` (their number). The string behind
+    /// `event` must outlive the log. Does not wait for the disk.
     void write(Level level, std::string_view event, Fields fields = {});
 
     /// Number of lines lost because the queue was full.
@@ -47,7 +47,7 @@
     const LogConfig config_;
     Level min_level_ = Level::info;
     std::shared_ptr<spdlog::logger> logger_;
-    std::map<std::string_view, RateLimiter> rate_limiters_;  // by event
+    std::map<std::string_view, RateLimiter> rate_limiters_;  // by event name
 };
 
 }  // namespace plumkeel
--- a/src/log/rate_limiter.hpp
+++ b/src/log/rate_limiter.hpp
@@ -8,16 +8,16 @@
 
 namespace plumkeel {
 
-/// Does no I/O and reads no clock: the caller passes the time, which must not go back.
+/// Reads no clock: the caller passes the time, which must not decrease.
 class RateLimiter {
 public:
     /// Allows `per_s` events a second on average and up to `burst` at once.
     RateLimiter(double per_s, double burst) : per_s_(per_s), burst_(burst), tokens_(burst) {}
 
-    /// Whether an event may pass at `now`; counts it as suppressed if not.
+    /// Returns whether an event is allowed at `now`; counts it as suppressed if not.
     bool allow(net::Time now);
 
-    /// Number of events suppressed since the last call.
+    /// Returns the number of events suppressed since the last call of this function.
     std::uint64_t take_suppressed() { return std::exchange(suppressed_, 0); }
 
 private:
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -21,16 +21,16 @@
 using platform_settings::SettingsError;
 
 constexpr std::size_t min_descriptors = 64, min_memory_mb = 24;
-// The listener, discovery's old and new connection, the event loop's own and the log.
+// For the listener, the old and new connections to the discovery service, the event loop and the log.
 constexpr std::size_t reserved_descriptors = 24;
 constexpr std::size_t max_connections_per_invoker = 8;
-// Beside request bodies the process has 14 to 19 MB resident, as its own status lines report.
+// Request bodies may use a sixth of the process's memory.
 constexpr std::size_t body_memory_divisor = 6;
 constexpr std::size_t max_body_bytes = 16 * 1024;
 constexpr std::size_t log_queue_size = 256;
-constexpr Time head_timeout = 1500ms;       // misbehaving clients must get a response or a close within 3 s
+constexpr Time head_timeout = 1500ms;       // the platform requires a response or a close within 3 s
 constexpr Time client_idle_timeout = 6s;    // clients close idle connections after 4 s
-constexpr Time client_unread_timeout = 2s;  // a client that reads nothing of its responses
+constexpr Time client_unread_timeout = 2s;  // for a client that does not read its responses
 
 std::uint64_t parse_seed(const json& root) {
     constexpr int hexadecimal = 16;
@@ -78,7 +78,7 @@
         named.name = name;
     }
     if (config.request_classes.empty()) throw SettingsError("field 'classes' is missing: at least one is required");
-    // It bounds the deadline that a client may ask for: without it, every request would be rejected.
+    // The longest deadline limits what clients may request; with a limit of 0 every request would be rejected.
     if (settings.max_wait <= Time{}) throw SettingsError("field 'deadline' of 'classes' is missing");
 }
 
@@ -86,7 +86,7 @@
     config.pool.connect_timeout = settings.connect_timeout;
     config.pool.health_check_timeout = settings.connect_timeout;
     config.pool.preload_timeout = settings.preload_timeout;
-    // The gateway closes idle connections before the invoker does, so that no attempt is sent into a closing one.
+    // The gateway closes idle connections before the invoker does, so that no attempt is sent on one being closed.
     config.pool.idle_timeout = settings.idle_timeout / 2;
     config.pool.max_attempts_per_connection = settings.max_attempts_per_connection;
     config.admission.max_body_bytes = max_body_bytes;
@@ -97,8 +97,8 @@
     config.metrics.enabled = false;
 }
 
-// Divides the file descriptors: half to clients, the rest to invokers, with a reserve, so that neither misbehaving
-// clients nor a large fleet starve discovery or the log.
+// Divides the file descriptors: half of them for clients, a reserve for the process itself, and the others for
+// invokers. Neither misbehaving clients nor a large fleet can use up the descriptors of discovery or the log.
 void divide_descriptors(std::size_t descriptors, std::size_t invokers, GatewayConfig& config) {
     if (descriptors < min_descriptors)
         throw SettingsError(
@@ -118,7 +118,8 @@
     config.log.queue_size = log_queue_size;
 }
 
-std::size_t largest_list(const std::vector<discovery::WatchEvent>& events) {
+// The number of endpoints in the largest event.
+std::size_t max_endpoint_count(const std::vector<discovery::WatchEvent>& events) {
     std::size_t largest = 0;
     for (const discovery::WatchEvent& event : events) largest = std::max(largest, event.endpoints.size());
     return largest;
@@ -141,7 +142,7 @@
     out.labels = {settings.zones, settings.invoker_types};
     out.response_options = {settings.report_fields, settings.reports_concurrency};
     apply_connection_settings(settings, out.gateway);
-    divide_descriptors(out.descriptors, largest_list(out.initial_events), out.gateway);
+    divide_descriptors(out.descriptors, max_endpoint_count(out.initial_events), out.gateway);
     divide_memory(out.memory_mb, out.gateway);
     return out;
 }
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -1,5 +1,5 @@
-/// The configuration file that the platform gives a controller at its start, decoded once and checked: the gateway's
-/// configuration, with the bounds that follow from the process's limits, and what the platform's own edges need.
+/// The configuration file that the platform gives a controller at its start. It is decoded and checked once, and yields
+/// the gateway's configuration, limits derived from the process's resources, and settings of the platform's protocols.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     std::size_t memory_mb{};    ///< Resident memory that the process may use.
     net::Address discovery;     ///< Address of the discovery service.
     std::vector<discovery::WatchEvent> initial_events;
-    std::uint64_t last_known_event{};  ///< Number of the last event that the file already covers.
+    std::uint64_t last_known_event{};  ///< Number of the last discovery event in the file.
     discovery::LabelTable labels;
     invoker_protocol::ResponseOptions response_options;
 };
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Clients may connect for 0.6 s after the controller is told to stop; the rest is a margin.
+// Clients may connect for 0.6 s after the controller is told to stop; the remaining 0.2 s are a margin.
 constexpr Time shutdown_grace = 800ms;
 constexpr Time lag_check_interval = 250ms;
 constexpr int lag_checks_per_status = 12;
@@ -92,7 +92,7 @@
     loop_.call_at(lag_check_due_at_, [this] { check_lag(); });
 }
 
-// How late this timer fires is how long the event loop was blocked.
+// The delay of this timer shows for how long the event loop was blocked.
 void PlatformServer::check_lag() {
     worst_lag_ = std::max(worst_lag_, loop_.now() - lag_check_due_at_);
     schedule_lag_check();
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -1,5 +1,5 @@
-/// Connects the platform's edges (FastCGI clients, the invoker protocol, discovery) to a gateway. It runs on any event
-/// loop: on sockets, or in virtual time against scripted peers.
+/// Connects the platform's protocols (FastCGI for clients, the invoker protocol, discovery) to a gateway. It runs on
+/// any event loop, with real sockets or in virtual time for tests.
 #pragma once
 
 #include "discovery/watcher.hpp"
@@ -17,8 +17,8 @@
     net::Error open();
     /// Applies a new configuration: only the discovery service's address may change at run time.
     void reconfigure(const PlatformConfig& config);
-    /// Accepts clients for a moment longer, then stops listening; calls `on_stopped` once every request has its
-    /// response.
+    /// Accepts clients for a grace period, then stops listening. Calls `on_stopped` once every request has its response
+    /// and all connections to clients are closed.
     void shut_down(std::function<void()> on_stopped);
     const gateway::Gateway& gateway() const { return gateway_; }
     const discovery::Watcher& watcher() const { return watcher_; }
--- a/src/platform/serve.cpp
+++ b/src/platform/serve.cpp
@@ -11,13 +11,13 @@
 namespace plumkeel::platform {
 namespace {
 
-constexpr double unlimited_lines = 1e6;
+constexpr double unlimited_lines_per_s = 1e6;
 constexpr std::size_t debug_log_queue_size = 8192;
 
 void apply_log_level(const std::string& level, LogConfig& log) {
     log.level = level;
     if (level != "debug") return;
-    log.max_lines_per_s = log.burst = unlimited_lines;
+    log.max_lines_per_s = log.burst = unlimited_lines_per_s;
     log.queue_size = debug_log_queue_size;
 }
 
@@ -32,7 +32,7 @@
 }  // namespace
 
 int serve(const std::string& file, const std::string& log_level) {
-    // A signal that arrives before the loop runs is handled then: it neither ends the process nor is lost.
+    // Signals that arrive before the event loop runs are handled once it runs, instead of ending the process.
     net::SignalBlock signal_block({SIGHUP, SIGTERM, SIGINT});
     PlatformConfig config = load_platform_config(file);
     apply_log_level(log_level, config.gateway.log);
--- a/src/platform/serve.hpp
+++ b/src/platform/serve.hpp
@@ -1,12 +1,12 @@
-/// The `plumkeel platform` command: a platform server on sockets, with its signals.
+/// The `plumkeel platform` command: runs a platform server on sockets and handles signals.
 #pragma once
 
 #include <string>
 
 namespace plumkeel::platform {
 
-/// Serves until SIGTERM or SIGINT; SIGHUP loads the configuration `file` again. Returns the exit status. With
-/// `log_level` debug, log lines are not limited in rate.
+/// Serves until SIGTERM or SIGINT; SIGHUP loads the configuration `file` again. Returns the exit status. At `log_level`
+/// debug, the rate of log lines is not limited.
 int serve(const std::string& file, const std::string& log_level = "info");
 
 }  // namespace plumkeel::platform
--- a/src/platform_settings/fields.hpp
+++ b/src/platform_settings/fields.hpp
@@ -28,7 +28,7 @@
     return Time(std::llround(ms * microseconds_per_ms));
 }
 
-/// What a C++ type accepts, in the words of an error message.
+/// Describes, for error messages, which JSON values a C++ type accepts.
 template <class T>
 constexpr const char* expected_json_type() {
     if constexpr (std::is_same_v<T, bool>)
@@ -41,7 +41,7 @@
         return "an array of strings";
 }
 
-/// The field's value, or `fallback` where it is absent or null.
+/// Returns the field's value, or `fallback` where the field is absent or null.
 template <class T>
 T get_or(const json& object, const char* key, T fallback = {}) {
     const auto it = object.find(key);
@@ -58,17 +58,17 @@
     return it != object.end() && !it->is_null();
 }
 
-/// The field's value; throws where it is absent or null.
+/// Returns the field's value; throws where the field is absent or null.
 template <class T>
 T require(const json& object, const char* key) {
     if (!has(object, key)) throw SettingsError(field_name(key) + " is missing");
     return get_or<T>(object, key);
 }
 
-/// A duration given in milliseconds.
+/// Reads a duration given in milliseconds; returns `fallback` where the field is absent or null.
 inline Time duration_or(const json& object, const char* key, Time fallback = {}) {
     if (!has(object, key)) return fallback;
-    constexpr double max_ms = 1e12;  // 31 years; far beyond it, microseconds overflow
+    constexpr double max_ms = 1e12;  // 31 years; much longer durations overflow in microseconds
     const auto ms = get_or<double>(object, key);
     if (!(ms >= 0 && ms <= max_ms))
         throw SettingsError(field_name(key) + ": found " + object.at(key).dump() +
@@ -76,7 +76,7 @@
     return from_ms(ms);
 }
 
-/// A nested object; empty where it is absent or null.
+/// Returns a nested object, or an empty one where the field is absent or null.
 inline const json& object_or_empty(const json& object, const char* key) {
     static const json empty = json::object();
     const auto it = object.find(key);
--- a/src/platform_settings/settings.hpp
+++ b/src/platform_settings/settings.hpp
@@ -1,5 +1,5 @@
-/// The settings object of the platform, which the simulator's first message and a controller's configuration both
-/// contain: the only decoder of its names and units. Free of I/O.
+/// Decodes the settings object of the platform, which is part of the simulator's first message and of a controller's
+/// configuration. Does no I/O.
 #pragma once
 
 #include <map>
@@ -16,13 +16,13 @@
     Capabilities capabilities;
     std::map<std::string, RequestClass> request_classes;
     std::map<std::string, Tenant> tenants;
-    /// Invokers report how many requests ran beside each one.
+    /// Whether invokers report how many requests a copy ran concurrently.
     bool reports_concurrency{};
-    /// Names of the figures of a load report, in the order in which reports contain them.
+    /// Names of the values in a load report, in the order in which reports contain them.
     std::vector<std::string> report_fields;
 
-    // What only a controller on real connections uses.
-    std::vector<std::string> zones, invoker_types;  ///< The tables that discovery frames index.
+    // The following fields are used only with real connections, not with the simulator.
+    std::vector<std::string> zones, invoker_types;  ///< Names to which discovery frames refer by index.
     Time connect_timeout{}, idle_timeout{}, preload_timeout{};
     Time max_wait{};  ///< The longest deadline of any request class.
     std::size_t max_attempts_per_connection{};
@@ -31,7 +31,7 @@
 /// Throws `SettingsError`, naming the field.
 PlatformSettings parse_settings(const json& root);
 
-/// Stores one figure of a load report under the name that the settings give it; unknown names are ignored.
+/// Stores one value of a load report. `field` is its name in the settings; unknown names are ignored.
 void set_report_field(LoadReport& report, const std::string& field, double value);
 
 }  // namespace plumkeel::platform_settings
--- a/src/random/pcg.hpp
+++ b/src/random/pcg.hpp
@@ -11,14 +11,14 @@
 public:
     explicit Pcg(std::uint64_t seed) : state_(seed * multiplier + increment) { next(); }
 
-    /// Continues from a raw state, without the scrambling of a seed.
+    /// Returns a generator with the given internal state, instead of deriving the state from a seed.
     static Pcg from_state(std::uint64_t state) {
         Pcg generator;
         generator.state_ = state;
         return generator;
     }
 
-    /// A number evenly distributed over [0, 1).
+    /// Returns the next number, uniformly distributed over [0, 1).
     double next() {
         const std::uint64_t previous = state_;
         state_ = previous * multiplier + increment;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -45,13 +45,13 @@
 
 TEST(Admission, PausesAcceptingWithoutDescriptors) {
     Admission admission({});
-    // The pause stays short as well: requests in the backlog have deadlines of a second.
+    // The pause must stay short, since requests in the backlog have deadlines of a second.
     for (int i = 0; i < 20; ++i) {
         const Time pause = admission.accept_pause();
         EXPECT_LE(pause, 160ms);
         EXPECT_GE(pause, i < 3 ? 20ms : 160ms) << i;
     }
-    EXPECT_EQ(admission.counted(RejectionReason::no_descriptors), 20u);
+    EXPECT_EQ(admission.rejection_count(RejectionReason::no_descriptors), 20u);
     admission.accepted();
     EXPECT_LT(admission.accept_pause(), 50ms);
 }
