--- a/src/gateway/attempt_call.hpp
+++ b/src/gateway/attempt_call.hpp
@@ -13,11 +13,11 @@
 class PreloadCall;
 struct InvokerEndpoint;
 
-/// Who started a call and learns what becomes of it. Must outlive the calls' connection pools.
+/// Receives the events of the calls that it started. Must outlive the connection pools that hold the calls.
 class CallObserver {
 public:
     virtual void on_attempt_sent(const AttemptCall& call) = 0;
-    /// False: nobody wants the response.
+    /// Returns false if the client no longer wants the response.
     virtual bool on_response_stream_begin(AttemptCall& call, unsigned status, const std::string& forwarded_headers) = 0;
     virtual void on_attempt_ended(AttemptCall& call, CallResult result) = 0;
     virtual void on_health_check_ended(InvokerEndpoint& endpoint, const CallResult& result) = 0;
@@ -27,8 +27,8 @@
     ~CallObserver() = default;
 };
 
-/// One attempt of a request. Owned by its request (ActiveRequest::calls), and by the connection pool until it has
-/// ended. The request outlives it: it is erased only when no attempt is in flight.
+/// One attempt of a request. Shared by the request (ActiveRequest::calls) and, until the call has ended, the connection
+/// pool. The request outlives the call, because a request is erased only when none of its attempts is in flight.
 class AttemptCall : public UpstreamCall {
 public:
     AttemptCall(CallObserver& observer, net::EventLoop& loop, ActiveRequest& for_request, Attempt& for_attempt);
@@ -39,15 +39,15 @@
     void on_chunk(std::string bytes) override;
     net::Task<bool> wait_writable() override;
 
-    /// As the scheduler must be given it.
+    /// The attempt as the scheduler's functions expect it: not const.
     Attempt& scheduler_attempt() const { return attempt_; }
     InvokerEndpoint& endpoint() const;
-    /// When its first byte was sent, if any was.
+    /// When the first byte of this attempt was sent; absent if none was.
     std::optional<Time> first_byte_sent_at() const { return first_byte_sent_at_; }
-    /// Whether it has taken effect for all that is known: it was sent, and nothing proves that it never ran.
+    /// Whether the invoker may have run this attempt: it was sent, and its outcome does not prove that it never ran.
     bool may_have_run() const;
 
-    /// Its end, kept from the scheduler while the response of another attempt streams to the client.
+    /// Result of this attempt, withheld from the scheduler while another attempt's response streams to the client.
     std::optional<CallResult> held_result;
 
 private:
@@ -57,7 +57,8 @@
     std::optional<Time> first_byte_sent_at_;
 };
 
-/// Owned by the connection pool alone. Its endpoint outlives it: EndpointRegistry waits for the pool to drain.
+/// A health check of one invoker, owned by the connection pool. The endpoint outlives the call, because
+/// EndpointRegistry keeps an endpoint until its pool has drained.
 class HealthCheckCall : public UpstreamCall {
 public:
     HealthCheckCall(CallObserver& observer, InvokerEndpoint& endpoint)
@@ -69,8 +70,8 @@
     InvokerEndpoint& endpoint_;
 };
 
-/// Loads or unloads copies of a function. Owned by the connection pool alone, as a HealthCheckCall is; its function may
-/// be released before it ends.
+/// Loads or unloads copies of a function at one invoker; owned by the connection pool. The call refers to the function
+/// by name, because the function may be released before the call ends.
 class PreloadCall : public UpstreamCall {
 public:
     PreloadCall(CallObserver& observer, InvokerEndpoint& endpoint, const PreloadCommand& command);
--- a/src/gateway/connection_pool.cpp
+++ b/src/gateway/connection_pool.cpp
@@ -30,16 +30,17 @@
 
 delivery::StopCause ConnectionPool::connect_failure_cause(const net::Error& error) {
     namespace asio = net::asio;
-    for (const net::Error& not_there : {net::Error(asio::error::connection_refused), net::Error(asio::error::timed_out),
-                                        net::Error(asio::error::host_unreachable)})
-        if (error == not_there) return delivery::StopCause::no_connection;
+    for (const net::Error& unavailable :
+         {net::Error(asio::error::connection_refused), net::Error(asio::error::timed_out),
+          net::Error(asio::error::host_unreachable)})
+        if (error == unavailable) return delivery::StopCause::no_connection;
     return delivery::StopCause::connection_lost;
 }
 
 void ConnectionPool::stop(UpstreamCall& call, delivery::StopCause cause) {
     if (call.state_ == UpstreamCall::State::ended) return;
-    const auto shared = call.shared_from_this();
-    finish_soon(shared, delivery::outcome_of(remove(call, cause), cause));
+    const auto shared_call = call.shared_from_this();
+    finish_soon(shared_call, delivery::outcome_of(remove(call, cause), cause));
 }
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/delivery.hpp
+++ b/src/gateway/delivery.hpp
@@ -1,13 +1,12 @@
-/// What the end of a call proves about its effect, whatever protocol carried it. Free of I/O.
+/// Derives a call's outcome from how far the call got and why it was stopped. Independent of the protocol, without I/O.
 #pragma once
 
 #include "scheduler/types.hpp"
 
 namespace plumkeel::delivery {
 
-/// How far a call got before its connection ended, its deadline passed, or it was cancelled. What counts as written is
-/// the protocol's matter: one whose invokers run a request only once it has come whole reports `may_have_run` only
-/// then.
+/// How far a call got before its connection ended, its deadline passed, or it was cancelled. Where invokers run a
+/// request only after receiving all of it, the protocol reports `may_have_run` only once everything is written.
 enum class Progress { not_connected, not_written, may_have_run };
 enum class StopCause { no_connection, connection_lost, timed_out, cancelled, cancelled_unsent };
 
--- a/src/gateway/edges.hpp
+++ b/src/gateway/edges.hpp
@@ -1,7 +1,7 @@
-/// The interfaces between the gateway and the protocols at its two edges: ResponseSink towards clients, ConnectionPool
-/// with its UpstreamCalls towards invokers. HTTP implements them in src/web, the platform's protocols in src/fastcgi
-/// and src/invoker_protocol. An edge translates, enforces limits, and reports what is proven about a call; it decides
-/// nothing.
+/// The interfaces between the gateway and its protocols: ResponseSink for clients, ConnectionPool and UpstreamCall for
+/// invokers. They are implemented for HTTP in src/web, and for the platform's protocols in src/fastcgi and
+/// src/invoker_protocol. An implementation translates messages, enforces limits, and reports the results of calls; all
+/// decisions about requests are made by the scheduler.
 #pragma once
 
 #include "gateway/connection_pool.hpp"
--- a/src/gateway/endpoint.hpp
+++ b/src/gateway/endpoint.hpp
@@ -1,4 +1,4 @@
-/// One invoker as a source of endpoints (Consul, or the platform's discovery) describes it.
+/// Description of one invoker, as received from Consul or from the platform's discovery service.
 #pragma once
 
 #include <chrono>
@@ -8,14 +8,14 @@
 namespace plumkeel::gateway {
 
 struct Endpoint {
-    std::string name;     ///< unique; an endpoint with the same name is the same invoker
-    std::string address;  ///< host:port, checked by the source
+    std::string name;     ///< unique: endpoints with the same name are the same invoker
+    std::string address;  ///< host:port, already validated
     std::string zone;
-    std::string type;     ///< invokers of one type are taken to be equally fast until learned otherwise
-    bool ready = true;    ///< false: it drains, and takes no new attempts
+    std::string type;     ///< invokers of one type are assumed equally fast until measured
+    bool ready = true;    ///< false: the invoker is draining and accepts no new attempts
     double capacity = 1;  ///< relative weight: the concurrency that the invoker announces
-    int cell{};           ///< invokers of one cell share their memory of idempotency keys
-    std::optional<std::chrono::microseconds> started_at;  ///< since the Unix epoch
+    int cell{};           ///< invokers of one cell share their store of idempotency keys
+    std::optional<std::chrono::microseconds> started_at;  ///< start of the invoker, since the Unix epoch
     bool operator==(const Endpoint&) const = default;
 };
 
--- a/src/gateway/endpoint_registry.cpp
+++ b/src/gateway/endpoint_registry.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often a removed endpoint is looked at: is its pool drained?
+/// Interval of the check whether the pool of a removed endpoint has drained.
 constexpr Time drain_check_interval = 1s;
 
 }  // namespace
@@ -62,7 +62,7 @@
         endpoint.pool = make_pool_(*address, connection_counts_);
 }
 
-// A start that is listed again unchanged stays the same moment, whatever the clocks have done since.
+// The start time is converted only when the listed value changes, so that a clock step does not move it.
 void EndpointRegistry::update_start(InvokerEndpoint& endpoint, const Endpoint& listed) {
     if (listed.started_at == endpoint.advertised_start) return;
     endpoint.advertised_start = listed.started_at;
@@ -104,7 +104,8 @@
     close_when_drained(closing);
 }
 
-// Looks again after an interval even where nothing is open now: what was queued for this turn must find its endpoint.
+// Destroys the endpoint one interval after its pool was found drained, not at once: calls already scheduled in the
+// event loop still refer to it.
 void EndpointRegistry::close_when_drained(std::list<ClosingEndpoint>::iterator closing) {
     const ConnectionPool& pool = *closing->endpoint->pool;
     const bool drained = pool.connection_count() + pool.queued_count() == 0;
--- a/src/gateway/endpoint_registry.hpp
+++ b/src/gateway/endpoint_registry.hpp
@@ -1,5 +1,5 @@
-/// The invokers that the gateway knows, with their connections: from the first list that names one until the scheduler
-/// releases it and its connections have drained.
+/// The invokers that the gateway knows, with their connections. An invoker is kept from when it is first listed until
+/// the scheduler has released it and its connections have drained.
 #pragma once
 
 #include <list>
@@ -18,14 +18,14 @@
 
 namespace plumkeel::gateway {
 
-/// An invoker as the gateway holds it: the scheduler's part, and the connections to it.
+/// An invoker: the scheduler's state (Invoker) and the gateway's connections to it.
 struct InvokerEndpoint : Invoker {
     std::unique_ptr<ConnectionPool> pool;
     std::optional<Time> draining_since;
-    /// Since the Unix epoch, as the list gave it last: by its change a restart is recognised.
+    /// Last listed start time, since the Unix epoch; a change of it means that the invoker was restarted.
     std::optional<Time> advertised_start;
 
-    /// Whether it may be sent new attempts.
+    /// Whether new attempts may be sent to this invoker.
     bool accepts_attempts() const { return ready && is_listed; }
 };
 
@@ -33,8 +33,8 @@
     return static_cast<InvokerEndpoint&>(invoker);
 }
 
-/// Owns each InvokerEndpoint with its pool, and the InvokerTypes. An endpoint that is removed stays here until its pool
-/// has drained, since calls that wait for their turn there still refer to it.
+/// Owns each InvokerEndpoint with its pool, and the InvokerTypes. A removed endpoint is kept until its pool has
+/// drained, since calls in that pool still refer to it.
 class EndpointRegistry {
 public:
     using Endpoints = std::map<std::string, std::unique_ptr<InvokerEndpoint>>;
@@ -44,20 +44,20 @@
     EndpointRegistry(const EndpointRegistry&) = delete;
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
 
-    /// Adds or updates what the list names, as far as PoolConfig::max_invokers allows. Returns these invokers in the
-    /// list's order.
+    /// Adds or updates the listed invokers, up to PoolConfig::max_invokers in total. Returns those added or updated, in
+    /// the order of `changed`.
     std::vector<Invoker*> update(const std::vector<Endpoint>& changed);
-    /// Those of these names that are known and listed.
+    /// Returns the invokers with these names that are still listed.
     std::vector<Invoker*> find_listed(const std::vector<std::string>& names) const;
     std::vector<Invoker*> listed_except(const std::vector<Invoker*>& excluded) const;
-    /// Cancels what waits for a connection to an invoker that takes no new attempts: the scheduler sends nothing new
-    /// there, and what was not sent yet is new as well.
+    /// Cancels the attempts that wait for a connection to this invoker if it is draining: sending them now would give
+    /// it new work.
     void cancel_unsent_if_draining(InvokerEndpoint& endpoint);
     void cancel_unsent_of_draining();
-    /// The scheduler has released the invoker. Its connections close as they become idle.
+    /// Removes an invoker that the scheduler has released. Its connections close as they become idle.
     void remove(InvokerEndpoint& endpoint);
 
-    /// Compares wall clock and monotonic clock, and logs a step of the former.
+    /// Compares the wall clock with the monotonic clock, and logs a step of the wall clock.
     void check_clocks();
 
     const Endpoints& endpoints() const { return endpoints_; }
@@ -66,7 +66,7 @@
     std::size_t wall_clock_steps() const { return start_clock_.step_count(); }
 
 private:
-    /// Removed, and not drained yet when it was last looked at.
+    /// A removed endpoint, kept until its pool has drained.
     struct ClosingEndpoint {
         std::unique_ptr<InvokerEndpoint> endpoint;
         net::EventLoop::TimerKey timer;
@@ -81,7 +81,7 @@
     const PoolConfig& config_;
     const PoolFactory make_pool_;
     std::map<std::string, InvokerType> invoker_types_;
-    ConnectionCounts connection_counts_;  // before the pools that refer to it
+    ConnectionCounts connection_counts_;  // declared before endpoints_, whose pools refer to it
     Endpoints endpoints_;
     std::list<ClosingEndpoint> closing_;
     StartClock start_clock_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,7 +21,7 @@
     return start;
 }
 
-/// In the order of start_record(), as RequestTable::tenants() are.
+/// The request classes in the order in which start_record() lists them: by name.
 std::vector<const RequestClass*> request_classes(const GatewayConfig& config) {
     std::vector<const RequestClass*> result;
     for (const auto& [name, request_class] : config.request_classes) result.push_back(&request_class);
@@ -32,7 +32,7 @@
     return fmt::format("{}/{:x}", name, wall_clock / 1ms);
 }
 
-/// Sets a flag for as long as it lives; it must not be set already.
+/// Sets a flag from construction to destruction. The flag must not be set before.
 class ScopedFlag {
 public:
     explicit ScopedFlag(bool& flag) : flag_(flag) {
@@ -92,7 +92,7 @@
     loop_.call_at(loop_.now(), std::exchange(on_drained_, nullptr));
 }
 
-// ---------------------------------------------------------------- events, given to the scheduler
+// ---------------------------------------------------------------- events passed to the scheduler
 
 template <class Event>
 void Gateway::call_scheduler(Event event) {
@@ -109,8 +109,8 @@
     accounting_.request_received(is_client_retry);
     stall_monitor_.request_received();
     call_scheduler([&](trace::RecordingScheduler& scheduler, Time now) { return scheduler.submit(now, request); });
-    ActiveRequest* const remaining = requests_.find(id);
-    return remaining && !remaining->is_completed() ? remaining : nullptr;
+    ActiveRequest* const submitted = requests_.find(id);
+    return submitted && !submitted->is_completed() ? submitted : nullptr;
 }
 
 void Gateway::client_disconnected(ActiveRequest& request) {
@@ -134,7 +134,7 @@
     });
     accounting_.response_streamed();
     request.sink->begin_stream(request, status, forwarded_headers);
-    // The request is bound to this response: no other attempt of it can be of use any more.
+    // The client gets this response, so the request's other attempts are cancelled.
     for (const auto& other : request.calls)
         if (other.get() != &call && other->attempt->in_flight) other->endpoint().pool->cancel(*other);
     return true;
@@ -142,7 +142,7 @@
 
 void Gateway::on_attempt_ended(AttemptCall& call, CallResult result) {
     ActiveRequest& request = *call.request;
-    // While a response streams, the ends of other attempts decide nothing: the scheduler is given them after it.
+    // While an attempt's response is streamed, the results of other attempts are held; the scheduler gets them later.
     if (request.streaming_call && request.streaming_call != &call && !request.is_completed()) {
         call.held_result = std::move(result);
         return;
@@ -150,7 +150,7 @@
     const bool late = request.is_completed();
     accounting_.attempt_ended(call, result, late);
     const std::uint64_t id = request.id;
-    // The client's response is sent before what the end of the attempt sets going.
+    // The client's response is sent before the scheduler's actions are applied.
     call_scheduler([&](trace::RecordingScheduler& scheduler, Time now) {
         Actions actions = scheduler.attempt_ended(now, call.scheduler_attempt(), result.outcome, result.load_event,
                                                   result.concurrent_requests, result.report);
@@ -159,14 +159,14 @@
             finish_response(request, result);
         return actions;
     });
-    // Where the scheduler rejected or failed the request, applying its Actions may have erased it.
+    // Applying the Actions may have erased the request, if the scheduler rejected or failed it.
     if (requests_.find(id)) deliver_held_results(request);
 }
 
 void Gateway::on_health_check_ended(InvokerEndpoint& endpoint, const CallResult& result) {
-    const bool answered = result.status && result.outcome == AttemptOutcome::succeeded;
+    const bool succeeded = result.status && result.outcome == AttemptOutcome::succeeded;
     call_scheduler([&](trace::RecordingScheduler& scheduler, Time now) {
-        return scheduler.health_check_ended(now, endpoint, answered, result.report);
+        return scheduler.health_check_ended(now, endpoint, succeeded, result.report);
     });
 }
 
@@ -198,10 +198,10 @@
     for (Invoker* invoker : removed) endpoints_.cancel_unsent_if_draining(invoker_endpoint(*invoker));
 }
 
-// ---------------------------------------------------------------- the scheduler's actions, applied
+// ---------------------------------------------------------------- actions returned by the scheduler
 
-// In this order: clients get their responses before new work is sent, and requests are erased before the functions and
-// invokers that they refer to.
+// The order matters: clients get their responses before new work is sent, and requests are erased before the functions
+// and invokers that they refer to.
 void Gateway::apply(const Actions& actions) {
     for (const Attempt* attempt : actions.to_cancel) cancel_attempt(*attempt);
     for (Request* request : actions.completed) send_rejection(active_request(*request));
@@ -235,8 +235,8 @@
     ActiveRequest& request = active_request(*attempt.request);
     const auto call = std::make_shared<AttemptCall>(call_observer(), loop_, request, attempt);
     request.calls.push_back(call);
-    // An invoker may close an idle connection at the very moment when an attempt is sent on it. A request that may run
-    // only once is not exposed to that: it gets a connection of its own.
+    // An invoker may close an idle connection just as an attempt is sent on it. An at-most-once request could not be
+    // retried then, so its attempt is sent on a fresh connection.
     call->fresh_connection = request.request_class->idempotency == Idempotency::at_most_once;
     accounting_.attempt_sent();
     send_call(call, call->endpoint(), attempt.timeout);
@@ -255,7 +255,7 @@
               config_.pool.preload_timeout);
 }
 
-// The deadline counts from the decision: a pause of the process since then takes from the call's own time.
+// The timeout counts from the scheduler's decision, so that a pause of the process since then does not extend it.
 void Gateway::send_call(std::shared_ptr<UpstreamCall> call, InvokerEndpoint& endpoint, Time timeout) {
     call->invoker = endpoint.name;
     call->deadline = last_scheduler_call_at_ + timeout;
@@ -264,7 +264,7 @@
 
 // ---------------------------------------------------------------- final responses
 
-// The scheduler has rejected or failed the request.
+// Sends the gateway's own final response to a request that the scheduler has rejected or failed.
 void Gateway::send_rejection(ActiveRequest& request) {
     accounting_.request_not_served(request);
     if (request.sink) check_final_response(invariants_, request, loop_.now(), loop_.lag());
@@ -272,7 +272,7 @@
     complete(request);
 }
 
-// The end of an attempt has completed the request: an invoker's response is whole, or a streaming one broke off.
+// Called when an attempt has completed its request: its response is complete, or was interrupted while streaming.
 void Gateway::finish_response(ActiveRequest& request, CallResult& result) {
     const bool succeeded = result.outcome == AttemptOutcome::succeeded;
     if (request.sink) check_final_response(invariants_, request, loop_.now(), loop_.lag());
@@ -285,8 +285,8 @@
     complete(request);
 }
 
-// Once for each request, when it has its final response or its client has disconnected. It is erased later, when none
-// of its attempts is in flight.
+// Called once for each request, when it has its final response or its client has disconnected. The request is erased
+// later, when none of its attempts is in flight.
 void Gateway::complete(ActiveRequest& request) {
     admission_.release_request();
     admission_.release(request.held_bytes);
@@ -295,16 +295,16 @@
     notify_if_drained();
 }
 
-// Gives the scheduler the ends of attempts that were held while a response streamed, and erases the request if it is
-// settled.
+// Passes the results that were held while a response was streamed to the scheduler. Erases the request if it is
+// completed and none of its attempts is in flight.
 void Gateway::deliver_held_results(ActiveRequest& request) {
     const auto calls = request.calls;
     for (const auto& call : calls) {
         if (!request.is_completed() || !call->held_result) continue;
-        const CallResult held = *std::exchange(call->held_result, std::nullopt);
+        const CallResult result = *std::exchange(call->held_result, std::nullopt);
         call_scheduler([&](trace::RecordingScheduler& scheduler, Time now) {
-            return scheduler.attempt_ended(now, call->scheduler_attempt(), held.outcome, held.load_event,
-                                           held.concurrent_requests, held.report);
+            return scheduler.attempt_ended(now, call->scheduler_attempt(), result.outcome, result.load_event,
+                                           result.concurrent_requests, result.report);
         });
     }
     requests_.erase_if_settled(request);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,9 +1,10 @@
-/// The gateway: gives one Scheduler what happens and applies the Actions that it returns. One process, one Gateway, one
-/// Scheduler, one thread. It decides nothing that the scheduler, admission or the source of endpoints decides.
+/// The gateway passes events to a Scheduler and applies the Actions that the scheduler returns. A process has one
+/// Gateway with one Scheduler, on one thread. Whether a request is accepted is decided by Admission; which invoker runs
+/// it, and when, by the scheduler.
 ///
-/// Who owns what: RequestTable the requests, and through them their attempts' calls; EndpointRegistry the invokers with
-/// their connection pools; the pools their connections and, until they have ended, the calls; the clients' edge its
-/// connections, as ResponseSinks. Each timer belongs to the class that names it in a member, and is cancelled there.
+/// Ownership: RequestTable owns the requests and, through them, the calls of their attempts; EndpointRegistry owns the
+/// invokers and their connection pools; a pool owns its connections and shares each call until the call has ended; the
+/// server for clients owns its connections (ResponseSinks). The class that stores a timer in a member cancels it.
 #pragma once
 
 #include <boost/json.hpp>
@@ -35,7 +36,7 @@
 
 class Gateway final : private CallObserver {
 public:
-    /// `make_pool` opens no connection yet. `record` is given every call into the scheduler and its answer, for traces.
+    /// `make_pool` must not open a connection yet. `record` receives every scheduler call and its result, for traces.
     Gateway(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, PoolFactory make_pool,
             trace::RecordCallback record = {});
     ~Gateway();
@@ -43,19 +44,19 @@
     Gateway& operator=(const Gateway&) = delete;
 
     void start();
-    /// Admits no more requests; calls `on_drained` once every open one has its final response.
+    /// Admits no more requests; calls `on_drained` once every open request has its final response.
     void shut_down(std::function<void()> on_drained);
 
-    /// For the clients' edge, which Admission has let the request pass. Null: it has its final response already. The
-    /// pointer is valid until the sink gets that response.
+    /// Submits a request that Admission has accepted. Returns null if the request already has its final response; else
+    /// the pointer is valid until `sink` gets that response.
     ActiveRequest* submit(IncomingRequest incoming, std::shared_ptr<ResponseSink> sink);
-    /// Its sink is released, and gets nothing more.
+    /// Cancels a request whose client has disconnected. Its sink is released and not called again.
     void client_disconnected(ActiveRequest& request);
-    /// How long what an edge reads now may have waited in its socket at the most: above 0 after a pause of the process.
-    /// `lateness`: what the reader knows of that by itself.
+    /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
+    /// of the process. `lateness`: a delay that the caller has measured itself.
     Time max_unread_time(Time lateness = {}) const { return stall_monitor_.max_unread_time(lateness); }
 
-    /// For the source of endpoints. `complete`: `changed` is the whole list, and all other invokers are gone.
+    /// Applies a new list of invokers. `complete`: `changed` is the whole list, and all other invokers are removed.
     void update_endpoints(const std::vector<Endpoint>& changed, bool complete);
     void remove_endpoints(const std::vector<std::string>& names);
     void set_list_age_source(ListConfirmedAt confirmed_at) { status_.set_list_age_source(std::move(confirmed_at)); }
@@ -64,7 +65,7 @@
     const GatewayConfig& config() const { return config_; }
     Admission& admission() { return admission_; }
     Log& log() { return log_; }
-    /// Name and start of this gateway, sent to invokers with each attempt.
+    /// Name and start time of this gateway, sent to invokers with each attempt.
     const std::string& incarnation() const { return status_.incarnation(); }
     void on_malformed_response(MalformedCallback callback) {
         endpoints_.connection_counts().on_malformed = std::move(callback);
@@ -72,7 +73,7 @@
     Invariants& invariants() { return invariants_; }
     boost::json::object status() const { return status_.status(); }
     boost::json::array estimates() const { return status_.estimates(); }
-    /// Null where the settings want no metrics. Their levels are those of the last round of MetricsCollector.
+    /// Null if the settings disable metrics. Gauges are updated at intervals, by MetricsCollector.
     metrics::GatewayMetrics* metrics() { return metrics_.get(); }
     void set_extra_levels(std::function<void(metrics::Levels&)> extra_levels);
 
@@ -84,8 +85,8 @@
     void on_health_check_ended(InvokerEndpoint& endpoint, const CallResult& result) override;
     void on_preload_ended(const PreloadCall& call, const CallResult& result) override;
 
-    /// Every call into the scheduler goes through here: `event` is given the scheduler and the time, and returns its
-    /// Actions, which are applied before this returns. Nothing that applies Actions may call it again.
+    /// Every call into the scheduler goes through this function: `event` calls the scheduler and returns its Actions,
+    /// which are applied before call_scheduler() returns. It must not be called while Actions are being applied.
     template <class Event>
     void call_scheduler(Event event);
     void apply(const Actions& actions);
@@ -110,10 +111,10 @@
     EndpointRegistry endpoints_;
     trace::RecordingScheduler scheduler_;
     Invariants invariants_;
-    std::unique_ptr<metrics::GatewayMetrics> metrics_;  // null where the settings want none
+    std::unique_ptr<metrics::GatewayMetrics> metrics_;  // null if the settings disable metrics
     RequestAccounting accounting_;
     StatusReader status_;
-    std::optional<MetricsCollector> metrics_collector_;  // with metrics_
+    std::optional<MetricsCollector> metrics_collector_;  // present if metrics_ is not null
     StallMonitor stall_monitor_;
     net::EventLoop::TimerKey wake_timer_{};
     Time wake_at_ = Time::max();
--- a/src/gateway/graceful_close.hpp
+++ b/src/gateway/graceful_close.hpp
@@ -1,4 +1,4 @@
-/// How connections to clients end without losing the last response.
+/// Closes a connection to a client without losing the last response.
 #pragma once
 
 #include <memory>
@@ -7,8 +7,8 @@
 
 namespace plumkeel::gateway {
 
-/// Writes what is pending, ends the sending direction, and closes after `linger`. A close at once would send a reset
-/// for input that is not read, which may overtake the last response.
+/// Writes all pending bytes, shuts down the sending direction, and closes the stream after `linger`. Closing at once
+/// would send a reset if input is unread, and the client might lose the last response.
 inline net::Task<> close_gracefully(net::EventLoop& loop, std::shared_ptr<net::Stream> stream,
                                     std::shared_ptr<net::WriteQueue> write_queue, net::Time linger) {
     co_await write_queue->wait_below(0);
--- a/src/gateway/invariants.hpp
+++ b/src/gateway/invariants.hpp
@@ -1,8 +1,8 @@
-/// The rules that every request, attempt and client connection must keep, checked at run time where something is sent,
-/// retried, closed or answered. A violation changes nothing: it is counted, and logged with the ids.
+/// Run-time checks of the rules that every request, attempt and client connection must keep. A violation is counted and
+/// logged, and has no other effect.
 ///
-/// The checks use what is on the connections and what clients were sent, not the scheduler's decisions: they are a
-/// second opinion on those. request_checks.hpp has the checks of requests and attempts.
+/// The checks look at what was sent to invokers and clients, independently of the scheduler's decisions.
+/// request_checks.hpp has the checks of requests and attempts.
 #pragma once
 
 #include <array>
@@ -16,20 +16,20 @@
 namespace plumkeel::gateway {
 
 enum class Invariant {
-    attempt_after_completion,         ///< an attempt was sent although its request was over: answered, or client gone
-    attempt_past_deadline,            ///< an attempt was sent, or may last, past its request's deadline
-    too_many_attempts,                ///< more than the settings allow for one request
-    concurrent_attempts,              ///< two in flight, where the settings allow one
-    unsafe_retry,                     ///< an earlier attempt may have run, and this one would take effect again
-    attempt_to_draining_endpoint,     ///< the list says that the invoker takes no more attempts
-    connection_closed_with_requests,  ///< a client's connection was closed by us with requests open on it
-    late_response,                    ///< the final response came more than the grace after the deadline
-    unproven_rejection,               ///< the client was told that there was no effect, and nothing proves it
+    attempt_after_completion,         ///< an attempt was sent after its request was completed
+    attempt_past_deadline,            ///< an attempt was sent, or has its own deadline, after the request's deadline
+    too_many_attempts,                ///< more attempts were sent for one request than the settings allow
+    concurrent_attempts,              ///< two attempts of a request were in flight without hedging allowed
+    unsafe_retry,                     ///< a retry could take effect twice, because an earlier attempt may have run
+    attempt_to_draining_endpoint,     ///< an attempt was sent to an invoker that is draining or not listed
+    connection_closed_with_requests,  ///< the gateway closed a client connection with open requests
+    late_response,                    ///< the final response was sent too long after the deadline
+    unproven_rejection,               ///< a client was told without proof that its request had no effect
 };
 
 constexpr std::size_t invariant_count = static_cast<std::size_t>(Invariant::unproven_rejection) + 1;
 
-/// As in the label of plumkeel_invariants_broken_total, in status and in the log.
+/// The name used in the label of plumkeel_invariants_broken_total, in the status document and in the log.
 std::string_view name_of(Invariant invariant);
 
 /// Counts and logs violations.
@@ -38,13 +38,13 @@
     using Fields = Log::Fields;
     explicit Invariants(Log& log) : log_(log) {}
 
-    /// `describe` returns ids and figures (times in milliseconds); it is called only where the invariant does not hold.
+    /// Reports a violation unless `holds`. `describe` returns the log line's fields; it is called only on a violation.
     template <class Describe>
     void check(bool holds, Invariant invariant, Describe describe) {
         if (!holds) report_violation(invariant, describe());
     }
     std::uint64_t violations(Invariant invariant) const { return counts_[static_cast<std::size_t>(invariant)]; }
-    /// Of all invariants together.
+    /// Number of violations of all invariants.
     std::uint64_t violations() const;
 
 private:
@@ -54,11 +54,12 @@
     std::array<std::uint64_t, invariant_count> counts_{};
 };
 
-/// Rule 2: whether an attempt of a request of this class may be sent to `next` at `now`, after the attempt at
-/// `earlier`, which may have run or is in flight, was sent at `sent_at`.
+/// Whether a request of this class may be sent to `next` at `now`, after an attempt that was sent to `earlier` at
+/// `sent_at` and may have run.
 bool may_retry_on(const RequestClass& request_class, const Invoker& earlier, Time sent_at, const Invoker& next,
                   Time now);
-/// Rule 2: whether the client may be told that nothing took effect, after an attempt that may have run.
+/// Whether the client may be told at `now` that its request had no effect, after an attempt that was sent at `sent_at`
+/// and may have run.
 bool may_report_no_effect(const RequestClass& request_class, Time sent_at, Time now);
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/metrics_collector.cpp
+++ b/src/gateway/metrics_collector.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Rounds between two reviews of which tenants and functions have series of their own.
-constexpr std::uint64_t review_interval = 5;
+/// Collection rounds between two reviews of which tenants and functions get metric series of their own.
+constexpr std::uint64_t rounds_per_review = 5;
 
 }  // namespace
 
@@ -18,11 +18,11 @@
 
 void MetricsCollector::collect() {
     metrics::Levels levels = status_.levels();
-    // How late this timer runs shows for how long the thread did nothing else.
+    // The delay of this timer shows for how long the event loop was blocked.
     levels.lag_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
     if (extra_levels_) extra_levels_(levels);
     metrics_.set_levels(levels);
-    if (++rounds_ % review_interval == 0) metrics_.review();
+    if (++rounds_ % rounds_per_review == 0) metrics_.review();
     due_at_ = loop_.now() + metrics_.config().interval;
     timer_ = loop_.call_at(due_at_, [this] { collect(); });
 }
--- a/src/gateway/metrics_collector.hpp
+++ b/src/gateway/metrics_collector.hpp
@@ -1,4 +1,4 @@
-/// Brings the levels of the gateway's metrics up to date at regular intervals.
+/// Updates the gauges of the gateway's metrics at regular intervals.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
     MetricsCollector& operator=(const MetricsCollector&) = delete;
 
     void start();
-    /// Called with the levels of each round, for what others measure.
+    /// `extra_levels` is called in each round to add gauges that are measured outside the gateway.
     void set_extra_levels(std::function<void(metrics::Levels&)> extra_levels) {
         extra_levels_ = std::move(extra_levels);
     }
--- a/src/gateway/queueing_pool.hpp
+++ b/src/gateway/queueing_pool.hpp
@@ -1,4 +1,4 @@
-/// What the connection pools of both protocols have in common: a bounded queue of calls that wait for a connection.
+/// Base class of the connection pools of both protocols: a bounded queue of calls that wait for a connection.
 #pragma once
 
 #include <deque>
@@ -18,18 +18,18 @@
 protected:
     using Call = std::shared_ptr<UpstreamCall>;
 
-    /// `address`: of the invoker.
+    /// `address` is the invoker's; `counts` are shared by all pools of the gateway.
     QueueingPool(net::EventLoop& loop, const PoolConfig& config, net::Address address, ConnectionCounts& counts);
 
-    /// Puts the call on a connection; false where it has to wait for one.
+    /// Assigns the call to a connection. Returns false if the call has to wait for one.
     virtual bool dispatch(const Call& call) = 0;
-    /// Appends the attempts that are on a connection, and of which no byte has been sent.
+    /// Appends the attempts that are assigned to a connection but of which no byte has been sent.
     virtual void collect_unsent(std::vector<Call>& unsent) const = 0;
-    /// Calls are waiting, and none of this pool's connections can take the first.
+    /// Called when no connection of this pool can take the first of the waiting calls.
     virtual void on_waiting() {}
 
     bool enqueue(const Call& call) override;
-    /// Dispatches waiting calls, oldest first, as far as connections allow.
+    /// Dispatches waiting calls, oldest first, until one has to wait for a connection.
     void dispatch_queued();
     void remove_queued(UpstreamCall& call) { std::erase(queue_, call.shared_from_this()); }
 
--- a/src/gateway/request_accounting.hpp
+++ b/src/gateway/request_accounting.hpp
@@ -1,4 +1,4 @@
-/// Counts, metrics and log lines of requests and attempts.
+/// Counters, metrics and log lines of requests and attempts.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace plumkeel::gateway {
 
-/// Since the gateway's start.
+/// Counters since the gateway's start.
 struct RequestCounters {
     std::uint64_t received{}, succeeded{}, rejected{}, failed{}, cancelled{};
-    std::uint64_t streamed{};        ///< responses that were passed on as they came
-    std::uint64_t late_responses{};  ///< of attempts, after the request was over
+    std::uint64_t streamed{};        ///< responses that were streamed to the client
+    std::uint64_t late_responses{};  ///< responses of attempts whose request was completed before
     std::uint64_t attempts{}, health_checks{}, preloads{};
 };
 
 class RequestAccounting {
 public:
-    /// `metrics` may be null.
+    /// `metrics` is null if the settings disable metrics.
     RequestAccounting(net::EventLoop& loop, Log& log, metrics::GatewayMetrics* metrics)
         : loop_(loop), log_(log), metrics_(metrics) {}
 
@@ -30,11 +30,11 @@
     void response_streamed() { ++counters_.streamed; }
     void health_check_sent();
     void preload_sent();
-    /// `late`: its request was over already.
+    /// `late`: the request was completed before this attempt ended.
     void attempt_ended(const AttemptCall& call, const CallResult& result, bool late);
-    /// The scheduler has rejected or failed the request.
+    /// Logs that the scheduler has rejected or failed the request.
     void request_not_served(const ActiveRequest& request);
-    /// Once for each request: it has its final response, or its client has disconnected.
+    /// Called once for each request, when it has its final response or its client has disconnected.
     void request_completed(const ActiveRequest& request);
 
     const RequestCounters& counters() const { return counters_; }
--- a/src/gateway/request_checks.cpp
+++ b/src/gateway/request_checks.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// After the deadline: rules.grace_to_answer of the protocol page (8 ms), and 50 ms for sockets.
+/// How long after its deadline a request may get its final response: 8 ms by the platform's protocol, 50 ms for
+/// sockets.
 constexpr Time response_grace = 58ms;
 
 }  // namespace
@@ -49,7 +50,7 @@
                                   {"attempts", request.calls.size()},
                                   {"late_ms", (now - request.deadline) / 1ms}};
     };
-    // A response that is late because this thread was held up was given as soon as possible.
+    // The delay of the event loop is allowed for, and so are streamed responses, which may end after the deadline.
     invariants.check(now <= request.deadline + response_grace + lag || request.streaming_call, Invariant::late_response,
                      describe);
     if (request.state != RequestState::rejected) return;
--- a/src/gateway/request_checks.hpp
+++ b/src/gateway/request_checks.hpp
@@ -1,5 +1,4 @@
-/// The invariants of requests and attempts, checked where an attempt is sent and where a request gets its final
-/// response.
+/// Checks the invariants of requests and attempts when an attempt is sent and when a request gets its final response.
 #pragma once
 
 #include "gateway/attempt_call.hpp"
@@ -8,10 +7,10 @@
 
 namespace plumkeel::gateway {
 
-/// When the first byte of the call is being sent.
+/// Called when the first byte of the attempt is being sent.
 void check_attempt_sent(Invariants& invariants, const AttemptCall& call, const Capabilities& capabilities, Time now);
 
-/// When the request gets its final response, whoever gives it. `lag`: by how much the event loop is behind.
+/// Called when the request gets its final response, from an invoker or from the gateway. `lag`: the event loop's delay.
 void check_final_response(Invariants& invariants, const ActiveRequest& request, Time now, Time lag);
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/request_table.cpp
+++ b/src/gateway/request_table.cpp
@@ -53,7 +53,7 @@
 }
 
 void RequestTable::release_function(const Function& function) {
-    const std::string name = function.name;  // the key must outlive the function, which erase() destroys
+    const std::string name = function.name;  // a copy, since erase() destroys the function with its name
     functions_.erase(name);
 }
 
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -18,37 +18,38 @@
 
 class AttemptCall;
 
-/// What a client asked for, as its edge has read it and admission has accepted it.
+/// A request as received from a client, after Admission has accepted it.
 struct IncomingRequest {
     const NamedRequestClass* request_class{};
-    std::string name;                 ///< the request's id among those of its client; empty where the protocol has none
-    std::uint64_t sink_request_id{};  ///< by which its ResponseSink knows it
+    std::string name;                 ///< the client's own id of the request; empty if the protocol has none
+    std::uint64_t sink_request_id{};  ///< identifies the request to its ResponseSink
     std::string function, tenant, idempotency_key;
-    std::string forwarded_headers;  ///< header lines that go on to the invoker
-    Time remaining{};               ///< to its deadline, when it arrived
-    Time unread_time{};             ///< since then, before its bytes were read
-    std::optional<Time> read_at;
-    int concurrency = 1;        ///< requests that one copy of its function runs at once
-    std::optional<int> memory;  ///< MB of a loaded copy
+    std::string forwarded_headers;  ///< header lines to forward to the invoker
+    Time remaining{};               ///< time to the deadline when the request arrived
+    Time unread_time{};             ///< how long the request waited in its socket before it was read
+    std::optional<Time> read_at;    ///< when the request was read; absent: just now
+    int concurrency = 1;            ///< requests that one copy of the function runs at once
+    std::optional<int> memory;      ///< MB that one copy of the function uses
     std::optional<Time> declared_load_time;
     bool is_client_retry{};
     std::string body;
     std::size_t held_bytes{};  ///< bytes of `body` reserved at Admission; the request releases them when it completes
 };
 
-/// A request as the gateway holds it: the scheduler's part, and what is needed to send it and to respond.
+/// An open request: the scheduler's state (Request), and what the gateway needs to send attempts and to respond.
 struct ActiveRequest : Request {
-    std::shared_ptr<ResponseSink> sink;  ///< until its final response is given, or the client has disconnected
-    std::string name, idempotency_key, forwarded_headers;  ///< as in IncomingRequest, down to `memory`
+    std::shared_ptr<ResponseSink> sink;  ///< null once the request is completed or its client has disconnected
+    // The fields from `name` to `memory` are copied from IncomingRequest.
+    std::string name, idempotency_key, forwarded_headers;
     std::uint64_t sink_request_id{};
     int concurrency{};
     std::optional<int> memory;
-    std::string encoded_suffix;  ///< kept for the invokers' edge: the bytes that all its attempts have in common
+    std::string encoded_suffix;  ///< encoded bytes that all attempts of the request share; filled by src/web
     std::shared_ptr<const std::string> body;
-    std::size_t held_bytes{};                         ///< reserved at Admission
-    std::string_view tenant_name;                     ///< empty: none that the settings name
-    std::vector<std::shared_ptr<AttemptCall>> calls;  ///< by attempt number
-    const AttemptCall* streaming_call{};              ///< whose response is being passed on to the client
+    std::size_t held_bytes{};                         ///< bytes of `body` reserved at Admission
+    std::string_view tenant_name;                     ///< empty if the settings do not name the tenant
+    std::vector<std::shared_ptr<AttemptCall>> calls;  ///< indexed by attempt number
+    const AttemptCall* streaming_call{};  ///< the attempt whose response is streamed to the client; else null
 };
 
 inline ActiveRequest& active_request(Request& request) {
@@ -57,23 +58,23 @@
 
 std::string_view request_class_name(const ActiveRequest& request);
 
-/// Owns each request from its arrival until it is completed and none of its attempts is in flight; each Function from
-/// its first request until the scheduler releases it; and each Tenant for good.
+/// Owns the requests, functions and tenants. A request is kept until it is completed and none of its attempts is in
+/// flight, a Function until the scheduler releases it, and a Tenant as long as the table exists.
 class RequestTable {
 public:
     explicit RequestTable(std::map<std::string, Tenant> tenants) : tenants_(std::move(tenants)) {}
 
     ActiveRequest& add(IncomingRequest incoming, std::shared_ptr<ResponseSink> sink, Time now);
-    /// Null: the request is over and erased.
+    /// Returns null if the request has been erased.
     ActiveRequest* find(std::uint64_t id);
     void erase_if_settled(ActiveRequest& request);
 
-    /// Null: released by the scheduler.
+    /// Returns null if the scheduler has released the function.
     Function* find_function(const std::string& name);
     void release_function(const Function& function);
     std::size_t function_count() const { return functions_.size(); }
 
-    /// In the order of their names.
+    /// Returns all tenants in the order of their names.
     std::vector<const Tenant*> tenants() const;
 
 private:
--- a/src/gateway/stall_monitor.cpp
+++ b/src/gateway/stall_monitor.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Time check_interval = 40ms;
-/// With no request open, something is due so often all the same: the scheduler's sweeps, and the status of its host.
+/// With no request open, other timers such as the scheduler's still run at least this often.
 constexpr Time idle_timer_interval = 250ms;
 
 }  // namespace
@@ -27,7 +27,7 @@
 Time StallMonitor::max_unread_time(Time lateness) const {
     lateness = std::max(lateness, loop_.lag());
     if (lateness <= net::EventLoop::stall_threshold) return {};
-    // The pause began up to one interval before something was due.
+    // The pause may have begun up to one interval before the time when the late timer was due.
     return lateness + (is_running() ? check_interval : idle_timer_interval);
 }
 
--- a/src/gateway/stall_monitor.hpp
+++ b/src/gateway/stall_monitor.hpp
@@ -1,4 +1,4 @@
-/// Notices pauses of the process, in which clients' bytes wait unread while their deadlines come closer.
+/// Detects pauses of the process, during which clients' requests wait unread while their deadlines approach.
 #pragma once
 
 #include "admission/admission.hpp"
@@ -6,8 +6,8 @@
 
 namespace plumkeel::gateway {
 
-/// While requests are open it keeps a timer due at short intervals: how late that runs (EventLoop::lag()) shows a
-/// pause. Owns the timer, which ends by itself when no request is open.
+/// Runs a timer at short intervals while requests are open, so that EventLoop::lag(), the delay of timers, shows a
+/// pause. The timer stops when no request is open.
 class StallMonitor {
 public:
     StallMonitor(net::EventLoop& loop, const Admission& admission) : loop_(loop), admission_(admission) {}
@@ -16,8 +16,8 @@
     StallMonitor& operator=(const StallMonitor&) = delete;
 
     void request_received();
-    /// How long what is read now may have waited in its socket at the most: above 0 after a pause only. `lateness`:
-    /// what the reader knows of by itself.
+    /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
+    /// of the process. `lateness`: a delay that the caller has measured itself.
     Time max_unread_time(Time lateness) const;
 
 private:
--- a/src/gateway/start_clock.cpp
+++ b/src/gateway/start_clock.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// A smaller change is drift: time services slew by 500 ppm at the most, which makes this in 200 s.
+/// A smaller change of the offset is drift: time services slew a clock by at most 500 ppm, or 100 ms in 200 s.
 constexpr StartClock::Time min_step = 100ms;
-/// Offsets that are kept; the oldest ones are forgotten.
+/// Number of offsets kept; when there are more, the oldest is discarded.
 constexpr std::size_t max_offsets = 8;
 
 }  // namespace
 
-void StartClock::compare(Time now, Time wall) {
-    const Time offset = wall - now;
+void StartClock::compare(Time now, Time wall_time) {
+    const Time offset = wall_time - now;
     const auto is_close = [&](Time other) { return std::chrono::abs(offset - other) < min_step; };
     if (!offsets_.empty() && is_close(offsets_.back())) {
         offsets_.back() = offset;
--- a/src/gateway/start_clock.hpp
+++ b/src/gateway/start_clock.hpp
@@ -1,5 +1,5 @@
-/// Converts the Unix times at which invokers started to times of the event loop's monotonic clock, so that a step of a
-/// wall clock doesn't move them. Free of I/O and clocks: its owner reads both.
+/// Converts the start times of invokers from Unix time to the event loop's monotonic clock, so that a step of a wall
+/// clock does not move them. It reads no clock itself: the caller passes the times.
 #pragma once
 
 #include <chrono>
@@ -11,19 +11,19 @@
 public:
     using Time = std::chrono::microseconds;
 
-    /// Compares both clocks. Call it regularly, so that a slow drift is followed and a step is recognised as one.
-    void compare(Time now, Time wall);
+    /// Compares the monotonic time `now` with the wall clock. Must be called regularly, to tell a step from slow drift.
+    void compare(Time now, Time wall_time);
 
-    /// The monotonic time of the Unix time `started`. The wall clock that announced it may have stepped together with
-    /// ours, or not: of all times that are possible and not after `now` the latest one counts, because an invoker in
-    /// slow start must never be taken for warm. Where none is possible, it started just now.
+    /// Returns the monotonic time of the Unix time `started`. The invoker's wall clock may or may not have stepped
+    /// together with ours, so several results are possible. The latest one that is not after `now` is returned, so that
+    /// an invoker in slow start is never taken for warm; if there is none, `now`.
     Time monotonic_time_of(Time started, Time now) const;
 
-    /// Steps of the wall clock that were recognised.
+    /// Number of steps of the wall clock seen so far.
     std::size_t step_count() const { return step_count_; }
 
 private:
-    std::deque<Time> offsets_;  // wall clock minus monotonic clock, the current one last
+    std::deque<Time> offsets_;  // wall clock minus monotonic clock; the last is the current one
     std::size_t step_count_{};
 };
 
--- a/src/gateway/upstream_call.hpp
+++ b/src/gateway/upstream_call.hpp
@@ -13,20 +13,20 @@
 
 struct ActiveRequest;
 
-/// How a call ended, as the invoker's protocol shows it.
+/// The result of a call, decoded from the invoker's protocol.
 struct CallResult {
     AttemptOutcome outcome{};
     LoadEvent load_event{};
-    int concurrent_requests{};      ///< in the same copy, as the invoker reports it; 0: not reported
-    int copies{};                   ///< loaded by a preload
-    LoadReport report;              ///< of the invoker's load, where it sent one
-    unsigned status{};              ///< 0: no whole response came
-    std::string forwarded_headers;  ///< header lines of the response that go on to the client
+    int concurrent_requests{};      ///< running in the same copy, as reported; 0: not reported
+    int copies{};                   ///< copies loaded by a preload
+    LoadReport report;              ///< the invoker's load report; empty if it sent none
+    unsigned status{};              ///< HTTP status; 0: no complete response arrived
+    std::string forwarded_headers;  ///< header lines of the response to forward to the client
     std::string body;
 };
 
-/// Who starts a call hands it to the invoker's ConnectionPool, which shares its ownership until the call has ended. It
-/// ends exactly once, by on_ended(), and never before the pool's function that it was handed to has returned.
+/// A call is shared by its sender and the invoker's ConnectionPool until it has ended. It ends exactly once, by
+/// on_ended(), which is never called before the pool function that received the call has returned.
 class UpstreamCall : public std::enable_shared_from_this<UpstreamCall> {
 public:
     enum class Kind { attempt, health_check, load_copies, unload_copies };
@@ -36,24 +36,24 @@
     virtual ~UpstreamCall() = default;
 
     virtual void on_ended(CallResult result) = 0;
-    /// Its first byte is being sent now.
+    /// Called when the first byte of the call is being sent.
     virtual void on_sent() {}
-    /// A large response has begun. False: nobody wants it, and the call ends as cancelled.
+    /// Called when a large response begins. Returns false if it is not wanted; the call then ends as cancelled.
     virtual bool on_stream_begin(unsigned /*status*/, const std::string& /*forwarded_headers*/) { return false; }
     virtual void on_chunk(std::string /*bytes*/) {}
-    /// Waits until the receiver of chunks has room for more; false when it has disconnected.
+    /// Waits until the receiver of the chunks has room for more. Returns false if the receiver has disconnected.
     virtual net::Task<bool> wait_writable() { co_return true; }
 
     const Kind kind;
-    ActiveRequest* request{};  ///< of an attempt; else null
-    const Attempt* attempt{};  ///< of an attempt; else null
-    std::string function;      ///< of a preload
-    int copies{};              ///< of a preload; 0: unload
+    ActiveRequest* request{};  ///< the request of an attempt; else null
+    const Attempt* attempt{};  ///< set if the call is an attempt; else null
+    std::string function;      ///< name of the function to load or unload; else empty
+    int copies{};              ///< number of copies to load; 0: unload
     std::string_view invoker;  ///< the invoker's name
-    net::Time deadline{};      ///< it ends as timed out then, unless its response streams
-    bool fresh_connection{};   ///< must not be sent on a connection that was used before
+    net::Time deadline{};      ///< when the call ends as timed out, unless its response streams
+    bool fresh_connection{};   ///< whether the call must be sent on a new connection
 
-    /// Health checks and preloads go before attempts, and may exceed the limit on connections.
+    /// Health checks and preloads are sent before queued attempts, and may exceed the limit on connections.
     bool has_priority() const { return kind != Kind::attempt; }
     State state() const { return state_; }
 
@@ -61,7 +61,7 @@
     friend class ConnectionPool;
     State state_{};
     net::EventLoop::TimerKey deadline_timer_{};  // set by ConnectionPool::send(), cancelled when the call ends
-    std::shared_ptr<void> connection_;           // the connection it was sent on, in the pool's own type
+    std::shared_ptr<void> connection_;           // the connection that carries the call; the pool defines its type
 };
 
 }  // namespace plumkeel::gateway
