--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -1,5 +1,5 @@
-/// A gateway that may open few file descriptors, whose clients hold more connections than these. It runs on real
-/// sockets in a process of its own, whose limit is lowered.
+/// A gateway with a low limit of file descriptors, whose clients open more connections than that. It runs on real
+/// sockets in a child process.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -40,17 +40,17 @@
 
 int connect_to(std::uint16_t port) {
     const int descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_port = htons(port);
-    to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::connect(descriptor, reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::connect(descriptor, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     return descriptor;
 }
 
-double cpu_seconds(const rusage& used) {
-    return static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
-           static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
+double cpu_seconds(const rusage& usage) {
+    return static_cast<double>(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) +
+           static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec) / 1e6;
 }
 
 TEST(FileDescriptors, ExhaustionNeitherSpinsNorStopsServer) {
@@ -65,7 +65,7 @@
     std::this_thread::sleep_for(2s);
     for (const int each : connections) ::close(each);
 
-    // It continues as soon as descriptors are free again: a response arrives.
+    // The server must respond again as soon as descriptors are free.
     const int connection = connect_to(port);
     const timeval read_timeout{20, 0};
     ::setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
@@ -77,10 +77,10 @@
     ::close(connection);
 
     ::kill(child, SIGKILL);
-    rusage used{};
-    ASSERT_EQ(::wait4(child, nullptr, 0, &used), child);
-    // Spinning on accept would have cost all of the two seconds.
-    EXPECT_LT(cpu_seconds(used), 1.0);
+    rusage usage{};
+    ASSERT_EQ(::wait4(child, nullptr, 0, &usage), child);
+    // A busy loop on accept would have used all of the two seconds.
+    EXPECT_LT(cpu_seconds(usage), 1.0);
 }
 
 }  // namespace
--- a/tests/gateway_admission_test.cpp
+++ b/tests/gateway_admission_test.cpp
@@ -17,54 +17,57 @@
     config.admission.max_body_bytes = 100;
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, GetParam().text);
+    ScriptedClient& client = add_client(10ms, GetParam().text);
     loop.run(30s);
-    EXPECT_EQ(one.count("plumkeel-objection: " + GetParam().word), 1) << one.received;
-    EXPECT_EQ(one.count("HTTP/1.1 " + std::to_string(GetParam().status)), 1) << one.received;
+    EXPECT_EQ(client.count("plumkeel-objection: " + GetParam().word), 1) << client.received;
+    EXPECT_EQ(client.count("HTTP/1.1 " + std::to_string(GetParam().status)), 1) << client.received;
     EXPECT_EQ(rejection_count(GetParam().word.c_str()), 1);
     EXPECT_EQ(invoker.attempts.size(), 0u);
     EXPECT_EQ(status_count("door", "connections"), 0);
 }
-/// The request line, then the header lines.
-std::string head(const std::string& lines, const std::string& line = "POST /v1/jobs/f HTTP/1.1") {
-    return line + "\r\nHost: x\r\n" + lines + "\r\n";
+/// A request head: the request line, a Host header and further header lines.
+std::string request_head(const std::string& header_lines,
+                         const std::string& request_line = "POST /v1/jobs/f HTTP/1.1") {
+    return request_line + "\r\nHost: x\r\n" + header_lines + "\r\n";
 }
-const std::string good = "plumkeel-use-case: p\r\nplumkeel-time-left: 1000\r\n";
+const std::string valid_fields = "plumkeel-use-case: p\r\nplumkeel-time-left: 1000\r\n";
 INSTANTIATE_TEST_SUITE_P(
     All, RejectedRequestTest,
     testing::Values(
         RejectedRequest{"what is this\r\n\r\n", "malformed", 400},
-        RejectedRequest{head(good + "Content-Length: -4\r\n"), "malformed", 400},
-        RejectedRequest{head(good + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n"), "malformed", 400},
-        RejectedRequest{head(good + "Transfer-Encoding: chunked\r\n") + "zz\r\n", "malformed", 400},
-        RejectedRequest{head(good + "X: " + std::string(4000, 'x') + "\r\n"), "head_too_big", 431},
-        RejectedRequest{head(good + "Content-Length: 101\r\n"), "body_too_big", 413},
-        RejectedRequest{
-            head(good + "Transfer-Encoding: chunked\r\n") + "200\r\n" + std::string(0x200, 'x') + "\r\n0\r\n\r\n",
-            "body_too_big", 413},
-        RejectedRequest{head(good, "GET /v1/jobs/f HTTP/1.1"), "no_such_path", 404},
-        RejectedRequest{head(good, "POST /elsewhere HTTP/1.1"), "no_such_path", 404},
-        RejectedRequest{head("plumkeel-use-case: q\r\nplumkeel-time-left: 1000\r\n"), "no_such_use_case", 400},
-        RejectedRequest{head("plumkeel-use-case: p\r\n"), "time_left_absent", 400},
-        RejectedRequest{head("plumkeel-use-case: p\r\nplumkeel-time-left: 0\r\n"), "time_left_absurd", 400},
-        RejectedRequest{head("plumkeel-use-case: p\r\nplumkeel-time-left: 99999999999999999\r\n"), "time_left_absurd",
+        RejectedRequest{request_head(valid_fields + "Content-Length: -4\r\n"), "malformed", 400},
+        RejectedRequest{request_head(valid_fields + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n"), "malformed",
                         400},
-        RejectedRequest{head("plumkeel-use-case: p\r\nplumkeel-time-left: soon\r\n"), "time_left_absurd", 400},
-        RejectedRequest{head("plumkeel-use-case: r\r\nplumkeel-time-left: 1000\r\n"), "mark_missing", 400},
-        RejectedRequest{head(good + "plumkeel-lanes: many\r\n"), "bad_field", 400},
-        RejectedRequest{head(good, "POST /v1/jobs/a%0Ab HTTP/1.1"), "bad_function", 400},
+        RejectedRequest{request_head(valid_fields + "Transfer-Encoding: chunked\r\n") + "zz\r\n", "malformed", 400},
+        RejectedRequest{request_head(valid_fields + "X: " + std::string(4000, 'x') + "\r\n"), "head_too_big", 431},
+        RejectedRequest{request_head(valid_fields + "Content-Length: 101\r\n"), "body_too_big", 413},
+        RejectedRequest{request_head(valid_fields + "Transfer-Encoding: chunked\r\n") + "200\r\n" +
+                            std::string(0x200, 'x') + "\r\n0\r\n\r\n",
+                        "body_too_big", 413},
+        RejectedRequest{request_head(valid_fields, "GET /v1/jobs/f HTTP/1.1"), "no_such_path", 404},
+        RejectedRequest{request_head(valid_fields, "POST /elsewhere HTTP/1.1"), "no_such_path", 404},
+        RejectedRequest{request_head("plumkeel-use-case: q\r\nplumkeel-time-left: 1000\r\n"), "no_such_use_case", 400},
+        RejectedRequest{request_head("plumkeel-use-case: p\r\n"), "time_left_absent", 400},
+        RejectedRequest{request_head("plumkeel-use-case: p\r\nplumkeel-time-left: 0\r\n"), "time_left_absurd", 400},
+        RejectedRequest{request_head("plumkeel-use-case: p\r\nplumkeel-time-left: 99999999999999999\r\n"),
+                        "time_left_absurd", 400},
+        RejectedRequest{request_head("plumkeel-use-case: p\r\nplumkeel-time-left: soon\r\n"), "time_left_absurd", 400},
+        RejectedRequest{request_head("plumkeel-use-case: r\r\nplumkeel-time-left: 1000\r\n"), "mark_missing", 400},
+        RejectedRequest{request_head(valid_fields + "plumkeel-lanes: many\r\n"), "bad_field", 400},
+        RejectedRequest{request_head(valid_fields, "POST /v1/jobs/a%0Ab HTTP/1.1"), "bad_function", 400},
         RejectedRequest{"POST /v1/jobs/f HT", "head_too_slow", 408},
-        RejectedRequest{head(good + "Content-Length: 50\r\n") + "some", "body_too_slow", 408}));
+        RejectedRequest{request_head(valid_fields + "Content-Length: 50\r\n") + "some", "body_too_slow", 408}));
 
 class GatewayAdmissionTest : public GatewayTest {};
 
 TEST_F(GatewayAdmissionTest, AChunkedBodyIsReadWhole) {
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     start_gateway();
-    ScriptedClient& one = add_client(
-        10ms, head(good + "Connection: close\r\nTransfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    ScriptedClient& client =
+        add_client(10ms, request_head(valid_fields + "Connection: close\r\nTransfer-Encoding: chunked\r\n") +
+                             "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     loop.run(3s);
-    EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 1) << one.received;
+    EXPECT_EQ(client.count("plumkeel-outcome: honoured"), 1) << client.received;
     EXPECT_EQ(invoker.attempts.size(), 1u);
 }
 
@@ -93,9 +96,10 @@
     add_invoker({Behaviour::responds});
     start_gateway();
     const std::string text = request("p", "", std::string(900, 'b'));
-    add_client(10ms, text.substr(0, text.size() - 800), 1s);  // 100 of 900 bytes, and no more
+    add_client(10ms, text.substr(0, text.size() - 800), 1s);  // sends 100 of the body's 900 bytes
     ScriptedClient& second = add_client(100ms, request("p", "", std::string(300, 'b')));
-    std::string chunked = head(good + "Transfer-Encoding: chunked\r\n") + "12c\r\n" + std::string(300, 'b');
+    std::string chunked =
+        request_head(valid_fields + "Transfer-Encoding: chunked\r\n") + "12c\r\n" + std::string(300, 'b');
     ScriptedClient& third = add_client(100ms, chunked);
     ScriptedClient& after = add_client(2s, request("p", "", std::string(900, 'b')), 5s);
     loop.run(10s);
--- a/tests/gateway_config_test.cpp
+++ b/tests/gateway_config_test.cpp
@@ -59,7 +59,7 @@
     expect_error(base + "{ log: { level: 'loud' } }", "log.level: found \"loud\", expected one of: debug, info");
 }
 
-// The files of tests/golden/settings are deploy/settings as once shipped: they load to the same values for good.
+// The files in tests/golden/settings are copies of shipped settings, which must always load to the same values.
 GatewayConfig load_shipped(const std::string& name) {
     return load_config(std::string(PLUMKEEL_GOLDEN) + "/settings/" + name);
 }
--- a/tests/gateway_endpoints_test.cpp
+++ b/tests/gateway_endpoints_test.cpp
@@ -4,7 +4,7 @@
 namespace plumkeel::gateway {
 namespace {
 
-/// A Consul agent with a list that the test changes.
+/// A Consul agent whose list of invokers is set by the test.
 struct ScriptedConsul {
     net::SimulatedEventLoop& loop;
     std::shared_ptr<net::Listener> listener;
@@ -35,8 +35,8 @@
             http::ReadBuffer buffer(accepted.stream);
             RequestParser parser;
             co_await read_request(buffer, parser);
-            const bool waits = parser.get().target().find(fmt::format("index={}&", index)) != std::string::npos;
-            if (waits) co_await changed.wait();
+            const bool is_up_to_date = parser.get().target().find(fmt::format("index={}&", index)) != std::string::npos;
+            if (is_up_to_date) co_await changed.wait();
             write_text(accepted.stream,
                        fmt::format("HTTP/1.1 200 OK\r\nX-Consul-Index: {}\r\nContent-Length: {}\r\n\r\n{}", index,
                                    body.size(), body));
@@ -58,14 +58,15 @@
     consul.set({ScriptedConsul::entry("i1")});
     start_gateway();
     ScriptedClient& in_flight = add_client(100ms, request("s"));
-    std::string other = request("s");
-    other.replace(other.find("jobs/f"), 6, "jobs/g");  // else it would be parked until f is loaded
-    ScriptedClient& queued = add_client(150ms, other);
+    std::string request_for_g = request("s");
+    request_for_g.replace(request_for_g.find("jobs/f"), 6,
+                          "jobs/g");  // a request for f would be parked until f is loaded
+    ScriptedClient& queued = add_client(150ms, request_for_g);
     loop.call_at(300ms, [&] { consul.set({ScriptedConsul::entry("i1", true)}); });
     ScriptedInvoker& b = add_invoker({Behaviour::responds});
     loop.call_at(700ms, [&] { consul.set({ScriptedConsul::entry("i1", true), ScriptedConsul::entry("i2")}); });
     loop.run(10s);
-    // The one in flight is awaited; the queued one was never sent, and goes to the other invoker.
+    // The request in flight ends at the draining invoker; the queued request was never sent and goes to invoker b.
     EXPECT_EQ(in_flight.count("plumkeel-outcome: honoured"), 1) << in_flight.received;
     EXPECT_EQ(queued.count("plumkeel-outcome: honoured"), 1) << queued.received;
     EXPECT_EQ(a.attempts.size(), 1u);
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-/// Runs the real gateway with its HTTP edges in virtual time over streams in memory, against scripted invokers and
+/// Test fixture that runs the real gateway over HTTP in virtual time, on in-memory streams, with scripted invokers and
 /// clients.
 #pragma once
 
@@ -31,7 +31,7 @@
 
 using RequestParser = http::bh::request_parser<http::bh::string_body>;
 
-/// Reads one HTTP request whole, or until the connection ends.
+/// Reads one complete HTTP request. Returns an error if the connection ends before.
 inline Task<net::Error> read_request(http::ReadBuffer& buffer, RequestParser& parser) {
     net::Error error;
     while (!parser.is_done() && !error) {
@@ -41,7 +41,7 @@
     co_return error;
 }
 
-/// An invoker that treats its nth attempt as its script says.
+/// An invoker that handles its nth attempt as the nth entry of `script` says.
 struct ScriptedInvoker {
     enum class Behaviour {
         responds,
@@ -58,10 +58,10 @@
     net::SimulatedEventLoop& loop;
     std::string name;
     std::shared_ptr<net::Listener> listener;
-    std::vector<Behaviour> script;  ///< the last one holds for all further attempts
+    std::vector<Behaviour> script;  ///< the last entry applies to all further attempts
     Time response_time = 10ms;
-    std::optional<Time> closes_after;   ///< an idle connection, after its response
-    std::vector<std::string> attempts;  ///< "request/attempt" in the order of arrival
+    std::optional<Time> closes_after;   ///< delay after a response until the connection is closed
+    std::vector<std::string> attempts;  ///< "request id/attempt number" in the order of arrival
     std::vector<Time> arrivals;
     int connections{};
     int cancelled{};  ///< connections that ended while an attempt hung
@@ -116,7 +116,7 @@
         }
     }
 
-    /// False: the connection was reset.
+    /// Sends the response. Returns false if it reset the connection instead.
     Task<bool> respond(std::shared_ptr<net::Stream> stream, Behaviour behaviour) {
         const std::string response = "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nContent-Length: 4\r\n\r\nwell";
         switch (behaviour) {
@@ -152,7 +152,7 @@
         co_return true;
     }
 
-    /// Sends 400 kB, or half of that and then resets. Returns whether it was whole.
+    /// Sends a response of 400 kB if `whole`, else half of it and then a reset. Returns `whole`.
     Task<bool> send_large(std::shared_ptr<net::Stream> stream, bool whole) {
         const std::size_t size = 400'000;
         const std::string head = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", size);
@@ -168,29 +168,30 @@
 };
 using Behaviour = ScriptedInvoker::Behaviour;
 
-/// A client that sends a text and reads until the other side ends the connection, or for as long as it stays.
+/// A client that connects, sends a text, and reads until the gateway closes the connection or `connected_for` is over.
 struct ScriptedClient {
     net::SimulatedEventLoop& loop;
     std::string received;
     Time last_received_at{}, ended_at{};
     bool was_reset{}, has_ended{};
 
-    ScriptedClient(net::SimulatedEventLoop& event_loop, Time connects_at, std::string text, Time stays = 1min,
+    ScriptedClient(net::SimulatedEventLoop& event_loop, Time connects_at, std::string text, Time connected_for = 1min,
                    bool reads = true)
         : loop(event_loop) {
-        loop.spawn(run(connects_at, std::move(text), stays, reads));
+        loop.spawn(run(connects_at, std::move(text), connected_for, reads));
     }
 
-    Task<> run(Time connects_at, std::string text, Time stays, bool reads) {
+    Task<> run(Time connects_at, std::string text, Time connected_for, bool reads) {
         co_await loop.sleep(connects_at - loop.now());
-        const net::Address gateway_address{"gateway", 1};  // this compiler frees a braced temporary of an await twice
+        const net::Address gateway_address{"gateway",
+                                           1};  // named, as GCC destroys a braced temporary in co_await twice
         auto connected = co_await loop.connect(gateway_address, 1s);
         if (connected.error) {
             has_ended = true;
             co_return;
         }
         const auto stream = connected.stream;
-        loop.call_at(loop.now() + stays, [stream] { stream->close(); });
+        loop.call_at(loop.now() + connected_for, [stream] { stream->close(); });
         const auto write_queue = std::make_shared<net::WriteQueue>(loop, stream);
         write_queue->send(std::move(text));
         std::vector<char> buffer(4096);
@@ -202,21 +203,23 @@
             was_reset = result.error == net::asio::error::connection_reset;
             break;
         }
-        if (!reads) co_await loop.sleep(stays);
+        if (!reads) co_await loop.sleep(connected_for);
         ended_at = loop.now();
         has_ended = true;
     }
 
-    /// How often the text stands in what was received.
+    /// Returns how often `text` occurs in the bytes received so far.
     int count(const std::string& text) const {
-        int n = 0;
-        for (auto at = received.find(text); at != std::string::npos; at = received.find(text, at + 1)) ++n;
-        return n;
+        int occurrences = 0;
+        for (auto position = received.find(text); position != std::string::npos;
+             position = received.find(text, position + 1))
+            ++occurrences;
+        return occurrences;
     }
 };
 
-/// A gateway with the request classes "p" (idempotent), "r" (deduplicated) and "s" (at most once). Each test ends by
-/// replaying its trace: the same calls into a fresh scheduler must give the same answers.
+/// A gateway with the request classes "p" (idempotent), "r" (deduplicated) and "s" (at most once). After each test the
+/// recorded scheduler calls are replayed with a new scheduler, which must return the same actions.
 class GatewayTest : public testing::Test {
 protected:
     GatewayTest() {
@@ -247,16 +250,16 @@
         request_class.deduplication_window = 5s;
     }
 
-    /// Before start_gateway() it is on the fixed list of invokers.
+    /// Adds an invoker. Only one added before start_gateway() is on the gateway's fixed list of invokers.
     ScriptedInvoker& add_invoker(std::vector<Behaviour> script) {
         const std::string name = "i" + std::to_string(invokers.size() + 1);
         config.endpoint_source.fixed.push_back({name, name + ":1", "a", "k", 1, 0});
         return *invokers.emplace_back(std::make_unique<ScriptedInvoker>(loop, name, std::move(script)));
     }
 
-    ScriptedClient& add_client(Time connects_at, std::string text, Time stays = 1min, bool reads = true) {
+    ScriptedClient& add_client(Time connects_at, std::string text, Time connected_for = 1min, bool reads = true) {
         return *clients.emplace_back(
-            std::make_unique<ScriptedClient>(loop, connects_at, std::move(text), stays, reads));
+            std::make_unique<ScriptedClient>(loop, connects_at, std::move(text), connected_for, reads));
     }
 
     void start_gateway() {
@@ -266,17 +269,18 @@
         ASSERT_FALSE(gateway->open());
     }
 
-    static std::string request(const std::string& request_class, const std::string& more = "Connection: close\r\n",
+    static std::string request(const std::string& request_class,
+                               const std::string& more_headers = "Connection: close\r\n",
                                const std::string& body = "work", int remaining_ms = 4000) {
         return fmt::format(
             "POST /v1/jobs/f HTTP/1.1\r\nHost: x\r\nplumkeel-use-case: {}\r\nplumkeel-time-left: {}\r\n"
             "plumkeel-mark: m\r\nContent-Length: {}\r\n{}\r\n{}",
-            request_class, remaining_ms, body.size(), more, body);
+            request_class, remaining_ms, body.size(), more_headers, body);
     }
 
-    std::int64_t status_count(const char* part, const char* key) {
+    std::int64_t status_count(const char* section, const char* key) {
         const auto status = gateway->status();
-        return (key ? status.at(part).at(key) : status.at(part)).to_number<std::int64_t>();
+        return (key ? status.at(section).at(key) : status.at(section)).to_number<std::int64_t>();
     }
 
     std::int64_t rejection_count(const char* word) {
@@ -286,9 +290,9 @@
     }
 
     std::size_t attempt_count() const {
-        std::size_t n = 0;
-        for (const auto& invoker : invokers) n += invoker->attempts.size();
-        return n;
+        std::size_t count = 0;
+        for (const auto& invoker : invokers) count += invoker->attempts.size();
+        return count;
     }
 
     void TearDown() override {
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-/// Gateway: how connection failures, disconnects and deadlines decide whether a request is lost or takes effect twice.
+/// Gateway: connection failures, disconnects and deadlines must neither lose a request nor let it take effect twice.
 #include "tests/gateway_fixture.hpp"
 
 namespace plumkeel::gateway {
@@ -7,16 +7,16 @@
 TEST_F(GatewayTest, RespondsAndReusesTheInvokersConnection) {
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request("p", "") + request("p"));
+    ScriptedClient& client = add_client(10ms, request("p", "") + request("p"));
     loop.run(5s);
-    EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 2) << one.received;
-    EXPECT_EQ(one.count("well"), 2);
+    EXPECT_EQ(client.count("plumkeel-outcome: honoured"), 2) << client.received;
+    EXPECT_EQ(client.count("well"), 2);
     EXPECT_EQ(invoker.attempts.size(), 2u);
     EXPECT_EQ(invoker.connections, 1);
     EXPECT_GE(status_count("lines", "reused"), 1);
 }
 
-// Resets after half the head, half the response, and before any of it: for each kind of request class.
+/// A way in which the first attempt of a request fails, and whether the request is retried.
 struct AttemptFailure {
     Behaviour failure;
     std::string request_class;
@@ -30,14 +30,14 @@
     ScriptedInvoker& a = add_invoker({GetParam().failure, Behaviour::responds});
     ScriptedInvoker& b = add_invoker({GetParam().failure, Behaviour::responds});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request(GetParam().request_class));
+    ScriptedClient& client = add_client(10ms, request(GetParam().request_class));
     loop.run(10s);
-    EXPECT_EQ(one.count("HTTP/1.1 "), 1) << one.received;
+    EXPECT_EQ(client.count("HTTP/1.1 "), 1) << client.received;
     if (GetParam().is_retried) {
-        EXPECT_EQ(one.count("plumkeel-outcome: honoured"), 1) << one.received;
+        EXPECT_EQ(client.count("plumkeel-outcome: honoured"), 1) << client.received;
         EXPECT_GE(attempt_count(), 2u);
     } else {
-        EXPECT_EQ(one.count("plumkeel-outcome: written-off"), 1) << one.received;
+        EXPECT_EQ(client.count("plumkeel-outcome: written-off"), 1) << client.received;
         EXPECT_EQ(a.attempts.size() + b.attempts.size(), 1u);
     }
 }
@@ -61,7 +61,7 @@
     EXPECT_EQ(invoker.attempts.size(), 6u);
 }
 
-// An invoker closes idle connections at every moment around the one when the next attempt is sent on them.
+// The invoker closes idle connections shortly before, while or after the next attempt is sent on them.
 TEST_F(GatewayTest, AnIdleConnectionMayCloseAsAnAttemptIsSentOnIt) {
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     invoker.closes_after = 5ms;
@@ -76,46 +76,48 @@
     // Attempts of at-most-once requests are sent on fresh connections, so none of these requests fails.
     for (std::size_t i = 1; i < clients.size(); i += 3)
         EXPECT_EQ(clients[i]->count("plumkeel-outcome: honoured"), 1) << clients[i]->received;
-    EXPECT_GT(status_count("jobs", "honoured"), 580) << gateway->status();  // a few idempotent ones ran out of attempts
+    EXPECT_GT(status_count("jobs", "honoured"), 580)
+        << gateway->status();  // a few idempotent requests use up their attempts
     EXPECT_EQ(status_count("jobs", "written_off"), 0);
 }
 
 TEST_F(GatewayTest, AHangingInvokerLeadsToOneResponseBeforeTheDeadline) {
     ScriptedInvoker& invoker = add_invoker({Behaviour::hangs});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request("s"));
-    ScriptedClient& two = add_client(20ms, request("p", "Connection: close\r\n", "work", 1000));
+    ScriptedClient& at_most_once_client = add_client(10ms, request("s"));
+    ScriptedClient& idempotent_client = add_client(20ms, request("p", "Connection: close\r\n", "work", 1000));
     loop.run(20s);
-    EXPECT_EQ(one.count("plumkeel-outcome: written-off"), 1) << one.received;
-    EXPECT_LT(one.last_received_at, 4010ms);
-    EXPECT_GT(one.last_received_at, 3900ms);
-    EXPECT_EQ(two.count("plumkeel-outcome: bounced"), 1) << two.received;
-    EXPECT_LT(two.last_received_at, 1020ms);
+    EXPECT_EQ(at_most_once_client.count("plumkeel-outcome: written-off"), 1) << at_most_once_client.received;
+    EXPECT_LT(at_most_once_client.last_received_at, 4010ms);
+    EXPECT_GT(at_most_once_client.last_received_at, 3900ms);
+    EXPECT_EQ(idempotent_client.count("plumkeel-outcome: bounced"), 1) << idempotent_client.received;
+    EXPECT_LT(idempotent_client.last_received_at, 1020ms);
     EXPECT_GE(invoker.cancelled, 1);
 }
 
-// The response arrives around the deadline, from 15 ms before it to 5 ms after it.
+// Responses arrive from 15 ms before the request's deadline to 5 ms after it.
 TEST_F(GatewayTest, AResponseAtTheDeadlineGivesOneFinalResponse) {
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     invoker.response_time = 500ms;
     start_gateway();
-    std::vector<ScriptedClient*> all;
-    for (int us = -15000; us <= 5000; us += 100)
-        all.push_back(&add_client(1s + 2s * ((us + 15000) / 100), request("s", "Connection: close\r\n", "w", 500)));
+    std::vector<ScriptedClient*> deadline_clients;
+    for (int offset_us = -15000; offset_us <= 5000; offset_us += 100)
+        deadline_clients.push_back(
+            &add_client(1s + 2s * ((offset_us + 15000) / 100), request("s", "Connection: close\r\n", "w", 500)));
     std::size_t round = 0;
-    for (int us = -15000; us <= 5000; us += 100, ++round)
+    for (int offset_us = -15000; offset_us <= 5000; offset_us += 100, ++round)
         loop.call_at(900ms + 2s * static_cast<int>(round),
-                     [&invoker, us] { invoker.response_time = 500ms + Time(us); });
+                     [&invoker, offset_us] { invoker.response_time = 500ms + Time(offset_us); });
     loop.run(10min);
     int succeeded = 0, failed = 0;
-    for (const ScriptedClient* client : all) {
+    for (const ScriptedClient* client : deadline_clients) {
         EXPECT_EQ(client->count("HTTP/1.1 "), 1) << client->received;
         succeeded += client->count("plumkeel-outcome: honoured");
         failed += client->count("plumkeel-outcome: written-off");
     }
     EXPECT_GT(succeeded, 0);
     EXPECT_GT(failed, 0);
-    EXPECT_EQ(succeeded + failed, static_cast<int>(all.size()));
+    EXPECT_EQ(succeeded + failed, static_cast<int>(deadline_clients.size()));
 }
 
 TEST_F(GatewayTest, ADisconnectedClientCancelsItsAttempt) {
@@ -146,24 +148,24 @@
     ScriptedInvoker& invoker = add_invoker({Behaviour::responds});
     invoker.response_time = 600ms;
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request("s", "Connection: close\r\n", "w", 300));
+    ScriptedClient& client = add_client(10ms, request("s", "Connection: close\r\n", "w", 300));
     loop.run(3s);
-    EXPECT_EQ(one.count("HTTP/1.1 "), 1);
-    EXPECT_EQ(one.count("well"), 0);
+    EXPECT_EQ(client.count("HTTP/1.1 "), 1);
+    EXPECT_EQ(client.count("well"), 0);
     EXPECT_EQ(status_count("jobs", "written_off"), 1);
 }
 
 TEST_F(GatewayTest, LargeResponsesStreamAndATruncatedOneEndsInAReset) {
     add_invoker({Behaviour::sends_large, Behaviour::truncates_large});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request("p"));
-    ScriptedClient& two = add_client(2s, request("p"));
+    ScriptedClient& first_client = add_client(10ms, request("p"));
+    ScriptedClient& second_client = add_client(2s, request("p"));
     loop.run(30s);
-    EXPECT_EQ(one.count("Transfer-Encoding: chunked"), 1) << one.received.substr(0, 300);
-    EXPECT_EQ(one.count("\r\n0\r\n\r\n"), 1);
-    EXPECT_GT(one.received.size(), 400'000u);
-    EXPECT_EQ(two.count("\r\n0\r\n\r\n"), 0);
-    EXPECT_TRUE(two.was_reset);
+    EXPECT_EQ(first_client.count("Transfer-Encoding: chunked"), 1) << first_client.received.substr(0, 300);
+    EXPECT_EQ(first_client.count("\r\n0\r\n\r\n"), 1);
+    EXPECT_GT(first_client.received.size(), 400'000u);
+    EXPECT_EQ(second_client.count("\r\n0\r\n\r\n"), 0);
+    EXPECT_TRUE(second_client.was_reset);
     EXPECT_EQ(status_count("jobs", "streamed"), 2);
     EXPECT_EQ(status_count("jobs", "open"), 0);
 }
@@ -173,9 +175,9 @@
     config.pool.stream_buffer_bytes = 64 * 1024;
     add_invoker({Behaviour::sends_large});
     start_gateway();
-    ScriptedClient& one = add_client(10ms, request("p"), 20s, false);
+    ScriptedClient& client = add_client(10ms, request("p"), 20s, false);
     loop.run(30s);
-    EXPECT_TRUE(one.has_ended);
+    EXPECT_TRUE(client.has_ended);
     EXPECT_EQ(rejection_count("unread_answer"), 1);
     EXPECT_EQ(status_count("jobs", "open"), 0);
     EXPECT_EQ(status_count("door", "connections"), 0);
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,15 +1,15 @@
-/// A platform server whose thread has too much to do.
+/// Overload: a platform server whose thread is busy most of the time.
 #include "net/socket_event_loop.hpp"
 #include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
 
-// The thread is late most of the time and finds more timers overdue whenever it looks: attempts that are held back
-// while it lags are sent nevertheless.
+// The event loop lags most of the time and has overdue timers in every turn. Attempts that are held back while it lags
+// must still be sent.
 TEST(Overload, AttemptsAreSentWhileThreadLags) {
-    const auto host = [](int last) {
-        return fmt::format("127.{}.{}.{}", 32 + (::getpid() >> 8) % 32, ::getpid() & 255, last);
+    const auto host = [](int last_byte) {
+        return fmt::format("127.{}.{}.{}", 32 + (::getpid() >> 8) % 32, ::getpid() & 255, last_byte);
     };
     std::string text = default_config;
     for (const auto& [from, to] : std::map<std::string, std::string>{
@@ -31,17 +31,17 @@
         loop.call_at(400ms + 50ms * i, [&] { keep_busy(42ms); });
         for (int k = 1; k < 40; ++k) loop.call_at(400ms + 50ms * i + 1ms * k, [&] { keep_busy(100us); });
     }
-    std::vector<std::unique_ptr<ScriptedClient>> all;
+    std::vector<std::unique_ptr<ScriptedClient>> clients;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        all.push_back(std::make_unique<ScriptedClient>(
+        clients.push_back(std::make_unique<ScriptedClient>(
             loop, 1s + 10ms * static_cast<int>(i),
             std::vector<std::pair<Time, std::string>>{{0ms, message(1, job_fields(hex16(i), hex16(i), 2900))}}, true,
             net::Address{host(1), 7001}));
     loop.call_at(5s, [&] { loop.stop(); });
     loop.run();
-    std::size_t answered = 0;
-    for (const auto& each : all) answered += each->response(1).times == 1;
-    EXPECT_EQ(answered, 10u);
+    std::size_t responses = 0;
+    for (const auto& each : clients) responses += each->response(1).times == 1;
+    EXPECT_EQ(responses, 10u);
     EXPECT_GE(a.runs.size() + b.runs.size(), 10u);
     EXPECT_TRUE(server->gateway().status().at("invariants_broken").as_object().empty());
 }
--- a/tests/platform_config_test.cpp
+++ b/tests/platform_config_test.cpp
@@ -45,17 +45,18 @@
         std::string::npos);
 }
 
-// Each field in turn is missing, of another type, or out of any range: the file is rejected with an error that names
-// it, or the server runs with it and responds.
+// Each field in turn is removed, given another type or an extreme value. Loading must fail with an error that names the
+// file, or a server must run with the configuration.
 TEST(PlatformConfig, UnexpectedFieldValuesAreRejectedOrHarmless) {
     using platform_settings::json;
     const json original = json::parse(default_config);
     std::vector<json::json_pointer> fields;
-    const std::function<void(const json&, const json::json_pointer&)> collect = [&](const json& at,
+    const std::function<void(const json&, const json::json_pointer&)> collect = [&](const json& node,
                                                                                     const json::json_pointer& path) {
         if (!path.empty()) fields.push_back(path);
-        if (!at.is_structured()) return;
-        for (const auto& [key, value] : at.items()) collect(value, at.is_array() ? path / std::stoul(key) : path / key);
+        if (!node.is_structured()) return;
+        for (const auto& [key, value] : node.items())
+            collect(value, node.is_array() ? path / std::stoul(key) : path / key);
     };
     collect(original, json::json_pointer());
     ASSERT_GT(fields.size(), 80u);
@@ -91,21 +92,21 @@
                 ++rejected;
                 EXPECT_NE(std::string(error.what()).find(config_path()), std::string::npos);
                 continue;
-            } catch (const std::exception& other) {
-                ADD_FAILURE() << field << " as case " << i << ": " << other.what();
+            } catch (const std::exception& unexpected) {
+                ADD_FAILURE() << field << " as case " << i << ": " << unexpected.what();
                 continue;
             }
             ++accepted;
             net::SimulatedEventLoop loop;
             config.gateway.log.file = "/dev/null";
             Log log(loop, config.gateway.log);
-            PlatformServer host(loop, config, log);
-            if (host.open()) continue;
+            PlatformServer server(loop, config, log);
+            if (server.open()) continue;
             ScriptedClient client(loop, 10ms,
                                   {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") +
                                              message(2, {{"SCRIPT_NAME", "/_health"}})}});
             loop.run(200ms);
-            host.reconfigure(config);
+            server.reconfigure(config);
             loop.run(400ms);
         }
     }
@@ -135,14 +136,13 @@
 TEST(PlatformConfig, DividesDescriptorsAndMemory) {
     const PlatformConfig config = load_platform_config(write_config(default_config));
     EXPECT_LE(config.gateway.admission.max_connections + config.gateway.pool.max_total_connections, 256u);
-    EXPECT_GE(config.gateway.admission.max_connections, 256u / 3);  // clients take a third at the most
+    EXPECT_GE(config.gateway.admission.max_connections, 256u / 3);  // clients get at least a third
     EXPECT_LT(config.gateway.admission.max_memory_bytes, 48u * 1024 * 1024 / 4);
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.last_known_event, 1u);
 }
 
-// tests/golden/settings/platform.json is a configuration as the platform once gave it: it loads to the same values for
-// good.
+// tests/golden/settings/platform.json is a configuration of the platform, which must always load to the same values.
 TEST(ShippedPlatformConfig, LoadsToTheSameValues) {
     const PlatformConfig config = load_platform_config(std::string(PLUMKEEL_GOLDEN) + "/settings/platform.json");
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
--- a/tests/platform_signals_test.cpp
+++ b/tests/platform_signals_test.cpp
@@ -1,5 +1,5 @@
 // The `platform` command on real sockets, in a process of its own: health checks, a malformed and a valid new
-// configuration, shutdown, a restart at the same address, exhausted descriptors, and the work that a start takes.
+// configuration, shutdown, a restart at the same address, exhausted descriptors, and the CPU time of a start.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -27,7 +27,7 @@
     return address;
 }
 
-// A listening socket; as the discovery service it never answers.
+// A listening socket. As a discovery service it accepts subscriptions and sends nothing.
 struct ListeningSocket {
     int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     std::uint16_t port{};
@@ -42,16 +42,16 @@
         port = ntohs(address.sin_port);
     }
     ~ListeningSocket() { ::close(fd); }
-    // The 8 bytes with which the next client subscribes; empty if none connects within 5 s.
+    // Returns the 8 bytes that the next client sends to subscribe; empty if none connects within 5 s.
     std::string subscription() const {
         const timeval timeout{5, 0};
         ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
         const int connection = ::accept(fd, nullptr, nullptr);
         if (connection < 0) return "";
         std::string received(8, '?');
-        const auto n = ::recv(connection, received.data(), received.size(), MSG_WAITALL);
+        const auto received_size = ::recv(connection, received.data(), received.size(), MSG_WAITALL);
         open_connections.push_back(connection);
-        return n == 8 ? received : "";
+        return received_size == 8 ? received : "";
     }
     mutable std::vector<int> open_connections;
 };
@@ -60,7 +60,7 @@
     return ListeningSocket().port;
 }
 
-// The status of the response to /_health; empty if there is none.
+// Returns the status code of the response to /_health; empty if there is no response.
 std::string health_status(std::uint16_t port) {
     const int connection = ::socket(AF_INET, SOCK_STREAM, 0);
     const timeval timeout{2, 0};
@@ -73,9 +73,9 @@
                   static_cast<ssize_t>(request.size()));
         char buffer[512];
         while (received.find("\r\n\r\n") == std::string::npos) {
-            const auto n = ::recv(connection, buffer, sizeof buffer, 0);
-            if (n <= 0) break;
-            received.append(buffer, static_cast<std::size_t>(n));
+            const auto received_size = ::recv(connection, buffer, sizeof buffer, 0);
+            if (received_size <= 0) break;
+            received.append(buffer, static_cast<std::size_t>(received_size));
         }
     }
     ::close(connection);
@@ -97,7 +97,7 @@
         << R"("limits":{"send_cap":5},"fleet_size":1}})";
 }
 
-// A process that serves by this configuration, with a limit of descriptors unless it is 0.
+// Starts a process that serves with this configuration. `descriptors`: its limit of file descriptors; 0: unchanged.
 pid_t start_server(const std::string& file, rlim_t descriptors = 0) {
     const pid_t child = ::fork();
     if (child) return child;
@@ -127,57 +127,57 @@
     ListeningSocket discovery, moved_discovery;
     const std::uint16_t port = free_port();
     write_config(file, port, discovery.port);
-    const pid_t first = start_server(file);
+    const pid_t first_server = start_server(file);
     ASSERT_TRUE(becomes_healthy(port));
     EXPECT_EQ(discovery.subscription(), subscription_from_event_6);
 
-    std::ofstream(file) << "{\"name\":";  // malformed: the old one stays in effect
-    ::kill(first, SIGHUP);
+    std::ofstream(file) << "{\"name\":";  // malformed: the previous configuration stays in effect
+    ::kill(first_server, SIGHUP);
     std::this_thread::sleep_for(200ms);
     EXPECT_EQ(health_status(port), "200");
     write_config(file, port, moved_discovery.port);
-    ::kill(first, SIGHUP);
+    ::kill(first_server, SIGHUP);
     EXPECT_EQ(moved_discovery.subscription(), subscription_from_event_6);
 
-    ::kill(first, SIGTERM);
+    ::kill(first_server, SIGTERM);
     std::this_thread::sleep_for(400ms);
     EXPECT_EQ(health_status(port), "200");  // clients may still connect
     int status = 0;
-    ASSERT_EQ(::waitpid(first, &status, 0), first);
+    ASSERT_EQ(::waitpid(first_server, &status, 0), first_server);
     EXPECT_TRUE(WIFEXITED(status));
     EXPECT_EQ(WEXITSTATUS(status), 0);
     EXPECT_EQ(health_status(port), "");
 
-    const pid_t second = start_server(file);  // the same address, at once
+    const pid_t second_server = start_server(file);  // restarts at the same address without delay
     EXPECT_TRUE(becomes_healthy(port));
-    ::kill(second, SIGKILL);
-    ::waitpid(second, &status, 0);
+    ::kill(second_server, SIGKILL);
+    ::waitpid(second_server, &status, 0);
 }
 
-// Idle clients take more descriptors than the limit while the discovery service is unreachable. Clients that send
-// requests are served, discovery reconnects when it is back, and nothing polls in a tight loop meanwhile.
+// Idle clients take more descriptors than the limit while the discovery service is unreachable. Other clients must be
+// served, the controller must reconnect to discovery when it is back, and no busy loop may use up the CPU.
 TEST(PlatformDescriptors, IdleClientsDoNotKeepOutOtherClientsOrDiscovery) {
     const std::string file = testing::TempDir() + "/descriptors_config.json";
     const std::uint16_t port = free_port(), discovery_port = free_port();
     write_config(file, port, discovery_port, 120);
     const pid_t child = start_server(file, 256);
     ASSERT_TRUE(becomes_healthy(port));
-    std::vector<int> idle;
+    std::vector<int> idle_clients;
     const sockaddr_in address = loopback(port);
     for (int i = 0; i < 400; ++i) {
-        idle.push_back(::socket(AF_INET, SOCK_STREAM, 0));
-        ASSERT_EQ(::connect(idle.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
+        idle_clients.push_back(::socket(AF_INET, SOCK_STREAM, 0));
+        ASSERT_EQ(::connect(idle_clients.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
     }
     for (int i = 0; i < 20; ++i) EXPECT_EQ(health_status(port), "200") << i;
     const ListeningSocket discovery(discovery_port);
     EXPECT_EQ(discovery.subscription(), subscription_from_event_6);
     EXPECT_EQ(health_status(port), "200");
-    for (const int each : idle) ::close(each);
+    for (const int each : idle_clients) ::close(each);
     EXPECT_LT(kill_and_measure_cpu(child), 1.0);
 }
 
-// The process must be ready within 10 s at a tenth of a core: an upper bound of its work, whatever else the machine
-// does, with 120 invokers listed and discovery unreachable.
+// The platform requires a controller to be ready within 10 s on a tenth of a core, which is one CPU second. Here 120
+// invokers are listed and discovery is unreachable.
 TEST(PlatformStart, TakesLessThanOneCpuSecond) {
     const std::string file = testing::TempDir() + "/ready_config.json";
     const std::uint16_t port = free_port();
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,10 +1,10 @@
-/// The platform's protocols around the real gateway: draining and replaced invokers, and a restart of the controller.
+/// The real gateway with the platform's protocols: draining and replaced invokers, and a restart of the controller.
 #include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
 
-TEST_F(PlatformTest, SendsNothingNewToADrainingInvokerAndStartsAfreshAtAReusedAddress) {
+TEST_F(PlatformTest, SendsNothingToADrainingInvokerAndUsesANewInvokerAtItsAddress) {
     ScriptedInvoker& a = add_invoker();
     ScriptedInvoker& b = add_invoker();
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
@@ -19,17 +19,17 @@
     });
     loop.run(8s);
     EXPECT_EQ(succeeded_requests(), 300u);
-    int drained = 0, later = 0;
+    int runs_while_draining = 0, runs_after_replacement = 0;
     for (const auto& [at, id] : a.runs) {
-        drained += at > 1010ms && at < 2s;
-        later += at > 2s;
+        runs_while_draining += at > 1010ms && at < 2s;
+        runs_after_replacement += at > 2s;
     }
-    EXPECT_EQ(drained, 0);
-    EXPECT_GT(later, 0);
+    EXPECT_EQ(runs_while_draining, 0);
+    EXPECT_GT(runs_after_replacement, 0);
     EXPECT_GT(b.runs.size(), 100u);
 }
 
-// A restarted controller has learned nothing yet, and still sends an invoker in slow start no more than its budget.
+// A restarted controller has no estimates yet, and must still keep to the load budget of an invoker in slow start.
 TEST_F(PlatformTest, KeepsAColdInvokerWithinItsLoadBudgetAfterARestart) {
     add_invoker(), add_invoker();
     open(replaced(default_config, R"("state":"up","capacity_hint":5,"boot_ms":0},)",
--- a/tests/rate_limiter_test.cpp
+++ b/tests/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-/// The rate limit of log lines.
+/// RateLimiter, which limits the rate of log lines.
 #include "log/rate_limiter.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,20 +1,21 @@
-// Steps of the wall clock while the monotonic clock runs on, in virtual time: start times, which are given in Unix
-// time, must keep their meaning.
+// Steps of the wall clock in virtual time: the start times of invokers, which are given in Unix time, must not appear
+// changed.
 #include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
 namespace {
 
-struct Step {
-    Time by;
-    bool affects_invokers;  // the clock that the start times come from steps as well
+struct ClockStep {
+    Time offset;
+    bool affects_invokers;  // whether the clock behind the invokers' start times is stepped too
 };
 
-class WallClockTest : public PlatformTest, public testing::WithParamInterface<Step> {
+class WallClockTest : public PlatformTest, public testing::WithParamInterface<ClockStep> {
 protected:
-    // A start time as discovery gives it, by a clock that may have been stepped too.
+    // Converts a time of the event loop to Unix time, by the invokers' clock, which may have been stepped too.
     std::uint64_t unix_ms(Time at) const {
-        return static_cast<std::uint64_t>((day + at + (GetParam().affects_invokers ? GetParam().by : Time{})) / 1ms);
+        return static_cast<std::uint64_t>(
+            (initial_wall_clock + at + (GetParam().affects_invokers ? GetParam().offset : Time{})) / 1ms);
     }
     boost::json::object estimate(const char* name) const {
         for (const auto& row : server->gateway().estimates())
@@ -25,16 +26,16 @@
         return replaced(replaced(default_config, R"("cold":1000.0)", R"("cold":16000.0)"), R"("cold_share":0.5)",
                         R"("cold_share":0.1)");
     }
-    static constexpr Time day = 24h;
-    void SetUp() override { loop.step_wall_clock(day); }
+    static constexpr Time initial_wall_clock = 24h;
+    void SetUp() override { loop.step_wall_clock(initial_wall_clock); }
 };
 
-// An invoker that starts after the step is in slow start for exactly as long as the settings say.
+// An invoker that starts after the step is in slow start for the configured duration.
 TEST_P(WallClockTest, DoesNotChangeTheSlowStartOfALaterInvoker) {
     add_invoker(), add_invoker();
     ScriptedDiscovery discovery(loop, "10.9.0.1");
     open(long_slow_start());
-    loop.call_at(5s, [&] { loop.step_wall_clock(GetParam().by); });
+    loop.call_at(5s, [&] { loop.step_wall_clock(GetParam().offset); });
     loop.call_at(20s, [&] {
         discovery.send(frame(discovery.last_event = 2, 2, {{2, "10.0.0.2", 7001, 0, unix_ms(19s)}}));
     });
@@ -48,20 +49,20 @@
     loop.run(62s);
 }
 
-// An invoker is listed again with the start time that it had before: it was not restarted, and its estimates are kept.
+// An invoker that is listed again with the same start time was not restarted, so its estimates are kept.
 TEST_P(WallClockTest, DoesNotMakeAKnownInvokerAppearRestarted) {
     add_invoker(), add_invoker();
     ScriptedDiscovery discovery(loop, "10.9.0.1");
-    const std::string start = std::to_string((day - 60s) / 1ms);
+    const std::string start = std::to_string((initial_wall_clock - 60s) / 1ms);
     open(
         replaced(default_config, R"("capacity_hint":5,"boot_ms":0})", R"("capacity_hint":5,"boot_ms":)" + start + "}"));
     for (std::uint64_t i = 1; i <= 60; ++i) add_request(100ms * static_cast<int>(i), i, hex16(i % 8 + 1));
     loop.run(5s);
     ASSERT_TRUE(estimate("s-00000001").contains("reported_load"));
-    loop.step_wall_clock(GetParam().by);
+    loop.step_wall_clock(GetParam().offset);
     loop.call_at(5001ms, [&] {
         discovery.send(frame(discovery.last_event = 2, 2,
-                             {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((day - 60s) / 1ms)}}));
+                             {{1, "10.0.0.1", 7001, 0, static_cast<std::uint64_t>((initial_wall_clock - 60s) / 1ms)}}));
     });
     loop.run(5002ms);
     EXPECT_TRUE(estimate("s-00000001").contains("reported_load"));
@@ -70,8 +71,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, WallClockTest,
-                         testing::Values(Step{1h, false}, Step{-1h, false}, Step{7s, false}, Step{-7s, false},
-                                         Step{1h, true}, Step{-1h, true}, Step{7s, true}, Step{-7s, true}),
+                         testing::Values(ClockStep{1h, false}, ClockStep{-1h, false}, ClockStep{7s, false},
+                                         ClockStep{-7s, false}, ClockStep{1h, true}, ClockStep{-1h, true},
+                                         ClockStep{7s, true}, ClockStep{-7s, true}),
                          [](const auto& each) { return "Step" + std::to_string(each.index); });
 
 }  // namespace
