--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -1,4 +1,4 @@
-/// What the end of an attempt proves: by the invoker's response, and by how far the attempt got.
+/// Outcomes of attempts, derived from the invoker's response and from how far the attempt got.
 #include "gateway/delivery.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/gateway_endpoints_test.cpp
+++ b/tests/gateway_endpoints_test.cpp
@@ -59,8 +59,8 @@
     start_gateway();
     ScriptedClient& in_flight = add_client(100ms, request("s"));
     std::string request_for_g = request("s");
-    request_for_g.replace(request_for_g.find("jobs/f"), 6,
-                          "jobs/g");  // a request for f would be parked until f is loaded
+    // Another function, because a second request for f would be parked until f is loaded.
+    request_for_g.replace(request_for_g.find("jobs/f"), 6, "jobs/g");
     ScriptedClient& queued = add_client(150ms, request_for_g);
     loop.call_at(300ms, [&] { consul.set({ScriptedConsul::entry("i1", true)}); });
     ScriptedInvoker& b = add_invoker({Behaviour::responds});
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -183,8 +183,8 @@
 
     Task<> run(Time connects_at, std::string text, Time connected_for, bool reads) {
         co_await loop.sleep(connects_at - loop.now());
-        const net::Address gateway_address{"gateway",
-                                           1};  // named, as GCC destroys a braced temporary in co_await twice
+        // A named variable, because GCC destroys a braced temporary in a co_await expression twice.
+        const net::Address gateway_address{"gateway", 1};
         auto connected = co_await loop.connect(gateway_address, 1s);
         if (connected.error) {
             has_ended = true;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -76,8 +76,8 @@
     // Attempts of at-most-once requests are sent on fresh connections, so none of these requests fails.
     for (std::size_t i = 1; i < clients.size(); i += 3)
         EXPECT_EQ(clients[i]->count("plumkeel-outcome: honoured"), 1) << clients[i]->received;
-    EXPECT_GT(status_count("jobs", "honoured"), 580)
-        << gateway->status();  // a few idempotent requests use up their attempts
+    // A few idempotent requests may use up their attempts.
+    EXPECT_GT(status_count("jobs", "honoured"), 580) << gateway->status();
     EXPECT_EQ(status_count("jobs", "written_off"), 0);
 }
 
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -1,4 +1,4 @@
-/// Invariants: what they count and describe, and which retries and rejections they allow.
+/// Invariants: counting and logging of violations, and the rules for retries and rejections.
 #include "gateway/invariants.hpp"
 
 #include <gtest/gtest.h>
