--- a/src/gateway/metrics_collector.cpp
+++ b/src/gateway/metrics_collector.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Rounds between two reviews of which tenants and functions have series of their own.
-constexpr std::uint64_t review_interval = 5;
+/// Collection rounds between two reviews of which tenants and functions get metric series of their own.
+constexpr std::uint64_t rounds_per_review = 5;
 
 }  // namespace
 
@@ -18,11 +18,11 @@
 
 void MetricsCollector::collect() {
     metrics::MetricSnapshot snapshot = status_.metric_snapshot();
-    // How late this timer runs shows for how long the thread did nothing else.
+    // The delay of this timer shows for how long the event loop was blocked.
     snapshot.gauge_update_delay_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
     if (extend_snapshot_) extend_snapshot_(snapshot);
     metrics_.set_snapshot(snapshot);
-    if (++rounds_ % review_interval == 0) metrics_.update_reported_names();
+    if (++rounds_ % rounds_per_review == 0) metrics_.update_reported_names();
     due_at_ = loop_.now() + metrics_.config().interval;
     timer_ = loop_.call_at(due_at_, [this] { collect(); });
 }
