--- a/src/invoker_protocol/codec.cpp
+++ b/src/invoker_protocol/codec.cpp
@@ -14,15 +14,15 @@
 constexpr int max_concurrency = 1000;
 constexpr double max_report_value = 1e9;
 
-constexpr std::pair<std::string_view, ResponseResult> results[] = {
+constexpr std::pair<std::string_view, ResponseResult> result_words[] = {
     {"data", ResponseResult::succeeded}, {"absent", ResponseResult::load_failed}, {"full", ResponseResult::rejected},
     {"failed", ResponseResult::failed},  {"moot", ResponseResult::never_ran},     {"well", ResponseResult::healthy},
     {"ill", ResponseResult::unhealthy},
 };
 
 std::optional<ResponseResult> parse_result(std::string_view word) {
-    for (const auto& [name, result] : results)
-        if (name == word) return result;
+    for (const auto& [known_word, result] : result_words)
+        if (known_word == word) return result;
     return {};
 }
 
@@ -34,7 +34,7 @@
     return value;
 }
 
-// Removes everything up to the first separator, and returns it without the separator.
+// Removes the text up to and including the first separator and returns it without the separator.
 std::string_view take_until(std::string_view& text, char separator) {
     const auto end = std::min(text.find(separator), text.size());
     const std::string_view taken = text.substr(0, end);
@@ -42,7 +42,7 @@
     return taken;
 }
 
-// The value of a name in "a=1,b=2", or empty.
+// Returns the value of `name` in fields such as "a=1,b=2"; empty if absent.
 std::string_view value_of(std::string_view fields, std::string_view name) {
     while (!fields.empty()) {
         const std::string_view field = take_until(fields, ',');
@@ -70,8 +70,8 @@
 }
 
 std::string_view wire_name(ResponseResult result) {
-    for (const auto& [name, each] : results)
-        if (each == result) return name;
+    for (const auto& [word, known_result] : result_words)
+        if (known_result == result) return word;
     return {};
 }
 
@@ -123,7 +123,7 @@
             continue;
         }
         if (read_body(bytes)) continue;
-        // Only where the body's end is found is the length right: a body that is shorter or longer is no response.
+        // If body_end does not follow the body, the length field was wrong and the response is malformed.
         if (bytes[0] != body_end[body_end.size() - body_bytes_left_]) return fail(ResponseError::body_end_missing);
         bytes.remove_prefix(1);
         if (--body_bytes_left_ > 0) continue;
@@ -135,7 +135,7 @@
     return false;
 }
 
-// False: the line is not complete, or malformed.
+// Returns false if the line is incomplete or malformed.
 bool ResponseDecoder::read_line(std::string_view& bytes) {
     const auto end = bytes.find('\n');
     const std::string_view part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end + 1);
@@ -145,7 +145,7 @@
     return end != std::string_view::npos && parse_line();
 }
 
-// "<id> <result> <fields> <body length>"
+// Parses the line "<id> <result> <fields> <body length>".
 bool ResponseDecoder::parse_line() {
     std::string_view line = line_;
     if (!line.ends_with("\r\n")) return fail(ResponseError::malformed_line);
@@ -169,7 +169,7 @@
     return true;
 }
 
-// False: the body is complete, but for its end.
+// Returns false once the body is complete and only body_end remains to be read.
 bool ResponseDecoder::read_body(std::string_view& bytes) {
     if (body_bytes_left_ <= body_end.size()) return false;
     const std::string_view part = bytes.substr(0, body_bytes_left_ - body_end.size());
@@ -192,14 +192,14 @@
     return std::clamp(parse_number<int>(value_of(fields, "peers_in")).value_or(0), 0, max_concurrency);
 }
 
-// "name:value;name:value"
+// Parses the field "l", a list such as "name:value;name:value".
 LoadReport parse_report(std::string_view fields, const std::vector<std::string>& names) {
     LoadReport report;
     std::string_view list = value_of(fields, "l");
     while (!list.empty()) {
-        std::string_view figure = take_until(list, ';');
-        const std::string name(take_until(figure, ':'));
-        const auto value = parse_number<double>(figure);
+        std::string_view entry = take_until(list, ';');
+        const std::string name(take_until(entry, ':'));
+        const auto value = parse_number<double>(entry);
         const bool is_valid = value && *value >= 0 && *value < max_report_value;
         if (is_valid && std::find(names.begin(), names.end(), name) != names.end())
             platform_settings::set_report_field(report, name, *value);
--- a/src/invoker_protocol/codec.hpp
+++ b/src/invoker_protocol/codec.hpp
@@ -1,5 +1,5 @@
-/// The lines that controllers and invokers of the platform exchange: runs, stops and probes as bytes, and bytes of
-/// responses as messages or a ResponseError. Free of I/O and clocks. The words of that protocol stand here only.
+/// Codec of the invoker protocol: encodes runs, stops and probes, and decodes responses to messages or a ResponseError.
+/// Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -11,51 +11,51 @@
 
 namespace plumkeel::invoker_protocol {
 
-/// Ends each body.
+/// Terminator of each body.
 constexpr std::string_view body_end = "\r\n";
 
-/// A RUN line; the body and body_end follow it. Ids, request classes, functions and keys must not contain a space,
-/// comma, equals sign or line end: the gateway's side towards clients checks that. The idempotency key of a request
-/// that has none is empty. A remaining time below 1 ms is sent as 1 ms.
+/// Encodes a RUN line, which the body and body_end follow. Ids, request classes, functions and keys must not contain a
+/// space, comma, equals sign or line end; the client protocols check that. An empty idempotency key is omitted. A
+/// remaining time below 1 ms is sent as 1 ms.
 std::string encode_run(std::string_view id, std::string_view request_class, std::string_view function,
                        std::string_view idempotency_key, std::int64_t remaining_ms, std::size_t body_bytes);
 std::string encode_stop(std::string_view id);
 std::string encode_probe(std::string_view tag, bool with_report);
 
-/// What a response says of the attempt or probe that it answers.
+/// Result of an attempt or probe, as its response states it.
 enum class ResponseResult {
     succeeded,
     load_failed,  // the function could not be loaded
     rejected,     // the invoker is full
     failed,
     never_ran,
-    healthy,    // of a probe
-    unhealthy,  // of a probe
+    healthy,    // probes only
+    unhealthy,  // probes only
 };
-/// The word on the wire.
+/// The result's name in the protocol.
 std::string_view wire_name(ResponseResult result);
 bool is_probe_result(ResponseResult result);
 AttemptOutcome outcome_of(ResponseResult result);
 
 struct ResponseMessage {
-    std::string id;  // of the request, or the probe's tag
+    std::string id;  // request id, or a probe's tag
     ResponseResult result{};
     std::string fields;  // "name=value,..."
     std::string body;
 };
 
-/// Why the bytes of an invoker can't be read further.
+/// Why an invoker's input is malformed.
 enum class ResponseError { none, line_too_long, malformed_line, malformed_length, body_too_long, body_end_missing };
-/// For logs.
+/// Name of the error for logs.
 const char* name_of(ResponseError error);
 
-/// Splits an invoker's bytes into responses. After an error nothing more is decoded.
+/// Decodes an invoker's byte stream, which may be split anywhere. After an error nothing more is decoded.
 class ResponseDecoder {
 public:
-    /// Limits in bytes; a line or body over its limit is an error.
+    /// `max_line` and `max_body` are in bytes; exceeding them is an error.
     ResponseDecoder(std::size_t max_line, std::size_t max_body) : max_line_(max_line), max_body_(max_body) {}
 
-    /// Removes bytes from `bytes` until a response is complete. True: `response` holds it.
+    /// Removes bytes from `bytes` until a response is complete; returns true if `response` holds it.
     bool next(std::string_view& bytes, ResponseMessage& response);
     ResponseError error() const { return error_; }
     /// Whether a response has begun and is not complete.
@@ -71,17 +71,17 @@
     }
 
     const std::size_t max_line_, max_body_;
-    std::string line_;         // as far as it has arrived
-    ResponseMessage pending_;  // whose body is arriving
+    std::string line_;         // part of the response line received so far
+    ResponseMessage pending_;  // response whose body is being read
     bool in_body_{};
-    std::size_t body_bytes_left_{};  // with its body_end
+    std::size_t body_bytes_left_{};  // including body_end
     ResponseError error_{};
 };
 
-/// From the fields of a response.
+/// The load event in a response's fields; LoadEvent::none if absent or unknown.
 LoadEvent parse_load_event(std::string_view fields);
 int parse_concurrency(std::string_view fields);
-/// `names`: the report fields that the settings name; others are ignored.
+/// The load report in a response's fields, limited to the report fields in `names`.
 LoadReport parse_report(std::string_view fields, const std::vector<std::string>& names);
 
 }  // namespace plumkeel::invoker_protocol
--- a/src/invoker_protocol/connection_budget.cpp
+++ b/src/invoker_protocol/connection_budget.cpp
@@ -7,35 +7,36 @@
 
 namespace plumkeel::invoker_protocol {
 
-bool ConnectionBudget::evict() {
-    if (idle_.empty()) return false;
-    idle_.front()->close();
+bool ConnectionBudget::close_longest_idle() {
+    if (idle_connections_.empty()) return false;
+    idle_connections_.front()->close();
     return true;
 }
 
 void ConnectionBudget::on_closed() {
-    --open_;
-    schedule_waiting();
+    --open_count_;
+    schedule_waiting_pools();
 }
 
 void ConnectionBudget::on_idle(InvokerConnection& connection) {
     on_busy(connection);
-    idle_.push_back(&connection);
-    schedule_waiting();
+    idle_connections_.push_back(&connection);
+    schedule_waiting_pools();
 }
 
-void ConnectionBudget::wait(ConnectionPool& pool) {
-    if (std::find(waiting_.begin(), waiting_.end(), &pool) == waiting_.end()) waiting_.push_back(&pool);
+void ConnectionBudget::add_waiting_pool(ConnectionPool& pool) {
+    if (std::find(waiting_pools_.begin(), waiting_pools_.end(), &pool) == waiting_pools_.end())
+        waiting_pools_.push_back(&pool);
 }
 
-// In the next turn of the loop, since whoever frees a connection may be in the middle of its own work.
-void ConnectionBudget::schedule_waiting() {
-    if (waiting_.empty() || serving_timer_.second) return;
-    serving_timer_ = loop_.call_at(loop_.now(), [this] {
-        serving_timer_ = {};
-        for (std::size_t turns = waiting_.size(); turns > 0 && !waiting_.empty(); --turns) {
-            ConnectionPool* const next = waiting_.front();
-            waiting_.pop_front();
+// Serves the waiting pools in the next loop iteration: the caller may be in the middle of changing its own state.
+void ConnectionBudget::schedule_waiting_pools() {
+    if (waiting_pools_.empty() || waiting_pools_timer_.second) return;
+    waiting_pools_timer_ = loop_.call_at(loop_.now(), [this] {
+        waiting_pools_timer_ = {};
+        for (std::size_t remaining = waiting_pools_.size(); remaining > 0 && !waiting_pools_.empty(); --remaining) {
+            ConnectionPool* const next = waiting_pools_.front();
+            waiting_pools_.pop_front();
             next->on_connection_free();
         }
     });
--- a/src/invoker_protocol/connection_pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Whether a second run of a request that has run, or may have, would take effect again.
+// Whether a second run of the request could have a second effect.
 bool may_run_only_once(const UpstreamCall& call) {
     return call.request->request_class->idempotency != Idempotency::idempotent;
 }
@@ -22,16 +22,16 @@
     : gateway::QueueingPool(loop, config, std::move(address), counts), options_(options), budget_(budget) {}
 
 ConnectionPool::~ConnectionPool() {
-    budget_.remove(*this);
+    budget_.remove_waiting_pool(*this);
 }
 
-// Probes have ids of their own, by which their responses are told apart from those to attempts.
+// Returns the id that a call has in the invoker protocol: attempts use the request id, probes an id with prefix "p".
 std::string ConnectionPool::wire_id(const UpstreamCall& call) {
-    return call.has_priority() ? "p" + std::to_string(++probe_ids_) : call.request->name;
+    return call.has_priority() ? "p" + std::to_string(++last_probe_id_) : call.request->name;
 }
 
-// The connection that carries the fewest calls, or a new one while more are allowed.
-std::shared_ptr<InvokerConnection> ConnectionPool::choose(const UpstreamCall& call) {
+// Chooses the idle connection or opens a new one; at the connection limit, chooses the one with the fewest calls.
+std::shared_ptr<InvokerConnection> ConnectionPool::choose_connection(const UpstreamCall& call) {
     Choice choice;
     for (const auto& connection : connections_) {
         if (!connection->is_accepting()) continue;
@@ -45,21 +45,21 @@
         else
             consider_for_attempt(connection, call, choice);
     }
-    // A second response to the earlier attempt could not be told from one to this: it is sent on another connection,
-    // for which that one makes way where no more are allowed.
+    // A late response to an earlier attempt of the same request would be taken for a response to this attempt, so it
+    // needs another connection. At the limit, the connection with the earlier attempt is drained to allow a new one.
     if (choice.carried_before && !choice.best && choice.accepting >= config_.max_connections) {
         choice.carried_before->drain();
         --choice.accepting;
     }
-    const bool wants_new = !choice.best || (!call.has_priority() && choice.best->call_count() > 0);
-    if (wants_new && may_open(choice.accepting)) {
+    const bool wants_new_connection = !choice.best || (!call.has_priority() && choice.best->call_count() > 0);
+    if (wants_new_connection && may_open(choice.accepting)) {
         choice.best = connections_.emplace_back(std::make_shared<InvokerConnection>(*this));
         choice.best->start();
     }
     return choice.best;
 }
 
-// A probe is sent on the connection that has been silent longest while a call is in flight on it: that one is in doubt.
+// Prefers the connection with calls in flight that has been silent longest, since it is the likeliest to be broken.
 void ConnectionPool::consider_for_probe(const ConnectionPtr& connection, Choice& choice) {
     const auto& best = choice.best;
     if (!best ||
@@ -78,16 +78,16 @@
     if (!choice.best || connection->call_count() < choice.best->call_count()) choice.best = connection;
 }
 
-// `accepting`: connections to this invoker that accept calls. Those that only wait for their last responses, at an
-// earlier address, do not count towards its own limit.
+// `accepting`: number of connections to this invoker that accept calls. Draining connections do not count towards the
+// limit for the invoker.
 bool ConnectionPool::may_open(std::size_t accepting) {
     if (accepting >= config_.max_connections) return false;
-    const bool within_budget = budget_.open() < config_.max_total_connections;
-    return within_budget || (accepting == 0 && budget_.evict());
+    const bool within_budget = budget_.open_count() < config_.max_total_connections;
+    return within_budget || (accepting == 0 && budget_.close_longest_idle());
 }
 
 bool ConnectionPool::dispatch(const Call& call) {
-    const auto connection = choose(*call);
+    const auto connection = choose_connection(*call);
     if (!connection) return false;
     connection->send(call, wire_id(*call));
     return true;
@@ -112,7 +112,7 @@
 void ConnectionPool::set_address(net::Address address) {
     if (address == address_) return;
     address_ = std::move(address);
-    // Another invoker may be at the old address by now, also where a connection to it is still being made.
+    // Another invoker may have the old address now: calls that have not been written are moved to the new address.
     std::vector<Call> unsent;
     for (const auto& connection : connections_) connection->take_unsent(unsent);
     close();
--- a/src/invoker_protocol/connection_pool.hpp
+++ b/src/invoker_protocol/connection_pool.hpp
@@ -1,9 +1,9 @@
-/// The connections to one invoker of the platform: many calls on each, responses in any order. An attempt is cancelled
-/// by a STOP line, and its connection stays open. An invoker runs an attempt only once it has received all of it, so
-/// one that was not written completely when its connection ended never ran.
+/// The connections to one invoker over the invoker protocol: many calls on each, responses in any order. A STOP line
+/// cancels an attempt without closing its connection. An invoker runs an attempt only after receiving all of it, so an
+/// attempt that was written only in part never ran.
 ///
-/// Malformed bytes end their connection at once, with all calls on it, each with the outcome that can be proven. So
-/// does a probe during whose whole time nothing was received on its connection.
+/// Malformed input closes its connection and ends all calls on it. So does the timeout of a probe if nothing was
+/// received on its connection since the probe was sent.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
 
 using gateway::UpstreamCall;
 
-/// What invokers report, by the settings.
+/// Which load figures the settings say that invokers report.
 struct ResponseOptions {
     std::vector<std::string> report_fields;  // empty: probes ask for no report
     bool reports_concurrency{};
@@ -39,18 +39,18 @@
     friend class ConnectionBudget;
     using ConnectionPtr = std::shared_ptr<InvokerConnection>;
 
-    // What choose() found among the connections.
+    // Intermediate result of choose_connection().
     struct Choice {
         ConnectionPtr best;
-        ConnectionPtr carried_before;  // has carried an attempt of the same request, which must not run twice
-        std::size_t accepting{};       // connections that accept calls
+        ConnectionPtr carried_before;  // carried an earlier attempt of the same non-idempotent request
+        std::size_t accepting{};       // number of connections that accept calls
     };
 
     bool dispatch(const Call& call) override;
     void collect_unsent(std::vector<Call>& unsent) const override;
-    void on_waiting() override { budget_.wait(*this); }
+    void on_waiting() override { budget_.add_waiting_pool(*this); }
     delivery::Progress remove(UpstreamCall& call, delivery::StopCause cause) override;
-    ConnectionPtr choose(const UpstreamCall& call);
+    ConnectionPtr choose_connection(const UpstreamCall& call);
     static void consider_for_probe(const ConnectionPtr& connection, Choice& choice);
     void consider_for_attempt(const ConnectionPtr& connection, const UpstreamCall& call, Choice& choice) const;
     bool may_open(std::size_t accepting);
@@ -61,7 +61,7 @@
     const ResponseOptions& options_;
     ConnectionBudget& budget_;
     std::vector<ConnectionPtr> connections_;
-    std::uint64_t probe_ids_{};
+    std::uint64_t last_probe_id_{};
 };
 
 }  // namespace plumkeel::invoker_protocol
--- a/src/invoker_protocol/invoker_connection.cpp
+++ b/src/invoker_protocol/invoker_connection.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr std::size_t read_buffer_bytes = 8 * 1024, max_line_bytes = 1024;
-// A part of an attempt may be in the socket this long without the rest. When an attempt begins to run, its client may
-// have been gone for 0.1 s at most, and the remaining time it was given may be 0.15 s too long at most.
+// Longest time between writing the first and the last byte of an attempt. Bounds how outdated the remaining time in its
+// RUN line can be, and how long after a client's disconnect its request can start.
 constexpr Time incomplete_attempt_timeout = 90ms;
-constexpr std::size_t max_ended_requests = 64;  // second responses arrive within milliseconds
-constexpr Time unread_client_pause = 1ms;       // until the client's input should have been read
-constexpr Time min_remaining = 1ms;             // the shortest time that an invoker can be given
-constexpr unsigned success_status = 200;        // this protocol has no status codes
+constexpr std::size_t max_ended_requests = 64;  // bounds the memory for detecting late responses
+constexpr Time client_input_retry_delay = 1ms;  // lets the client's pending input be read before the write
+constexpr Time min_remaining_time = 1ms;        // shortest remaining time that a RUN line can state
+constexpr unsigned success_status = 200;        // the invoker protocol has no status codes
 
 }  // namespace
 
@@ -82,19 +82,20 @@
     }
     if (write_queue_->error() && write_queue_->sent_bytes() < pending.end_offset) return Progress::not_written;
     if (!call.has_priority()) {
-        remember_ended(pending.id);
+        remember_ended_request(pending.id);
         write_queue_->send(encode_stop(pending.id));
     }
-    // Nothing was received during all of a probe's time: the connection is of no use, whatever the invoker's state.
-    if (call.has_priority() && cause == StopCause::timed_out && last_read_ <= pending.since)
+    // Nothing was received before the probe's timeout: the connection is considered broken, whatever the invoker's
+    // state.
+    if (call.has_priority() && cause == StopCause::timed_out && last_read_at_ <= pending.since)
         fail(name_of(Failure::probe_timeout));
     on_calls_changed();
     return Progress::may_have_run;
 }
 
 void InvokerConnection::close() {
-    if (!alive_) return;
-    alive_ = false;
+    if (!is_open_) return;
+    is_open_ = false;
     idle_timer_.clear();
     response_timer_.clear();
     attempt_timer_.clear();
@@ -107,7 +108,7 @@
 }
 
 void InvokerConnection::drain() {
-    draining_ = true;
+    is_draining_ = true;
     on_calls_changed();
 }
 
@@ -140,41 +141,41 @@
 
 // ---------------------------------------------------------------- writing
 
-// Writes what is unwritten, oldest first, but no more than one attempt ahead of what the socket takes: an attempt that
-// waits here can still be cancelled without a trace, when its client disconnects or its invoker drains.
+// Writes the unwritten calls, oldest first. An attempt is held back while an earlier one is not completely written:
+// while unwritten it can still be cancelled or moved, when its client disconnects or its invoker drains.
 void InvokerConnection::write_calls() {
-    // While this thread lags, what is known of clients, drains and this connection is out of date until the input that
-    // arrived meanwhile has been read.
+    // While this thread lags, disconnects and drain notices may be waiting in socket buffers: they are read first.
     if (loop_.is_lagging()) return write_calls_after({});
     write_calls_now();
 }
 
 void InvokerConnection::write_calls_now() {
-    socket_full_ = false;
-    for (std::size_t i = 0; i < calls_.size() && alive_; ++i) {  // write() may change calls_
+    attempt_blocked_ = false;
+    for (std::size_t i = 0; i < calls_.size() && is_open_; ++i) {  // by index, as write() may change calls_
         PendingCall& pending = calls_[i];
         if (!pending.is_unwritten()) continue;
         const bool is_attempt = !pending.call->has_priority();
         if (is_attempt && client_has_unread_input(*pending.call)) {
-            write_calls_after(unread_client_pause);
+            write_calls_after(client_input_retry_delay);
             continue;
         }
-        if (is_attempt && (socket_full_ || write_queue_->pending_bytes() > 0)) continue;
+        if (is_attempt && (attempt_blocked_ || write_queue_->pending_bytes() > 0)) continue;
         write(pending);
     }
     write_calls_when_writable();
 }
 
-// Behind a stall of this thread a client may have disconnected: its input is read first.
+// After a stall of this thread, unread input of the client may be its disconnect, which has to be read before the
+// write.
 bool InvokerConnection::client_has_unread_input(const UpstreamCall& call) const {
     return loop_.was_lagging() && call.request->sink && call.request->sink->has_unread_input();
 }
 
-void InvokerConnection::write_calls_after(net::Time pause) {
+void InvokerConnection::write_calls_after(net::Time delay) {
     if (std::exchange(write_scheduled_, true)) return;
-    loop_.call_at(loop_.now() + pause, [self = shared_from_this()] {
+    loop_.call_at(loop_.now() + delay, [self = shared_from_this()] {
         self->write_scheduled_ = false;
-        if (self->alive_) self->write_calls_now();
+        if (self->is_open_) self->write_calls_now();
     });
 }
 
@@ -183,8 +184,8 @@
 }
 
 void InvokerConnection::write_calls_when_writable() {
-    const bool is_blocked = write_queue_->pending_bytes() > 0 || socket_full_;
-    if (!alive_ || waiting_writable_ || !is_blocked || !has_unwritten()) return;
+    const bool is_blocked = write_queue_->pending_bytes() > 0 || attempt_blocked_;
+    if (!is_open_ || waiting_writable_ || !is_blocked || !has_unwritten()) return;
     waiting_writable_ = true;
     loop_.spawn(wait_and_write(shared_from_this()));
 }
@@ -192,36 +193,36 @@
 net::Task<> InvokerConnection::wait_and_write(std::shared_ptr<InvokerConnection>) {
     co_await write_queue_->wait_writable();
     waiting_writable_ = false;
-    if (alive_ && !write_queue_->error()) write_calls();
+    if (is_open_ && !write_queue_->error()) write_calls();
 }
 
 void InvokerConnection::write(PendingCall& pending) {
     const UpstreamCall& call = *pending.call;
-    // An invoker can't use an attempt without time. The call's own deadline ends it in this very moment, as never sent.
-    if (!call.has_priority() && call.deadline - loop_.now() < min_remaining) return;
-    // The offset is set before the write: a connection that fails during it has not taken the call.
-    const std::size_t begin_offset = write_queue_->sent_bytes() + write_queue_->pending_bytes();
+    // Too little time remains to state in the RUN line. The call's timeout ends the attempt as never sent.
+    if (!call.has_priority() && call.deadline - loop_.now() < min_remaining_time) return;
+    // Computed before the write, which changes both counters.
+    const std::size_t start_offset = write_queue_->sent_bytes() + write_queue_->pending_bytes();
     if (call.has_priority()) {
         std::string line = encode_probe(pending.id, !pool_.options_.report_fields.empty());
-        pending.end_offset = begin_offset + line.size();
+        pending.end_offset = start_offset + line.size();
         write_queue_->send(std::move(line));
-    } else if (!write_attempt(pending, begin_offset)) {
+    } else if (!write_attempt(pending, start_offset)) {
         return;
     }
     ConnectionPool::mark_sent(*pending.call);
     pending.since = loop_.now();
 }
 
-// False: no byte of it could be written. The rest of a part has to follow soon: the line states the remaining time of
-// now, and its client may disconnect. Otherwise the connection is closed, and the attempt never ran.
-bool InvokerConnection::write_attempt(PendingCall& pending, std::size_t begin_offset) {
+// Returns false if no byte could be written. A partly written attempt has to be completed within
+// incomplete_attempt_timeout; otherwise the connection is closed, and the attempt never ran.
+bool InvokerConnection::write_attempt(PendingCall& pending, std::size_t start_offset) {
     const gateway::ActiveRequest& request = *pending.call->request;
     std::string line = encode_run(pending.id, static_cast<const NamedRequestClass*>(request.request_class)->name,
                                   request.function->name, request.idempotency_key,
                                   (pending.call->deadline - loop_.now()) / 1ms, request.body->size());
-    const std::size_t end_offset = begin_offset + line.size() + request.body->size() + body_end.size();
-    socket_full_ = !write_queue_->send_if_room(std::move(line), request.body, std::string(body_end));
-    if (socket_full_) return false;
+    const std::size_t end_offset = start_offset + line.size() + request.body->size() + body_end.size();
+    attempt_blocked_ = !write_queue_->send_if_room(std::move(line), request.body, std::string(body_end));
+    if (attempt_blocked_) return false;
     pending.end_offset = last_attempt_end_offset_ = end_offset;
     pending.is_repeat = has_carried(pending.id);
     if (write_queue_->pending_bytes() > 0) attempt_timer_.set(loop_.now() + incomplete_attempt_timeout);
@@ -236,28 +237,28 @@
     if (connected.error) {
         cause = ConnectionPool::cause_of(connected.error);
         if (cause == StopCause::no_connection) ++pool_.counts_.unreachable;
-        alive_ = false;
+        is_open_ = false;
     } else {
         ++pool_.counts_.opened;
         stream_ = std::move(connected.stream);
-        if (alive_) co_await read_responses();
+        if (is_open_) co_await read_responses();
     }
     finish(self, cause);
 }
 
-// The connection has ended: so do its calls.
+// Ends all calls on the connection after it has closed or could not be opened.
 void InvokerConnection::finish(const std::shared_ptr<InvokerConnection>& self, StopCause cause) {
-    const bool was_idle = alive_ && calls_.empty() && stream_;
+    const bool was_idle = is_open_ && calls_.empty() && stream_;
     if (was_idle) ++pool_.counts_.closed_idle;
     close();
-    alive_ = false;
+    is_open_ = false;
     pool_.budget_.on_busy(*this);
     release_budget();
     if (stream_) stream_->close();
-    const auto ended = std::exchange(calls_, {});
+    const auto pending_calls = std::exchange(calls_, {});
     const std::size_t sent_bytes = write_queue_ ? write_queue_->sent_bytes() : 0;
     pool_.connection_closed(self);
-    for (const PendingCall& pending : ended) {
+    for (const PendingCall& pending : pending_calls) {
         ConnectionPool::connection_of(*pending.call).reset();
         pool_.finish(pending.call, delivery::outcome_of(progress_of(pending, sent_bytes), cause));
     }
@@ -270,21 +271,21 @@
 
 net::Task<> InvokerConnection::read_responses() {
     write_queue_ = std::make_shared<net::WriteQueue>(loop_, stream_);
-    last_read_ = loop_.now();
+    last_read_at_ = loop_.now();
     write_calls();
     on_calls_changed();
     ResponseDecoder decoder(max_line_bytes, pool_.config_.max_buffered_response);
     std::vector<char> buffer(read_buffer_bytes);
     ResponseMessage response;
-    while (alive_) {
+    while (is_open_) {
         const net::TransferResult result = co_await stream_->read(net::asio::buffer(buffer));
-        if (result.error || !alive_) co_return;
-        last_read_ = loop_.now();
+        if (result.error || !is_open_) co_return;
+        last_read_at_ = loop_.now();
         std::string_view bytes(buffer.data(), result.bytes);
-        while (alive_ && decoder.next(bytes, response)) on_response(response);
+        while (is_open_ && decoder.next(bytes, response)) on_response(response);
         if (decoder.error() != ResponseError::none) fail(invoker_protocol::name_of(decoder.error()));
-        if (!alive_) co_return;
-        // A response that has begun and does not become complete blocks all others behind it.
+        if (!is_open_) co_return;
+        // An incomplete response blocks all later ones on the connection, so it is subject to a timeout.
         if (!decoder.in_response())
             response_timer_.clear();
         else if (!response_timer_.is_set())
@@ -292,7 +293,7 @@
     }
 }
 
-// A response to a call that is not on this connection is one to a cancelled call, or a second one: it has no effect.
+// Passes the response to its call. Late responses to cancelled calls and duplicate responses are counted and ignored.
 void InvokerConnection::on_response(ResponseMessage& response) {
     const auto it = std::find_if(calls_.begin(), calls_.end(),
                                  [&](const PendingCall& pending) { return pending.id == response.id; });
@@ -303,15 +304,15 @@
     const auto call = it->call;
     const bool is_repeat = it->is_repeat;
     if (call->has_priority() != is_probe_result(response.result)) return fail(name_of(Failure::unexpected_result));
-    if (!call->has_priority()) remember_ended(it->id);
+    if (!call->has_priority()) remember_ended_request(it->id);
     calls_.erase(it);
     ConnectionPool::connection_of(*call).reset();
-    // It may be a second response to the earlier attempt: what runs under the id is stopped, so that nothing else does.
+    // The response may belong to the earlier attempt of the request: stops the attempt that may still be running.
     if (is_repeat) write_queue_->send(encode_stop(response.id));
     gateway::CallResult result = to_result(response);
     on_calls_changed();
     pool_.finish(call, std::move(result));
-    if (alive_) pool_.on_connection_free();
+    if (is_open_) pool_.on_connection_free();
 }
 
 gateway::CallResult InvokerConnection::to_result(ResponseMessage& response) const {
@@ -325,30 +326,31 @@
     return result;
 }
 
-void InvokerConnection::remember_ended(const std::string& id) {
+void InvokerConnection::remember_ended_request(const std::string& id) {
     ended_requests_.push_back(id);
     if (ended_requests_.size() > max_ended_requests) ended_requests_.pop_front();
 }
 
-// ---------------------------------------------------------------- the end
+// ---------------------------------------------------------------- closing
 
 void InvokerConnection::fail(const char* reason) {
-    if (!alive_) return;
+    if (!is_open_) return;
     ++pool_.counts_.malformed;
     if (pool_.counts_.on_malformed) pool_.counts_.on_malformed(pool_.address_.to_string(), reason, calls_.size());
     close();
 }
 
 void InvokerConnection::on_calls_changed() {
-    if (!calls_.empty() || !alive_) return;
-    if (draining_) return close();
+    if (!calls_.empty() || !is_open_) return;
+    if (is_draining_) return close();
     idle_timer_.set(loop_.now() + pool_.config_.idle_timeout);
     if (write_queue_) pool_.budget_.on_idle(*this);
 }
 
-// Once, when the descriptor is free. Not by the destructor: the budget may be gone before the loop drops a coroutine.
+// Called when the descriptor is closed; further calls have no effect. Not called by the destructor, since the loop may
+// destroy a coroutine that holds the connection after the budget.
 void InvokerConnection::release_budget() {
-    if (std::exchange(is_counted_, false)) pool_.budget_.on_closed();
+    if (std::exchange(is_counted_in_budget_, false)) pool_.budget_.on_closed();
 }
 
 }  // namespace plumkeel::invoker_protocol
--- a/src/invoker_protocol/invoker_connection.hpp
+++ b/src/invoker_protocol/invoker_connection.hpp
@@ -1,4 +1,4 @@
-/// One connection of a ConnectionPool. Private to this package.
+/// A connection of a ConnectionPool to its invoker; private to this package.
 #pragma once
 
 #include <deque>
@@ -14,35 +14,36 @@
 
 namespace plumkeel::invoker_protocol {
 
-/// Writes calls to an invoker and matches its responses to them. Its coroutines keep it alive; it belongs to the pool's
-/// list until it has closed.
+/// Writes calls to an invoker and matches its responses to them. Its coroutines keep it alive; the pool lists it until
+/// it has closed.
 class InvokerConnection : public std::enable_shared_from_this<InvokerConnection> {
 public:
     explicit InvokerConnection(ConnectionPool& pool);
 
     /// Connects to the pool's address.
     void start();
-    /// Takes the call over; it is written once the connection is there, and the invoker's socket has room.
+    /// Accepts a call and writes it once the connection is established and the socket accepts bytes.
     void send(const std::shared_ptr<UpstreamCall>& call, std::string id);
-    /// The call is cancelled or timed out. A late response to it is expected from then on. Returns how far it got.
+    /// Removes a call that was cancelled or timed out, and returns how much of it was written. A late response to it is
+    /// ignored.
     delivery::Progress remove(UpstreamCall& call, delivery::StopCause cause);
     void close();
-    /// Accepts no further calls; closes once none is in flight.
+    /// Accepts no further calls; closes once no call is in flight.
     void drain();
 
-    bool is_accepting() const { return alive_ && !draining_; }
-    /// Whether it is idle and the peer's end has arrived, though it is not read yet: what is written now would be lost.
+    bool is_accepting() const { return is_open_ && !is_draining_; }
+    /// Whether the connection is idle and the peer has closed it, so that bytes written now would be lost.
     bool is_closed_by_peer() const { return calls_.empty() && stream_ && stream_->peer_closed(); }
     std::size_t call_count() const { return calls_.size(); }
     std::size_t attempt_count() const;
-    net::Time last_read() const { return last_read_; }
+    net::Time last_read() const { return last_read_at_; }
     bool carries(std::string_view id) const;
-    /// Whether an attempt of the request was on this connection and has ended: a further response to that request may
-    /// be one to that attempt.
+    /// Whether an attempt of the request with this id has ended on this connection: a late response to that attempt may
+    /// still arrive.
     bool has_carried(std::string_view id) const;
-    /// Removes calls that have not begun to be written, to be sent elsewhere.
+    /// Moves the unwritten calls to `unsent`.
     void take_unsent(std::vector<std::shared_ptr<UpstreamCall>>& unsent);
-    /// Appends attempts that have not begun to be written.
+    /// Appends the unwritten attempts to `unsent` without removing them.
     void collect_unsent(std::vector<std::shared_ptr<UpstreamCall>>& unsent) const;
 
 private:
@@ -51,19 +52,19 @@
     struct PendingCall {
         std::string id;
         std::shared_ptr<UpstreamCall> call;
-        std::size_t end_offset = unwritten;  // bytes sent on the connection once all of the call is
-        net::Time since{};                   // when it was written; before that, when it was taken over
-        bool is_repeat{};                    // an earlier attempt of the request was on this connection
+        std::size_t end_offset = unwritten;  // value of sent_bytes() once the call is completely sent
+        net::Time since{};                   // when the call was written, or accepted if it is unwritten
+        bool is_repeat{};                    // whether an earlier attempt of the request ended on this connection
 
         bool is_unwritten() const { return end_offset == unwritten; }
     };
 
-    // Why the connection can't be used further, apart from ResponseError.
+    // Reasons for closing the connection other than a ResponseError.
     enum class Failure {
-        incomplete_response,  // it began and did not become complete in time
-        incomplete_attempt,   // a part was written and the rest did not follow in time
-        unexpected_result,    // the result of a probe for an attempt, or the other way round
-        probe_timeout,        // nothing received during all of a probe's time
+        incomplete_response,  // a response did not become complete in time
+        incomplete_attempt,   // an attempt was not written completely in time
+        unexpected_result,    // an attempt got the result of a probe, or a probe that of an attempt
+        probe_timeout,        // nothing was received before the timeout of a probe
     };
     static const char* name_of(Failure failure);
 
@@ -74,32 +75,32 @@
 
     void write_calls();
     void write_calls_now();
-    void write_calls_after(net::Time pause);
+    void write_calls_after(net::Time delay);
     void write_calls_when_writable();
     net::Task<> wait_and_write(std::shared_ptr<InvokerConnection> self);
     bool has_unwritten() const;
     bool client_has_unread_input(const UpstreamCall& call) const;
     void write(PendingCall& pending);
-    bool write_attempt(PendingCall& pending, std::size_t begin_offset);
+    bool write_attempt(PendingCall& pending, std::size_t start_offset);
 
     void on_response(ResponseMessage& response);
     gateway::CallResult to_result(ResponseMessage& response) const;
-    void remember_ended(const std::string& id);
+    void remember_ended_request(const std::string& id);
     void fail(const char* reason);
     void on_calls_changed();
     void release_budget();
 
     ConnectionPool& pool_;
     net::EventLoop& loop_;
-    bool alive_ = true, draining_{}, is_counted_ = true;
+    bool is_open_ = true, is_draining_{}, is_counted_in_budget_ = true;
     bool waiting_writable_{}, write_scheduled_{};
-    bool socket_full_{};                      // the last attempt found no room for a byte
-    std::size_t last_attempt_end_offset_{};   // of the attempt written last
-    std::deque<std::string> ended_requests_;  // of which an attempt has ended here, the newest last
+    bool attempt_blocked_{};                  // the socket accepted no byte of the last attempt
+    std::size_t last_attempt_end_offset_{};   // end_offset of the attempt written last
+    std::deque<std::string> ended_requests_;  // ids of requests with an ended attempt, newest last
     std::shared_ptr<net::Stream> stream_;
-    std::shared_ptr<net::WriteQueue> write_queue_;  // once connected
+    std::shared_ptr<net::WriteQueue> write_queue_;  // null until connected
     std::vector<PendingCall> calls_;                // oldest first
-    net::Time last_read_{};
+    net::Time last_read_at_{};
     net::LazyTimer idle_timer_, response_timer_, attempt_timer_;
 };
 
