--- a/src/discovery/event_sequence.hpp
+++ b/src/discovery/event_sequence.hpp
@@ -1,4 +1,4 @@
-/// Decides by its number whether an event of the watch is applied: each once, in order, with none missing.
+/// Checks event numbers, so that each event of the watch is applied once, in order, and a missing one is noticed.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,26 @@
     accepted,
     heartbeat,
     duplicate,
-    gap,  ///< An event was missed: subscribe again from `last_accepted()`.
+    gap,  ///< An event was missed: the watcher has to subscribe again from `last_accepted()`.
 };
 
 class EventSequence {
 public:
-    explicit EventSequence(std::uint64_t last) : last_(last) {}
+    explicit EventSequence(std::uint64_t known_event_number) : last_accepted_(known_event_number) {}
 
     SequenceCheck check(const WatchEvent& event) {
-        if (!event.has_changes) return event.number > last_ ? SequenceCheck::gap : SequenceCheck::heartbeat;
-        if (event.number <= last_) return SequenceCheck::duplicate;
-        // A complete list replaces whatever was missed before it.
-        if (event.number > last_ + 1 && !event.is_complete) return SequenceCheck::gap;
-        last_ = event.number;
+        if (!event.has_changes) return event.number > last_accepted_ ? SequenceCheck::gap : SequenceCheck::heartbeat;
+        if (event.number <= last_accepted_) return SequenceCheck::duplicate;
+        // A complete list makes up for missed events.
+        if (event.number > last_accepted_ + 1 && !event.is_complete) return SequenceCheck::gap;
+        last_accepted_ = event.number;
         return SequenceCheck::accepted;
     }
     /// The number of the last event accepted.
-    std::uint64_t last_accepted() const { return last_; }
+    std::uint64_t last_accepted() const { return last_accepted_; }
 
 private:
-    std::uint64_t last_;
+    std::uint64_t last_accepted_;
 };
 
 }  // namespace plumkeel::discovery
--- a/src/discovery/frame_decoder.cpp
+++ b/src/discovery/frame_decoder.cpp
@@ -5,15 +5,15 @@
 namespace plumkeel::discovery {
 namespace {
 
-// A frame: its payload's length, then the payload. A payload: the event's number and kind, then endpoint records.
+// Frame format: payload length, event number, event kind, endpoint records.
 constexpr std::size_t length_bytes = 4, kind_offset = 8, header_bytes = 9, record_bytes = 27;
 
-// Offsets in a record. Integers are big-endian.
+// Offsets of the fields of an endpoint record. Integers are big-endian.
 constexpr std::size_t id_offset = 0, address_offset = 4, port_offset = 8, state_offset = 10, zone_offset = 11,
                       type_offset = 12, cell_offset = 13, capacity_offset = 15, started_at_offset = 19;
 
-constexpr double capacity_unit = 1000;                     // capacities are sent in thousandths
-constexpr std::uint64_t started_at_limit_ms = 1ULL << 50;  // beyond it the time of the start counts as unknown
+constexpr double capacity_unit = 1000;                     // capacities are encoded in thousandths
+constexpr std::uint64_t started_at_limit_ms = 1ULL << 50;  // start times from here on are treated as unknown
 
 enum EventKind : unsigned char { heartbeat = 0, complete_list = 1, changes = 2 };
 enum EndpointState : unsigned char { up = 0, draining = 1, removed = 2 };
@@ -24,7 +24,7 @@
     return value;
 }
 
-std::string label_at(const std::vector<std::string>& labels, std::size_t index) {
+std::string label_or_empty(const std::vector<std::string>& labels, std::size_t index) {
     return index < labels.size() ? labels[index] : std::string();
 }
 
@@ -38,11 +38,11 @@
 bool FrameDecoder::next(std::string_view& bytes, WatchEvent& event) {
     while (!bytes.empty() && error_ == FrameError::none) {
         const bool has_length = buffer_.size() >= length_bytes;
-        const std::size_t wanted = length_bytes + (has_length ? read_big_endian(buffer_, 0, length_bytes) : 0);
-        const std::string_view chunk = bytes.substr(0, wanted - buffer_.size());
+        const std::size_t needed_bytes = length_bytes + (has_length ? read_big_endian(buffer_, 0, length_bytes) : 0);
+        const std::string_view chunk = bytes.substr(0, needed_bytes - buffer_.size());
         buffer_ += chunk;
         bytes.remove_prefix(chunk.size());
-        if (buffer_.size() < wanted) return false;
+        if (buffer_.size() < needed_bytes) return false;
         if (!has_length) {
             const std::size_t length = read_big_endian(buffer_, 0, length_bytes);
             if (length < header_bytes || length > header_bytes + max_records * record_bytes)
@@ -80,8 +80,8 @@
     endpoint.address = fmt::format("{}.{}.{}.{}:{}", field(address_offset, 1), field(address_offset + 1, 1),
                                    field(address_offset + 2, 1), field(address_offset + 3, 1), field(port_offset, 2));
     endpoint.ready = static_cast<unsigned char>(record[state_offset]) == up;
-    endpoint.zone = label_at(labels_.zones, field(zone_offset, 1));
-    endpoint.type = label_at(labels_.types, field(type_offset, 1));
+    endpoint.zone = label_or_empty(labels_.zones, field(zone_offset, 1));
+    endpoint.type = label_or_empty(labels_.types, field(type_offset, 1));
     endpoint.cell = static_cast<int>(field(cell_offset, 2));
     endpoint.capacity = static_cast<double>(field(capacity_offset, 4)) / capacity_unit;
     const std::uint64_t started_at_ms = field(started_at_offset, 8);
@@ -91,9 +91,9 @@
 }
 
 std::string encode_subscription(std::uint64_t last_event) {
-    std::string out;
-    for (int shift = 56; shift >= 0; shift -= 8) out += static_cast<char>(last_event >> shift & 255);
-    return out;
+    std::string encoded;
+    for (int shift = 56; shift >= 0; shift -= 8) encoded += static_cast<char>(last_event >> shift & 255);
+    return encoded;
 }
 
 }  // namespace plumkeel::discovery
--- a/src/discovery/frame_decoder.hpp
+++ b/src/discovery/frame_decoder.hpp
@@ -1,5 +1,5 @@
-/// Binary codec of the discovery service's watch: decodes frames into events and encodes the subscription. Free of I/O
-/// and clocks.
+/// Binary codec of the discovery protocol: decodes frames into events and encodes subscriptions. Free of I/O and
+/// clocks.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace plumkeel::discovery {
 
-/// Frames refer to zones and invoker types by their index in the settings' lists.
+/// Names of zones and invoker types, to which frames refer by index.
 struct LabelTable {
     std::vector<std::string> zones, types;
 };
 
-/// What made a frame unreadable.
+/// Why a frame is malformed.
 enum class FrameError {
     none,
-    length,  ///< Too short for the fixed fields or over `max_records`.
-    kind,    ///< Unknown kind of event.
-    record,  ///< Records that do not fill the frame exactly, or an endpoint state that is not known.
+    length,  ///< The payload is too short for the fixed fields or too long for `max_records`.
+    kind,    ///< The event kind is unknown.
+    record,  ///< The records do not fill the frame exactly, or an endpoint state is unknown.
 };
 const char* name_of(FrameError error);
 
-/// Decodes a byte stream that may be split anywhere. After an error the stream can't be resynchronised.
+/// Decodes a byte stream that may be split anywhere. After an error nothing more is decoded.
 class FrameDecoder {
 public:
     explicit FrameDecoder(LabelTable labels) : labels_(std::move(labels)) {}
@@ -39,11 +39,11 @@
     gateway::Endpoint decode_endpoint(std::string_view record) const;
 
     const LabelTable labels_;
-    std::string buffer_;  // the length field and payload received so far of one frame
+    std::string buffer_;  // the current frame as far as it has been received
     FrameError error_{};
 };
 
-/// The 8 bytes that open a watch: the number of the last event that the subscriber has.
+/// Encodes the 8-byte subscription: the number of the last event that the subscriber has received.
 std::string encode_subscription(std::uint64_t last_event);
 
 }  // namespace plumkeel::discovery
--- a/src/discovery/initial_events.hpp
+++ b/src/discovery/initial_events.hpp
@@ -1,5 +1,5 @@
-/// The events that a platform configuration already contains (its `known` object), so that a controller starts with a
-/// list of endpoints before the watch is connected.
+/// Events contained in the platform configuration (its `known` object), so that a controller has a list of endpoints
+/// before the watch is connected.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace plumkeel::discovery {
 
-/// Decodes `known`; throws `platform_settings::SettingsError` naming the field.
+/// Decodes `known`; throws `platform_settings::SettingsError` naming the field if one is invalid.
 std::vector<WatchEvent> parse_initial_events(const platform_settings::json& known);
 
 }  // namespace plumkeel::discovery
--- a/src/discovery/watch_event.hpp
+++ b/src/discovery/watch_event.hpp
@@ -10,17 +10,17 @@
 
 namespace plumkeel::discovery {
 
-/// The most endpoint records in one event; a larger event is malformed.
+/// Maximum number of endpoint records in an event; a larger event is malformed.
 constexpr std::size_t max_records = 20'000;
 
 struct WatchEvent {
-    std::uint64_t number{};  ///< Rises by one with each change; a heartbeat repeats the last one.
-    bool has_changes{};      ///< False: a heartbeat.
-    bool is_complete{};      ///< `endpoints` is the whole list; otherwise only what changed.
+    std::uint64_t number{};  ///< Rises by one with each change; a heartbeat repeats the last number.
+    bool has_changes{};      ///< False for a heartbeat.
+    bool is_complete{};      ///< Whether `endpoints` is the complete list; otherwise it holds the changed endpoints.
     std::vector<gateway::Endpoint> endpoints;
     std::vector<std::string> removed;  ///< Names of endpoints that left the list.
 
-    /// Files an endpoint under `removed` or `endpoints`.
+    /// Adds an endpoint to `endpoints`, or its name to `removed`.
     void add(gateway::Endpoint endpoint, bool is_removed) {
         if (is_removed)
             removed.push_back(std::move(endpoint.name));
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -8,20 +8,20 @@
 
 namespace plumkeel::discovery {
 
-constexpr int max_timeout_doublings = 3;  // of the silence timeout before a connection's first event: up to 14 s
+constexpr int max_timeout_doublings = 3;  // limits the silence timeout before a connection's first event to 14.4 s
 constexpr int max_backoff_doublings = 6;
 constexpr std::size_t read_buffer_bytes = 4096;
 
-Watcher::Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address, std::uint64_t last,
-                 OnEvent on_event, std::uint64_t seed, WatchTimeouts timeouts)
+Watcher::Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address,
+                 std::uint64_t known_event_number, OnEvent on_event, std::uint64_t seed, WatchTimeouts timeouts)
     : loop_(loop),
       log_(log),
       labels_(std::move(labels)),
       address_(std::move(address)),
-      sequence_(last),
+      sequence_(known_event_number),
       on_event_(std::move(on_event)),
       timeouts_(timeouts),
-      wake_(loop),
+      wake_up_(loop),
       random_(seed) {}
 
 const char* Watcher::name_of(DisconnectReason reason) {
@@ -40,9 +40,9 @@
                {{"from", address_.to_string()}, {"to", address.to_string()}});
     address_ = std::move(address);
     address_changed_ = true;
-    failures_ = 0;
+    failed_attempts_ = 0;
     if (stream_) stream_->close();
-    wake_.notify();
+    wake_up_.notify();
 }
 
 net::Task<> Watcher::run() {
@@ -61,8 +61,8 @@
         if (address_changed_) continue;
         log_disconnect(disconnect);
         const net::Time backoff = next_backoff();
-        auto timer = loop_.call_at(loop_.now() + backoff, [this] { wake_.notify(); });
-        co_await wake_.wait();
+        auto timer = loop_.call_at(loop_.now() + backoff, [this] { wake_up_.notify(); });
+        co_await wake_up_.wait();
         loop_.cancel(timer);
     }
 }
@@ -78,7 +78,7 @@
     FrameDecoder decoder(labels_);
     std::array<char, read_buffer_bytes> buffer;
     WatchEvent event;
-    // An overloaded service lets new connections wait for their first event: each silent one doubles the wait.
+    // An overloaded service may be slow to send the first event: the timeout doubles after each silent connection.
     net::Time timeout = timeouts_.silence_timeout * (1 << std::min(silent_connections_, max_timeout_doublings));
     for (;;) {
         silence_timer.set(loop_.now() + timeout);
@@ -93,7 +93,7 @@
             const SequenceCheck check = sequence_.check(event);
             if (check == SequenceCheck::gap) co_return Disconnect{DisconnectReason::sequence_gap};
             confirmed_at_ = loop_.now();
-            failures_ = 0;
+            failed_attempts_ = 0;
             silent_connections_ = 0;
             received_event = true;
             timeout = timeouts_.silence_timeout;
@@ -111,10 +111,10 @@
     log_.write(Log::Level::warn, "discovery_connection_lost", std::move(fields));
 }
 
-// Exponential, with jitter: hundreds of controllers lose the service together and must not return together.
+// Exponential backoff with jitter, since many controllers may lose the service at the same moment.
 net::Time Watcher::next_backoff() {
-    const net::Time backoff = std::min(timeouts_.max_backoff,
-                                       timeouts_.initial_backoff * (1 << std::min(failures_++, max_backoff_doublings)));
+    const net::Time backoff = std::min(
+        timeouts_.max_backoff, timeouts_.initial_backoff * (1 << std::min(failed_attempts_++, max_backoff_doublings)));
     return net::Time(static_cast<net::Time::rep>(static_cast<double>(backoff.count()) * (0.5 + random_.next())));
 }
 
--- a/src/discovery/watcher.hpp
+++ b/src/discovery/watcher.hpp
@@ -1,6 +1,6 @@
-/// Watches the discovery service over one connection: subscribes from the last event received and delivers new ones.
-/// A connection that closes, skips an event, sends malformed frames or falls silent is replaced by a new one;
-/// meanwhile the last known list stays in use.
+/// Watches the discovery service over a connection: subscribes from the last event received and delivers new events.
+/// Reconnects when the connection closes, skips an event, sends a malformed frame or is silent for too long; meanwhile
+/// the last known endpoints stay in use.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 struct WatchTimeouts {
     net::Time connect_timeout = std::chrono::seconds(1);
-    /// Longest wait between two events; the service sends a heartbeat each second.
+    /// Longest wait for the next event; the service sends a heartbeat each second.
     net::Time silence_timeout = std::chrono::milliseconds(1800);
     net::Time initial_backoff = std::chrono::milliseconds(50), max_backoff = std::chrono::milliseconds(800);
 };
@@ -26,20 +26,20 @@
 public:
     using OnEvent = std::function<void(const WatchEvent&)>;
 
-    /// `last` is the number of the last event already known. `seed` spreads the reconnects of controllers that lose
-    /// the service at the same moment.
-    Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address, std::uint64_t last,
+    /// `known_event_number` is that of the last event already known. `seed` spreads the reconnects of controllers that
+    /// lose the service at the same moment.
+    Watcher(net::EventLoop& loop, Log& log, LabelTable labels, net::Address address, std::uint64_t known_event_number,
             OnEvent on_event, std::uint64_t seed, WatchTimeouts timeouts = {});
 
     /// Watches until the event loop ends.
     void start();
-    /// Moves to another address of the service; event numbers continue.
+    /// Reconnects to another address of the service; event numbers continue.
     void set_address(net::Address address);
-    /// The number of the last event applied.
+    /// Number of the last event applied.
     std::uint64_t last_event_number() const { return sequence_.last_accepted(); }
-    /// When the list was last known to be up to date.
+    /// When the last event arrived, which confirmed that the list of endpoints was up to date.
     std::optional<net::Time> confirmed_at() const { return confirmed_at_; }
-    /// How many connections have been established so far.
+    /// Number of connections established so far.
     std::uint64_t connections() const { return connections_; }
 
 private:
@@ -65,10 +65,10 @@
     std::shared_ptr<net::Stream> stream_;
     std::optional<net::Time> confirmed_at_;
     std::uint64_t connections_{};
-    int failures_{};            // attempts in a row without an event
-    int silent_connections_{};  // of these, connections that were established and stayed silent
+    int failed_attempts_{};     // consecutive connection attempts without an event
+    int silent_connections_{};  // consecutive connections without an event before their timeout
     bool address_changed_{};
-    net::Notification wake_;
+    net::Notification wake_up_;
     Pcg random_;
 };
 
