--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,4 +1,4 @@
-/// A client aborts its request or closes its connection, at every stage of the request. The scripts force the order of
+/// A client aborts its request or closes its connection at every stage of the request. The scripts force the order of
 /// events; docs/design/021-endings.md lists the cases.
 #include "tests/platform_fixture.hpp"
 
@@ -24,7 +24,7 @@
 class ClientDisconnect : public PlatformTest, public testing::WithParamInterface<DisconnectCase> {
 protected:
     void open_with(const std::string& text) { open(GetParam().may_cancel ? text : without_cancellation(text)); }
-    // A request on a connection of its own at `when`, aborted or disconnected `after` it connected.
+    // Adds a request on a connection of its own, which the client aborts or closes `after` connecting at `when`.
     ScriptedClient& add_leaving_client(Time when, std::uint64_t id, Time after, const std::string& body = "") {
         ScriptedClient& it = add_client(when, {{0ms, request_text(1, id, body)}});
         loop.call_at(when + 200us + after, [&it, this] {
@@ -37,35 +37,35 @@
     }
 };
 
-// One call for each of eight connections: the ninth request waits for one. Its client disconnects; then one is free.
+// All eight connections are busy, so the ninth request is queued; its client disconnects before a connection is free.
 TEST_P(ClientDisconnect, WhileQueuedForAConnection) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond});
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::never_respond});
     open_with(replaced(replaced(config_with_long_deadlines(), R"("sockets":256)", R"("sockets":64)"),
                        R"("streams_per_conn":32)", R"("streams_per_conn":1)"));
     for (std::uint64_t i = 1; i <= 8; ++i) add_client(10ms, {{0ms, request_text(1, i)}});
     add_leaving_client(20ms, 9, 10ms);
     add_client(25ms, {{0ms, request_text(1, 10)}});
     loop.run(50ms);
-    ASSERT_EQ(only.runs.size(), 8u);
-    only.script = {InvokerBehaviour::respond};
-    ScriptedInvoker::write(only.streams[0], only.runs[0].second + " data n=reused 2\r\nok\r\n");
+    ASSERT_EQ(invoker.runs.size(), 8u);
+    invoker.script = {InvokerBehaviour::respond};
+    ScriptedInvoker::write(invoker.streams[0], invoker.runs[0].second + " data n=reused 2\r\nok\r\n");
     loop.run(500ms);
-    EXPECT_FALSE(has_run(only, 9));
-    EXPECT_TRUE(has_run(only, 10));  // which waited behind it
+    EXPECT_FALSE(has_run(invoker, 9));
+    EXPECT_TRUE(has_run(invoker, 10));  // the request queued behind the cancelled one
 }
 
-// Connecting to the invoker takes twice the network latency; the client disconnects before.
+// The client disconnects while the connection to the invoker is being established.
 TEST_P(ClientDisconnect, WhileConnecting) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::respond});
     open_with(config_with_long_deadlines());
     add_leaving_client(10ms, 1, 50us);
     loop.run(300ms);
-    EXPECT_FALSE(has_run(only, 1));
-    EXPECT_TRUE(only.stops.empty());
+    EXPECT_FALSE(has_run(invoker, 1));
+    EXPECT_TRUE(invoker.stops.empty());
 }
 
 TEST_P(ClientDisconnect, WhileParked) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::respond});
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
     open_with(replaced(config_with_long_deadlines(), R"("state":"up")", R"("state":"draining")"));
     add_leaving_client(10ms, 1, 10ms);
@@ -73,36 +73,38 @@
     loop.run(50ms);
     discovery_server.send(frame(discovery_server.last_event = 2, 2, {{1, "10.0.0.1"}}));
     loop.run(2s);
-    EXPECT_FALSE(has_run(only, 1));
-    EXPECT_TRUE(has_run(only, 2));
+    EXPECT_FALSE(has_run(invoker, 1));
+    EXPECT_TRUE(has_run(invoker, 2));
 }
 
 TEST_P(ClientDisconnect, BetweenAttempts) {
-    ScriptedInvoker& only =
+    ScriptedInvoker& invoker =
         add_invoker({InvokerBehaviour::reject, InvokerBehaviour::reject, InvokerBehaviour::respond});
     open_with(config_with_long_deadlines());
-    add_leaving_client(10ms, 1, 30ms);  // its first attempt was rejected after 20 ms
+    add_leaving_client(10ms, 1, 30ms);  // the first attempt is rejected after 20 ms
     add_client(10ms, {{0ms, request_text(1, 2)}});
     loop.run(5s);
-    EXPECT_EQ(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(1); }),
-              1);
-    EXPECT_GE(std::count_if(only.runs.begin(), only.runs.end(), [](const auto& run) { return run.second == hex16(2); }),
-              2);
+    EXPECT_EQ(
+        std::count_if(invoker.runs.begin(), invoker.runs.end(), [](const auto& run) { return run.second == hex16(1); }),
+        1);
+    EXPECT_GE(
+        std::count_if(invoker.runs.begin(), invoker.runs.end(), [](const auto& run) { return run.second == hex16(2); }),
+        2);
 }
 
 TEST_P(ClientDisconnect, WhileInFlight) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     open_with(config_with_long_deadlines());
     add_leaving_client(10ms, 1, 30ms);
     loop.run(100ms);
-    ASSERT_TRUE(has_run(only, 1));
-    EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
-    only.streams[0]->reset();  // which would reroute a request that is still wanted
+    ASSERT_TRUE(has_run(invoker, 1));
+    EXPECT_EQ(invoker.stops.size(), GetParam().may_cancel ? 1u : 0u);
+    invoker.streams[0]->reset();  // would cause a retry if the request were still open
     loop.run(3s);
-    EXPECT_EQ(only.runs.size(), 1u);
+    EXPECT_EQ(invoker.runs.size(), 1u);
 }
 
-// An attempt behind a full socket has not begun to be written: the one before it fills the socket.
+// The first attempt fills the socket's buffer, so that the second one has not begun to be written.
 class FullSocket : public ClientDisconnect {
 protected:
     static std::string one_connection() {
@@ -116,8 +118,8 @@
 };
 
 TEST_P(FullSocket, ClientDisconnects) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
-    only.starts_reading_at = 90ms;
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::respond});
+    invoker.starts_reading_at = 90ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open_with(one_connection());
     ScriptedClient& first = add_client(10ms, {{0ms, request_text(1, 1, large)}});
@@ -130,17 +132,17 @@
             second.stream->close();
     });
     loop.run(3s);
-    EXPECT_EQ(only.connections, 1);
+    EXPECT_EQ(invoker.connections, 1);
     EXPECT_EQ(first.response(1).status(), "200");
     EXPECT_EQ(third.response(1).status(), "200");
-    EXPECT_FALSE(has_run(only, 2));
-    EXPECT_TRUE(only.stops.empty());  // what was never sent needs no STOP
+    EXPECT_FALSE(has_run(invoker, 2));
+    EXPECT_TRUE(invoker.stops.empty());  // an attempt that was never sent needs no STOP
 }
 
-// The same attempt, and discovery reports that its invoker drains.
+// Discovery reports that the invoker drains while the second attempt waits behind a full socket.
 TEST_P(FullSocket, InvokerDrains) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::respond});
-    only.starts_reading_at = 90ms;
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::respond});
+    invoker.starts_reading_at = 90ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
     open_with(one_connection());
@@ -151,30 +153,30 @@
     });
     loop.run(3s);
     EXPECT_EQ(first.response(1).status(), "200");
-    EXPECT_FALSE(has_run(only, 2));
+    EXPECT_FALSE(has_run(invoker, 2));
 }
 
-// More than 64 KiB of responses are pending, since the client does not read: its abort is noticed all the same.
+// More than 64 KiB of responses are pending, since the client does not read: its disconnect must still be noticed.
 TEST_P(ClientDisconnect, WhileResponsesAreUnread) {
-    ScriptedInvoker& only = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    ScriptedInvoker& invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     loop.limit_buffer({"10.1.0.1", 7001}, 8000);
-    only.response_body = std::string(16'000, 'a');
+    invoker.response_body = std::string(16'000, 'a');
     open_with(config_with_long_deadlines());
     std::string text;
     for (int i = 1; i <= 7; ++i) text += request_text(i, static_cast<std::uint64_t>(i));
-    ScriptedClient& one = add_client(10ms, {{0ms, text}}, false);
+    ScriptedClient& client = add_client(10ms, {{0ms, text}}, false);
     loop.run(200ms);
-    ASSERT_EQ(only.runs.size(), 7u);
+    ASSERT_EQ(invoker.runs.size(), 7u);
     ASSERT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 1);
-    ScriptedInvoker::write(one.stream,
-                           record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // read after the responses were queued
+    ScriptedInvoker::write(
+        client.stream, record(9, 0, params_of({{"FCGI_MAX_CONNS", ""}})));  // parsed after the responses were queued
     loop.run(220ms);
     if (GetParam().how == Disconnect::abort_request)
-        ScriptedInvoker::write(one.stream, record(2, 1, ""));
+        ScriptedInvoker::write(client.stream, record(2, 1, ""));
     else
-        one.stream->close();
+        client.stream->close();
     loop.run(300ms);
-    EXPECT_EQ(only.stops.size(), GetParam().may_cancel ? 1u : 0u);
+    EXPECT_EQ(invoker.stops.size(), GetParam().may_cancel ? 1u : 0u);
     EXPECT_EQ(server->gateway().status().at("jobs").at("open").to_number<int>(), 0);
 }
 
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -1,5 +1,5 @@
-/// The codecs of the platform's protocols under sanitizers: streams split at every byte, and a fixed number of damaged
-/// streams.
+/// Fuzz test of the protocol codecs, run with sanitizers: decodes streams split at every byte, and a fixed number of
+/// randomly damaged streams.
 #include <cstdlib>
 #include <iostream>
 
@@ -13,34 +13,35 @@
 
 namespace {
 
-void check(bool good, const char* what) {
-    if (good) return;
-    std::cout << "codec_fuzz: " << what << std::endl;
+void check(bool condition, const char* failure) {
+    if (condition) return;
+    std::cout << "codec_fuzz: " << failure << std::endl;
     std::exit(1);
 }
 
-// Records all callbacks as text, and responds to nothing: complete requests stay pending.
+// Records all callbacks of the parser as text. Sends no responses, so complete requests stay pending.
 struct CallbackLog : fastcgi::ParserHandler {
     std::string text;
-    std::map<int, bool> open;
-    void on_request_begun(std::uint16_t n) override { text += fmt::format("begun {};", n); }
-    void on_request(fastcgi::RequestMessage m) override {
-        text += fmt::format("complete {} {} {} {};", m.request_id, m.keep_connection, m.params.size(), m.body);
-        open[m.request_id] = true;
+    std::map<int, bool> pending_requests;
+    void on_request_begun(std::uint16_t request_id) override { text += fmt::format("begun {};", request_id); }
+    void on_request(fastcgi::RequestMessage request) override {
+        text += fmt::format("complete {} {} {} {};", request.request_id, request.keep_connection, request.params.size(),
+                            request.body);
+        pending_requests[request.request_id] = true;
     }
-    void on_request_error(std::uint16_t n, fastcgi::RequestError why, bool keep) override {
-        text += fmt::format("error {} {} {};", n, fastcgi::name_of(why), keep);
+    void on_request_error(std::uint16_t request_id, fastcgi::RequestError error, bool keep_connection) override {
+        text += fmt::format("error {} {} {};", request_id, fastcgi::name_of(error), keep_connection);
     }
-    void on_abort(std::uint16_t n) override {
-        text += fmt::format("abort {};", n);
-        open.erase(n);
+    void on_abort(std::uint16_t request_id) override {
+        text += fmt::format("abort {};", request_id);
+        pending_requests.erase(request_id);
     }
     void on_get_values(std::string_view names) override { text += fmt::format("values {};", names.size()); }
     void on_unknown_type(std::uint8_t type) override { text += fmt::format("unknown {};", type); }
-    bool is_pending(std::uint16_t n) const override { return open.count(n) > 0; }
+    bool is_pending(std::uint16_t request_id) const override { return pending_requests.count(request_id) > 0; }
 };
 
-std::string records() {
+std::string fastcgi_stream() {
     using namespace bytes;
     return message(1, job_fields(hex16(1), hex16(2)), "a body", 7, 5) +
            record(9, 0, params_of({{"FCGI_MPXS_CONNS", ""}})) + record(99, 0, "odd") +
@@ -51,96 +52,98 @@
            record(1, 10, std::string_view("\0\1\0\0\0\0\0\0", 8)) + record(4, 10, std::string(9000, 'p'));
 }
 
-std::string feed_fastcgi(std::string_view a, std::string_view b) {
-    CallbackLog log;
+std::string feed_fastcgi_stream(std::string_view first_part, std::string_view second_part) {
+    CallbackLog callbacks;
     fastcgi::RequestParser parser({});
-    if (parser.feed(a, log)) parser.feed(b, log);
-    check(parser.held_bytes() < 40 * 24 * 1024, "more is buffered of requests than their limits");
-    return log.text;
+    if (parser.feed(first_part, callbacks)) parser.feed(second_part, callbacks);
+    check(parser.held_bytes() < 40 * 24 * 1024, "more bytes of requests are buffered than the limits allow");
+    return callbacks.text;
 }
 
-std::string lines() {
+std::string invoker_stream() {
     return "0000000000000001 data n=reused,peers_in=3 5\r\nhello\r\n"
            "p1 well l=inflight:7;util:0.61 0\r\n\r\n"
            "0000000000000002 absent n=init_error 0\r\n\r\n"
            "0000000000000003 data - 13\r\na\r\nb well 0\r\n\r\n";
 }
 
-std::string feed_lines(std::string_view a, std::string_view b) {
+std::string feed_invoker_stream(std::string_view first_part, std::string_view second_part) {
     invoker_protocol::ResponseDecoder decoder(256, 4096);
     invoker_protocol::ResponseMessage response;
     std::string text;
-    for (std::string_view part : {a, b})
+    for (std::string_view part : {first_part, second_part})
         while (decoder.next(part, response))
             text += fmt::format("{} {} {} {};", response.id, invoker_protocol::wire_name(response.result),
                                 response.fields, response.body);
     return text + invoker_protocol::name_of(decoder.error());
 }
 
-std::string frames() {
+std::string discovery_stream() {
     using namespace bytes;
     return frame(0, 0) + frame(1, 1, {{1, "10.0.0.1"}, {2, "10.0.0.2", 7001, 1}}) +
            frame(2, 2, {{3, "10.0.0.3", 7001, 2, 1700000000000}}) + frame(2, 0);
 }
 
-std::string feed_frames(std::string_view a, std::string_view b) {
-    discovery::FrameDecoder reader({{"a"}, {"k"}});
+std::string feed_discovery_stream(std::string_view first_part, std::string_view second_part) {
+    discovery::FrameDecoder decoder({{"a"}, {"k"}});
     discovery::WatchEvent event;
     std::string text;
-    for (std::string_view part : {a, b})
-        while (reader.next(part, event)) {
+    for (std::string_view part : {first_part, second_part})
+        while (decoder.next(part, event)) {
             text += fmt::format("{} {} {}", event.number, event.has_changes, event.is_complete);
             for (const auto& each : event.endpoints)
                 text += fmt::format(" {}@{} {} {}", each.name, each.address, each.ready, each.capacity);
             for (const auto& each : event.removed) text += " -" + each;
             text += ';';
         }
-    return text + discovery::name_of(reader.error());
+    return text + discovery::name_of(decoder.error());
 }
 
 template <class Feed>
-void split_everywhere(const std::string& stream, Feed feed, const std::string& expected) {
+void check_all_splits(const std::string& stream, Feed feed, const std::string& expected) {
     const std::string whole = feed(stream, "");
     check(whole.find(expected) != std::string::npos, whole.c_str());
     for (std::size_t at = 0; at <= stream.size(); ++at)
         check(feed(std::string_view(stream).substr(0, at), std::string_view(stream).substr(at)) == whole,
-              "a split changes what is read");
+              "splitting the stream changes the decoded messages");
 }
 
 template <class Feed>
-void damage(const std::string& stream, Feed feed, Pcg& chance) {
-    const auto below = [&](std::size_t n) { return static_cast<std::size_t>(chance.next() * static_cast<double>(n)); };
+void feed_damaged_streams(const std::string& stream, Feed feed, Pcg& random_numbers) {
+    const auto random_below = [&](std::size_t limit) {
+        return static_cast<std::size_t>(random_numbers.next() * static_cast<double>(limit));
+    };
     for (int i = 0; i < 20'000; ++i) {
-        std::string bad = stream;
-        for (std::size_t hits = 1 + below(6); hits > 0 && !bad.empty(); --hits) {
-            const std::size_t at = below(bad.size());
-            switch (below(4)) {
+        std::string damaged = stream;
+        for (std::size_t damages_left = 1 + random_below(6); damages_left > 0 && !damaged.empty(); --damages_left) {
+            const std::size_t position = random_below(damaged.size());
+            switch (random_below(4)) {
                 case 0:
-                    bad[at] = static_cast<char>(below(256));
+                    damaged[position] = static_cast<char>(random_below(256));
                     break;
                 case 1:
-                    bad.erase(at, 1 + below(40));
+                    damaged.erase(position, 1 + random_below(40));
                     break;
                 case 2:
-                    bad.insert(at, stream.substr(below(stream.size()), below(60)));
+                    damaged.insert(position, stream.substr(random_below(stream.size()), random_below(60)));
                     break;
                 default:
-                    bad[at] = static_cast<char>(bad[at] ^ (1 << below(8)));
+                    damaged[position] = static_cast<char>(damaged[position] ^ (1 << random_below(8)));
             }
         }
-        feed(bad, "");
+        feed(damaged, "");
     }
 }
 
 }  // namespace
 
 int main() {
-    Pcg chance(20);
-    split_everywhere(records(), feed_fastcgi, "complete 1 true");
-    split_everywhere(lines(), feed_lines, "0000000000000003 data - a\r\nb well 0\r\n;none");
-    split_everywhere(frames(), feed_frames, "2 true false -s-00000003;2 false false;none");
-    damage(records(), feed_fastcgi, chance);
-    damage(lines(), feed_lines, chance);
-    damage(frames(), feed_frames, chance);
-    std::cout << "codec_fuzz: 60000 damaged streams read\n";
+    Pcg random_numbers(20);
+    check_all_splits(fastcgi_stream(), feed_fastcgi_stream, "complete 1 true");
+    check_all_splits(invoker_stream(), feed_invoker_stream, "0000000000000003 data - a\r\nb well 0\r\n;none");
+    check_all_splits(discovery_stream(), feed_discovery_stream, "2 true false -s-00000003;2 false false;none");
+    feed_damaged_streams(fastcgi_stream(), feed_fastcgi_stream, random_numbers);
+    feed_damaged_streams(invoker_stream(), feed_invoker_stream, random_numbers);
+    feed_damaged_streams(discovery_stream(), feed_discovery_stream, random_numbers);
+    std::cout << "codec_fuzz: decoded 60000 damaged streams\n";
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,5 +1,5 @@
-// The discovery watch through a platform server in virtual time: repeated, missing and malformed events, silent and
-// closed connections, a new address, and the limit on known invokers.
+// The discovery watch of a platform server in virtual time: duplicate, missing and malformed events, silent and closed
+// connections, a new address, and the limit on known invokers.
 #include "tests/platform_fixture.hpp"
 
 namespace plumkeel::platform {
@@ -17,16 +17,16 @@
     for (std::uint32_t i = 3; i < 50; ++i) rows.push_back({i, "10.0.0." + std::to_string(i)});
     discovery.send(frame(2, 2, rows));
     loop.run(1s);
-    const auto known_invokers = [&] { return server->gateway().estimates().size(); };
-    EXPECT_EQ(known_invokers(), 4u);
+    const auto known_invoker_count = [&] { return server->gateway().estimates().size(); };
+    EXPECT_EQ(known_invoker_count(), 4u);
     for (int i = 0; i < 5; ++i) add_request(1s + i * 100ms, static_cast<std::uint64_t>(i) + 1);
-    // Two are removed; once they are forgotten, others are added when they are listed again.
+    // Removes two invokers; once they are forgotten, others are accepted when they are listed again.
     discovery.send(frame(3, 2, {{3, "10.0.0.3", 7001, 2}, {4, "10.0.0.4", 7001, 2}}));
     loop.run(12s);
     discovery.send(frame(4, 2, {{5, "10.0.0.5"}, {6, "10.0.0.6"}, {7, "10.0.0.7"}}));
     loop.run(13s);
-    EXPECT_EQ(known_invokers(), 4u);
-    EXPECT_EQ(succeeded_requests(), 5u) << "the known invokers serve on";
+    EXPECT_EQ(known_invoker_count(), 4u);
+    EXPECT_EQ(succeeded_requests(), 5u) << "requests to the known invokers must succeed";
 }
 
 TEST_F(DiscoveryTest, ResubscribesFromTheLastEventAfterDuplicatesGapsDisconnectsAndSilence) {
@@ -36,8 +36,8 @@
     ASSERT_EQ(discovery.subscriptions.size(), 1u);
     EXPECT_EQ(discovery.subscriptions[0].second, 1u);
     discovery.last_event = 2;
-    const std::string second = frame(2, 2, {{3, "10.0.0.3"}});
-    discovery.send(second + second);  // a duplicate
+    const std::string second_event = frame(2, 2, {{3, "10.0.0.3"}});
+    discovery.send(second_event + second_event);  // the second copy is a duplicate
     loop.run(600ms);
     EXPECT_EQ(server->watcher().last_event_number(), 2u);
     discovery.send(frame(4, 2, {{4, "10.0.0.4"}}));  // the third event is missing
@@ -47,11 +47,11 @@
     discovery.last_event = 4;
     discovery.send(frame(3, 2, {{3, "10.0.0.3", 7001, 2}}) + frame(4, 2, {{4, "10.0.0.4"}}).substr(0, 20));
     loop.run(1100ms);
-    discovery.stream->close();  // in the middle of an event
+    discovery.stream->close();  // closes in the middle of a frame
     loop.run(1500ms);
     ASSERT_EQ(discovery.subscriptions.size(), 3u);
     EXPECT_EQ(discovery.subscriptions[2].second, 3u);
-    discovery.sends_heartbeats = false;  // the connection stays open and silent
+    discovery.sends_heartbeats = false;  // keeps the connection open and silent
     const Time silent_since = loop.now();
     loop.run(silent_since + 3s);
     ASSERT_GE(discovery.subscriptions.size(), 4u);
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -1,4 +1,4 @@
-/// Event loops, their timers and notifications, and simulated streams.
+/// Tests of the event loops, timers, notifications and simulated streams.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -18,7 +18,7 @@
 TEST(SimulatedEventLoop, StreamsKeepOrderAndApplyBackpressure) {
     net::SimulatedEventLoop loop(1ms, 1000);
     const auto listener = loop.listen({"a", 1}).listener;
-    const std::string text(50'000, 'x');
+    const std::string sent_text(50'000, 'x');
     std::string received;
     bool reached_end = false;
     std::size_t pending_after_send = 0;
@@ -35,10 +35,10 @@
         }
     };
     auto writer = [&]() -> net::Task<> {
-        const net::Address to{"a", 1};
-        const auto connected = co_await loop.connect(to, 1s);
+        const net::Address address{"a", 1};
+        const auto connected = co_await loop.connect(address, 1s);
         const auto write_queue = std::make_shared<net::WriteQueue>(loop, connected.stream);
-        write_queue->send("", std::make_shared<const std::string>(text));
+        write_queue->send("", std::make_shared<const std::string>(sent_text));
         pending_after_send = write_queue->pending_bytes();
         co_await write_queue->wait_below(0);
         connected.stream->shutdown_send();
@@ -46,10 +46,10 @@
     loop.spawn(reader());
     loop.spawn(writer());
     loop.run();
-    EXPECT_EQ(received, text);
+    EXPECT_EQ(received, sent_text);
     EXPECT_TRUE(reached_end);
-    EXPECT_EQ(pending_after_send, text.size() - 1000);
-    EXPECT_GE(loop.now(), 50ms);  // 1000 bytes in transit at a time, 1 ms each
+    EXPECT_EQ(pending_after_send, sent_text.size() - 1000);
+    EXPECT_GE(loop.now(), 50ms);  // 1000 bytes in transit at a time, each segment with 1 ms latency
 }
 
 TEST(SimulatedEventLoop, TimersRunInOrderAndCanBeCancelled) {
@@ -68,10 +68,10 @@
 TEST(Notification, WakesAllWaitersOnce) {
     net::SimulatedEventLoop loop;
     net::Notification notification(loop);
-    bool open = false;
+    bool condition = false;
     int wake_ups = 0, finished = 0;
     auto waiter = [&]() -> net::Task<> {
-        while (!open) {
+        while (!condition) {
             co_await notification.wait();
             ++wake_ups;
         }
@@ -80,7 +80,7 @@
     loop.spawn(waiter());
     loop.spawn(waiter());
     loop.call_at(5ms, [&] {
-        open = true;
+        condition = true;
         notification.notify();
     });
     loop.run();
@@ -91,7 +91,7 @@
 TEST(SimulatedEventLoop, RefusedConnectAndResetAreReported) {
     net::SimulatedEventLoop loop;
     net::Error refused, reset;
-    auto run = [&]() -> net::Task<> {
+    auto connect_and_reset = [&]() -> net::Task<> {
         const net::Address unused_address{"b", 1}, address{"a", 1};
         refused = (co_await loop.connect(unused_address, 1s)).error;
         const auto listener = loop.listen(address).listener;
@@ -101,14 +101,14 @@
         std::vector<char> buffer(10);
         reset = (co_await connected.stream->read(net::asio::buffer(buffer))).error;
     };
-    loop.spawn(run());
+    loop.spawn(connect_and_reset());
     loop.run();
     EXPECT_EQ(refused, net::asio::error::connection_refused);
     EXPECT_EQ(reset, net::asio::error::connection_reset);
 }
 
-// connect() never completes in the iteration in which it was called: what is registered for the connection meanwhile
-// learns of its failure.
+// connect() must not complete in the iteration in which it was called, so that the caller can register the pending
+// connection before it fails.
 TEST(SocketEventLoop, FailedConnectCompletesInLaterIteration) {
     net::SocketEventLoop loop;
     bool call_returned = false, completed_within_call = true;
--- a/tests/fastcgi_connection_test.cpp
+++ b/tests/fastcgi_connection_test.cpp
@@ -12,11 +12,11 @@
     std::string text;
     for (int i = 1; i <= 32; ++i)
         text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
-    ScriptedClient& one = add_client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
+    ScriptedClient& client = add_client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
     loop.run(5s);
     for (int i = 1; i <= 32; ++i)
-        EXPECT_EQ(one.response(i).body(), ScriptedInvoker::response_body_for(hex16(static_cast<std::uint64_t>(i))));
-    EXPECT_EQ(one.response(40).status(), "200");
+        EXPECT_EQ(client.response(i).body(), ScriptedInvoker::response_body_for(hex16(static_cast<std::uint64_t>(i))));
+    EXPECT_EQ(client.response(40).status(), "200");
     EXPECT_EQ(total_runs(), 32u);
     EXPECT_LE(invokers[0]->connections + invokers[1]->connections, 16);
 }
@@ -26,52 +26,52 @@
     std::string text;
 };
 
-void PrintTo(const MalformedInput& bad, std::ostream* out) {
-    *out << bad.name;
+void PrintTo(const MalformedInput& input, std::ostream* out) {
+    *out << input.name;
 }
 
 std::vector<MalformedInput> malformed_inputs() {
-    auto with = [](const std::string& field, const std::string& value) {
+    auto with_value = [](const std::string& field, const std::string& value) {
         Fields fields = job_fields(hex16(7), hex16(0xe));
-        for (auto& [name, old] : fields)
-            if (name == field) old = value;
+        for (auto& [name, old_value] : fields)
+            if (name == field) old_value = value;
         return message(1, fields, "work");
     };
     const std::string begin = record(1, 1, std::string_view("\0\1\1\0\0\0\0\0", 8));
-    const std::string good_params = record(4, 1, params_of(job_fields(hex16(7), hex16(0xe)))) + record(4, 1, "");
-    Fields twice = job_fields(hex16(7), hex16(0xe)), wrong_length = twice;
-    twice.emplace_back("HTTP_REQUEST_ID", hex16(8));
-    wrong_length.emplace_back("CONTENT_LENGTH", "-4");
+    const std::string valid_params = record(4, 1, params_of(job_fields(hex16(7), hex16(0xe)))) + record(4, 1, "");
+    Fields duplicate_id_fields = job_fields(hex16(7), hex16(0xe)), wrong_length_fields = duplicate_id_fields;
+    duplicate_id_fields.emplace_back("HTTP_REQUEST_ID", hex16(8));
+    wrong_length_fields.emplace_back("CONTENT_LENGTH", "-4");
     return {
-        {"noise", std::string(3000, '\xee')},
-        {"http", "GET / HTTP/1.1\r\n\r\n"},
-        {"silence", ""},
-        {"half a head", begin.substr(0, 5)},
-        {"no end", begin + good_params + record(5, 1, "half")},
-        {"a record that stops short", begin + std::string("\1\4\0\1\xff\xff\0\0only this", 17)},
-        {"endless parameters", begin + record(4, 1, std::string(60'000, 'p'))},
-        {"a large body", begin + good_params + record(5, 1, std::string(40'000, 'b')) + record(5, 1, "")},
-        {"a name longer than its record",
+        {"repeated byte 0xee", std::string(3000, '\xee')},
+        {"HTTP request", "GET / HTTP/1.1\r\n\r\n"},
+        {"no bytes", ""},
+        {"incomplete record header", begin.substr(0, 5)},
+        {"body without end", begin + valid_params + record(5, 1, "half")},
+        {"incomplete record content", begin + std::string("\1\4\0\1\xff\xff\0\0only this", 17)},
+        {"parameters over the limit", begin + record(4, 1, std::string(60'000, 'p'))},
+        {"body over the limit", begin + valid_params + record(5, 1, std::string(40'000, 'b')) + record(5, 1, "")},
+        {"name longer than its record",
          begin + record(4, 1, std::string("\x7f\1ab", 4)) + record(4, 1, "") + record(5, 1, "")},
-        {"a huge name",
+        {"name length of four bytes, longer than its record",
          begin + record(4, 1, std::string("\xff\xff\xff\xff\1ab", 7)) + record(4, 1, "") + record(5, 1, "")},
         {"body before parameters", begin + record(5, 1, "work")},
-        {"no use case", with("SCRIPT_NAME", "/invoke/none")},
-        {"no path", with("SCRIPT_NAME", "/else")},
-        {"no tenant", with("HTTP_ACCOUNT", "nobody")},
-        {"id with a line end", with("HTTP_REQUEST_ID", "00000000\r\nSTOP 7")},
-        {"id with a comma", with("HTTP_REQUEST_ID", "0000000000,00007")},
-        {"short id", with("HTTP_REQUEST_ID", "7")},
-        {"no id", with("HTTP_REQUEST_ID", "")},
-        {"odd key", with("HTTP_RESOURCE_KEY", "0000000000 0000f")},
-        {"negative time", with("HTTP_BUDGET_MS", "-5")},
-        {"huge time", with("HTTP_BUDGET_MS", "99999999999999999999999")},
-        {"no time", with("HTTP_BUDGET_MS", "soon")},
-        {"time that is none", with("HTTP_BUDGET_MS", "nan")},
-        {"lanes", with("HTTP_X_TAGS", "lanes:-3")},
-        {"tags", with("HTTP_X_TAGS", "memory_mb=5")},
-        {"two ids", message(1, twice, "work")},
-        {"wrong length", message(1, wrong_length, "work")},
+        {"unknown request class", with_value("SCRIPT_NAME", "/invoke/none")},
+        {"unknown path", with_value("SCRIPT_NAME", "/else")},
+        {"unknown tenant", with_value("HTTP_ACCOUNT", "nobody")},
+        {"id with a line end", with_value("HTTP_REQUEST_ID", "00000000\r\nSTOP 7")},
+        {"id with a comma", with_value("HTTP_REQUEST_ID", "0000000000,00007")},
+        {"id too short", with_value("HTTP_REQUEST_ID", "7")},
+        {"empty id", with_value("HTTP_REQUEST_ID", "")},
+        {"function key with a space", with_value("HTTP_RESOURCE_KEY", "0000000000 0000f")},
+        {"negative remaining time", with_value("HTTP_BUDGET_MS", "-5")},
+        {"remaining time over the limit", with_value("HTTP_BUDGET_MS", "99999999999999999999999")},
+        {"remaining time not a number", with_value("HTTP_BUDGET_MS", "soon")},
+        {"remaining time nan", with_value("HTTP_BUDGET_MS", "nan")},
+        {"negative concurrency", with_value("HTTP_X_TAGS", "lanes:-3")},
+        {"malformed tag", with_value("HTTP_X_TAGS", "memory_mb=5")},
+        {"duplicate id parameter", message(1, duplicate_id_fields, "work")},
+        {"negative content length", message(1, wrong_length_fields, "work")},
     };
 }
 
@@ -80,13 +80,13 @@
 TEST_P(MalformedRequest, IsRejectedOrClosedSoonAndReachesNoInvoker) {
     add_invoker(), add_invoker();
     open();
-    std::vector<ScriptedClient*> bad;
-    for (int i = 0; i < 20; ++i) bad.push_back(&add_client(10ms * i, {{0ms, GetParam().text}}));
+    std::vector<ScriptedClient*> malformed_clients;
+    for (int i = 0; i < 20; ++i) malformed_clients.push_back(&add_client(10ms * i, {{0ms, GetParam().text}}));
     for (std::uint64_t i = 100; i < 120; ++i) add_request(10ms * static_cast<int>(i - 99), i);
     loop.run(10s);
     EXPECT_EQ(succeeded_requests(), 20u);
     EXPECT_EQ(total_runs(), 20u);
-    for (const ScriptedClient* each : bad) {
+    for (const ScriptedClient* each : malformed_clients) {
         const bool is_rejected = each->response(1).times > 0 && each->response(1).status() != "200";
         EXPECT_LE(std::min(is_rejected ? each->last_read_at : each->ended_at, each->ended_at) - each->connected_at,
                   2500ms);
@@ -107,23 +107,24 @@
     EXPECT_EQ(other.response(1).status(), "400");
 }
 
-// Invokers deduplicate requests of this class by a key: each attempt carries its client's, unchanged, and none is sent
-// without.
+// Invokers deduplicate requests of the class by the idempotency key, so each attempt must carry the client's key
+// unchanged, and requests without a valid key are rejected.
 TEST_F(FastCgiConnection, ForwardsTheIdempotencyKeyWithEachAttempt) {
     add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond}),
         add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond});
     open(replaced(default_config, R"("semantics":"retryable")", R"("semantics":"dedup")"));
-    const auto with = [](std::uint64_t id, const std::string& key) {
+    const auto request_with_key = [](std::uint64_t id, const std::string& key) {
         auto fields = job_fields(hex16(id), hex16(0xf));
         if (!key.empty()) fields.emplace_back("HTTP_ONCE_KEY", key);
         return message(1, fields, "work");
     };
-    ScriptedClient& good = add_client(10ms, {{0ms, with(1, "5c242d41-3cff")}});
-    const std::vector<std::string> bad{"", "a,b", "a=b", "a b", "a\r\nSTOP 1", std::string(300, 'k')};
+    ScriptedClient& good_client = add_client(10ms, {{0ms, request_with_key(1, "5c242d41-3cff")}});
+    const std::vector<std::string> malformed_keys{"", "a,b", "a=b", "a b", "a\r\nSTOP 1", std::string(300, 'k')};
     std::vector<ScriptedClient*> rejected;
-    for (std::size_t i = 0; i < bad.size(); ++i) rejected.push_back(&add_client(20ms, {{0ms, with(10 + i, bad[i])}}));
+    for (std::size_t i = 0; i < malformed_keys.size(); ++i)
+        rejected.push_back(&add_client(20ms, {{0ms, request_with_key(10 + i, malformed_keys[i])}}));
     loop.run(5s);
-    EXPECT_EQ(good.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
+    EXPECT_EQ(good_client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
     std::size_t attempts = 0;
     for (const auto& each : invokers)
         for (const std::string& line : each->run_lines) {
@@ -134,45 +135,45 @@
     for (ScriptedClient* each : rejected) EXPECT_EQ(each->response(1).status(), "400");
 }
 
-// A request with next to no remaining time never runs: it is rejected, which is safe to retry, and not failed.
+// A request with less than 1 ms of remaining time is not sent to an invoker; it is rejected, so a retry is safe.
 TEST_F(FastCgiConnection, RejectsRequestsWithoutRemainingTime) {
     add_invoker(), add_invoker();
     open();
-    std::vector<ScriptedClient*> all;
-    for (const char* left : {"0", "0.4", "0.999"}) {
-        auto fields = job_fields(hex16(all.size() + 1), hex16(0xf));
-        fields[2].second = left;
-        all.push_back(&add_client(10ms, {{0ms, message(1, fields, "work")}}));
+    std::vector<ScriptedClient*> clients_without_time;
+    for (const char* remaining_ms : {"0", "0.4", "0.999"}) {
+        auto fields = job_fields(hex16(clients_without_time.size() + 1), hex16(0xf));
+        fields[2].second = remaining_ms;
+        clients_without_time.push_back(&add_client(10ms, {{0ms, message(1, fields, "work")}}));
     }
     loop.run(2s);
-    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).status(), "503");
+    for (ScriptedClient* each : clients_without_time) EXPECT_EQ(each->response(1).status(), "503");
     EXPECT_EQ(total_runs(), 0u);
 }
 
 TEST_F(FastCgiConnection, AbortStopsTheAttemptAndFreesTheId) {
-    ScriptedInvoker& a = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
-    ScriptedInvoker& b = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    ScriptedInvoker& first_invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
+    ScriptedInvoker& second_invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     open();
     const std::string second = message(1, job_fields(hex16(2), hex16(0xf)));
-    ScriptedClient& one = add_client(
+    ScriptedClient& client = add_client(
         10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
     loop.run(5s);
-    EXPECT_EQ(a.stops.size() + b.stops.size(), 1u);
-    EXPECT_EQ(one.response(1).times, 2);  // one for each request
-    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(2)));
+    EXPECT_EQ(first_invoker.stops.size() + second_invoker.stops.size(), 1u);
+    EXPECT_EQ(client.response(1).times, 2);  // one response to each of the two requests
+    EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(2)));
 }
 
 TEST_F(FastCgiConnection, ManyAbortsReleaseAllResources) {
     add_invoker({InvokerBehaviour::never_respond}), add_invoker({InvokerBehaviour::never_respond});
     open();
     for (int c = 0; c < 30; ++c) {
-        std::string text, back;
+        std::string text, aborts;
         for (int i = 1; i <= 32; ++i) {
             text += message(
                 i, job_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)), hex16(static_cast<std::uint64_t>(i))));
-            back += record(2, i, "");
+            aborts += record(2, i, "");
         }
-        add_client(10ms, {{0ms, text + back}});
+        add_client(10ms, {{0ms, text + aborts}});
     }
     loop.run(10s);
     const auto status = server->gateway().status();
@@ -192,7 +193,7 @@
     EXPECT_EQ(server->gateway().status().at("door").at("connections").to_number<int>(), 0);
 }
 
-// Rejections to a client that reads none are not buffered without limit: the connection is reset long before the
+// Rejections to a client that does not read must not be buffered without limit: the connection is reset before the
 // timeout for unread responses.
 TEST_F(FastCgiConnection, ResetsAClientThatReadsNoRejections) {
     add_invoker();
@@ -200,22 +201,23 @@
     open(config_with_long_deadlines());
     std::string text;
     for (int i = 0; i < 200; ++i) text += message(1, {{"SCRIPT_NAME", "/invoke/nothing"}});
-    ScriptedClient& flood = add_client(10ms, {}, false);
-    std::size_t most = 0;
+    ScriptedClient& flooding_client = add_client(10ms, {}, false);
+    std::size_t saw_rejections = 0;
     Time closed_at = Time::max();
     for (int i = 0; i < 100; ++i)
         loop.call_at(20ms + 5ms * i, [&] {
-            ScriptedInvoker::write(flood.stream, text);
+            ScriptedInvoker::write(flooding_client.stream, text);
             const auto status = server->gateway().status();
             if (status.at("door").at("connections").to_number<int>() == 0) closed_at = std::min(closed_at, loop.now());
-            most = std::max(most, status.at("door").at("turned_back").as_object().empty() ? 0 : 1ul);
+            saw_rejections =
+                std::max(saw_rejections, status.at("door").at("turned_back").as_object().empty() ? 0 : 1ul);
         });
     loop.run(2s);
-    EXPECT_EQ(most, 1u);
+    EXPECT_EQ(saw_rejections, 1u);
     EXPECT_LT(closed_at, 500ms);
 }
 
-// More connections than the limit: silent ones are closed, and requests on others succeed.
+// When more connections than allowed are open, silent ones are closed and requests on others succeed.
 TEST_F(FastCgiConnection, SilentConnectionsMakeRoomForRequests) {
     add_invoker(), add_invoker();
     open();
@@ -225,41 +227,42 @@
     EXPECT_EQ(succeeded_requests(), 20u);
 }
 
-// A record stays incomplete while another request of its connection is open: that one gets its response, then the
-// connection closes.
+// A record stays incomplete while another request is open on the connection: the open request gets its response, then
+// the connection closes.
 TEST_F(FastCgiConnection, IncompleteRecordDoesNotDropPendingResponses) {
-    ScriptedInvoker& only = add_invoker();
-    only.service_time = 3s;
+    ScriptedInvoker& invoker = add_invoker();
+    invoker.service_time = 3s;
     open(config_with_long_deadlines());
-    ScriptedClient& one =
+    ScriptedClient& client =
         add_client(10ms, {{0ms, request_text(1, 1, "work") + request_text(2, 2, "work").substr(0, 60)}});
     loop.run(10s);
-    EXPECT_EQ(one.response(1).times, 1);
-    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
-    EXPECT_LT(one.ended_at, 5s);
+    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
+    EXPECT_LT(client.ended_at, 5s);
 }
 
-// A request is open, and then malformed bytes arrive on its connection: the request was accepted before.
+// A request that was accepted before malformed bytes arrive on its connection still gets its response.
 TEST_F(FastCgiConnection, MalformedInputDoesNotDropPendingResponses) {
-    ScriptedInvoker& only = add_invoker();
-    only.service_time = 200ms;
+    ScriptedInvoker& invoker = add_invoker();
+    invoker.service_time = 200ms;
     open(config_with_long_deadlines());
-    ScriptedClient& one =
+    ScriptedClient& client =
         add_client(10ms, {{0ms, request_text(1, 1, "work")}, {50ms, "\x07 this is not a record at all"}});
     loop.run(5s);
-    EXPECT_EQ(one.response(1).times, 1);
-    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
-    EXPECT_LT(one.ended_at, 2s);
+    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
+    EXPECT_LT(client.ended_at, 2s);
 }
 
-// Other clients fill the memory for bodies with requests that never become complete. A good one has a request open and
-// sends the next in two pieces: the open one gets its response, the other is rejected or gets one too.
+// Other clients fill the memory for bodies with incomplete requests. A client with an open request, which sends another
+// one in two parts, still gets the response to the first and some response to the second.
 TEST_F(FastCgiConnection, MemoryPressureDoesNotDropPendingResponses) {
-    ScriptedInvoker& only = add_invoker();
-    only.service_time = 600ms;
-    open(replaced(config_with_long_deadlines(), R"("memory_mb":48)", R"("memory_mb":24)"));  // 4 MiB of bodies
-    // `count` requests without the record that ends each body.
-    const auto halves = [](int count, std::size_t body) {
+    ScriptedInvoker& invoker = add_invoker();
+    invoker.service_time = 600ms;
+    open(replaced(config_with_long_deadlines(), R"("memory_mb":48)",
+                  R"("memory_mb":24)"));  // allows 4 MiB of request bodies
+    // Returns `count` requests that lack the record that ends the body.
+    const auto incomplete_requests_text = [](int count, std::size_t body) {
         std::string out;
         for (int number = 1; number <= count; ++number) {
             const std::string whole = request_text(number, static_cast<std::uint64_t>(number), std::string(body, 'h'));
@@ -267,32 +270,31 @@
         }
         return out;
     };
-    ScriptedClient& good = add_client(10ms, {{0ms, request_text(1, 1001, "work")}});
-    for (int i = 0; i < 8; ++i) add_client(20ms, {{0ms, halves(32, 15'000)}});
-    for (int i = 0; i < 60; ++i) add_client(100ms, {{0ms, halves(1, 8'000)}});
+    ScriptedClient& good_client = add_client(10ms, {{0ms, request_text(1, 1001, "work")}});
+    for (int i = 0; i < 8; ++i) add_client(20ms, {{0ms, incomplete_requests_text(32, 15'000)}});
+    for (int i = 0; i < 60; ++i) add_client(100ms, {{0ms, incomplete_requests_text(1, 8'000)}});
     const std::string second = request_text(2, 1002, std::string(12'000, 'w'));
-    loop.call_at(300ms, [&] { ScriptedInvoker::write(good.stream, second.substr(0, 9'000)); });
-    loop.call_at(320ms, [&] { ScriptedInvoker::write(good.stream, second.substr(9'000)); });
+    loop.call_at(300ms, [&] { ScriptedInvoker::write(good_client.stream, second.substr(0, 9'000)); });
+    loop.call_at(320ms, [&] { ScriptedInvoker::write(good_client.stream, second.substr(9'000)); });
     loop.run(5s);
-    EXPECT_EQ(good.response(1).times, 1);
-    EXPECT_EQ(good.response(1).status(), "200");
-    EXPECT_EQ(good.response(2).times, 1);
+    EXPECT_EQ(good_client.response(1).times, 1);
+    EXPECT_EQ(good_client.response(1).status(), "200");
+    EXPECT_EQ(good_client.response(2).times, 1);
 }
 
-// A connection has carried many requests that were rejected before they were complete. Its open request still gets its
-// response.
+// An open request gets its response although many requests on its connection were rejected while incomplete.
 TEST_F(FastCgiConnection, RejectedRequestsDoNotDropPendingResponses) {
-    ScriptedInvoker& only = add_invoker();
-    only.service_time = 2s;
+    ScriptedInvoker& invoker = add_invoker();
+    invoker.service_time = 2s;
     open(config_with_long_deadlines());
     std::vector<std::pair<Time, std::string>> texts;
-    for (int i = 0; i < 16; ++i)  // bodies over the limit
+    for (int i = 0; i < 16; ++i)  // requests with bodies over the limit
         texts.emplace_back(100ms * i, message(2, job_fields(hex16(1), hex16(1)), std::string(36'000, 'b'), 8000));
     texts.emplace_back(650ms, request_text(1, 1, "work"));
-    ScriptedClient& one = add_client(10ms, texts);
+    ScriptedClient& client = add_client(10ms, texts);
     loop.run(5s);
-    EXPECT_EQ(one.response(1).times, 1);
-    EXPECT_EQ(one.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
+    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
 }
 
 }  // namespace
