--- a/src/discovery/event_sequence.hpp
+++ b/src/discovery/event_sequence.hpp
@@ -1,4 +1,4 @@
-/// Checks event numbers, so that each event of the watch is applied once, in order, and a missing one is noticed.
+/// Checks event numbers, so that each event of the watch is applied once and in order, and missing events are detected.
 #pragma once
 
 #include <cstdint>
--- a/src/fastcgi/connection.hpp
+++ b/src/fastcgi/connection.hpp
@@ -45,7 +45,7 @@
     bool has_unread_input() override { return !closing_ && stream_->has_unread(); }
     /// Closes the connection once all pending bytes have been written.
     void close_gracefully();
-    /// Closes at once, discarding unsent bytes: for an idle connection whose descriptor is needed.
+    /// Closes the socket at once: for an idle connection whose descriptor is needed.
     void close_now();
 
 private:
--- a/src/fastcgi/server.cpp
+++ b/src/fastcgi/server.cpp
@@ -61,7 +61,8 @@
 }
 
 // The connection stays in the backlog, so accepting again at once would spin: accept() is retried when a connection has
-// closed, or after a growing pause. If this process has no descriptors left (accept(2): EMFILE), closes a connection.
+// closed, or after a growing pause. If the process has no descriptors left (accept(2): EMFILE), it closes the
+// connection that connection_to_close() returns, if any.
 net::Task<> Server::handle_accept_error(net::Error error) {
     gateway_.log().write(Log::Level::error, "accept_failed", {{"error", error.message()}});
     const auto chosen = error == net::asio::error::no_descriptors ? connection_to_close() : nullptr;
--- a/src/invoker_protocol/codec.hpp
+++ b/src/invoker_protocol/codec.hpp
@@ -22,7 +22,7 @@
 std::string encode_stop(std::string_view id);
 std::string encode_probe(std::string_view tag, bool with_report);
 
-/// Result of an attempt or probe, as its response states it.
+/// Result of an attempt or probe, as stated in the response.
 enum class ResponseResult {
     succeeded,
     load_failed,  // the function could not be loaded
@@ -40,7 +40,7 @@
 struct ResponseMessage {
     std::string id;  // request id, or a probe's tag
     ResponseResult result{};
-    std::string fields;  // "name=value,..."
+    std::string fields;  // such as "name=value,name=value"
     std::string body;
 };
 
--- a/src/invoker_protocol/connection_pool.cpp
+++ b/src/invoker_protocol/connection_pool.cpp
@@ -30,7 +30,8 @@
     return call.has_priority() ? "p" + std::to_string(++last_probe_id_) : call.request->name;
 }
 
-// Chooses the idle connection or opens a new one; at the connection limit, chooses the one with the fewest calls.
+// Chooses the connection for a call, or opens one: an attempt gets an idle connection, else a new one, else the one
+// with the fewest calls.
 std::shared_ptr<InvokerConnection> ConnectionPool::choose_connection(const UpstreamCall& call) {
     Choice choice;
     for (const auto& connection : connections_) {
--- a/src/net/socket_event_loop.cpp
+++ b/src/net/socket_event_loop.cpp
@@ -82,7 +82,7 @@
 
 void SocketEventLoop::run() {
     context_.run();
-    context_.restart();  // so that run() can be called again
+    context_.restart();  // allows another call of run()
 }
 
 void SocketEventLoop::stop() {
