--- a/src/cli/trace_replay.cpp
+++ b/src/cli/trace_replay.cpp
@@ -23,7 +23,7 @@
 using Field = std::variant<Time*, double*, int*, bool*>;
 
 /// What --change may alter, by the names that the settings file gives them.
-std::map<std::string, Field> changeable_fields(trace::Start& start) {
+std::map<std::string, Field> changeable_fields(trace::SchedulerSettings& start) {
     Capabilities& capabilities = start.capabilities;
     SafetyRules& rules = start.rules;
     return {
@@ -64,7 +64,7 @@
     field = value == "true";
 }
 
-void apply_change(trace::Start& start, const std::string& change) {
+void apply_change(trace::SchedulerSettings& start, const std::string& change) {
     const auto equals = change.find('=');
     if (equals == std::string::npos) throw ConfigError("--change " + change + ": must be NAME=VALUE");
     const std::string name = change.substr(0, equals), value = change.substr(equals + 1);
@@ -110,7 +110,7 @@
 int replay_traces(const TraceOptions& options) {
     int status = 0;
     for (const auto& trace : trace_analysis::open_traces(options.files, trace_analysis::open_file_source())) {
-        trace::Replayer replayer([&](trace::Start& start) {
+        trace::Replayer replayer([&](trace::SchedulerSettings& start) {
             for (const std::string& change : options.changes) apply_change(start, change);
         });
         const std::optional<std::string> stopped = replay(*trace, replayer);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-trace::Start start_record(const GatewayConfig& config, std::uint64_t seed) {
-    trace::Start start{config.name, seed, config.safety_rules, config.capabilities, {}, {}};
+trace::SchedulerSettings start_record(const GatewayConfig& config, std::uint64_t seed) {
+    trace::SchedulerSettings start{config.name, seed, config.safety_rules, config.capabilities, {}, {}};
     for (const auto& [name, request_class] : config.request_classes)
         start.request_classes.emplace_back(name, request_class);
     for (const auto& [name, tenant] : config.tenants) start.tenants.emplace_back(name, tenant.quota_per_s);
--- a/src/simulator_adapter/recording_scheduler.hpp
+++ b/src/simulator_adapter/recording_scheduler.hpp
@@ -36,7 +36,7 @@
 }
 
 inline std::unique_ptr<HostedScheduler> make_scheduler(const SchedulerSetup& setup) {
-    trace::Start start{setup.controller, setup.seed, setup.safety_rules, setup.capabilities, {}, {}};
+    trace::SchedulerSettings start{setup.controller, setup.seed, setup.safety_rules, setup.capabilities, {}, {}};
     std::vector<const RequestClass*> request_classes;
     std::vector<const Tenant*> tenants;
     for (const auto& [name, request_class] : setup.request_classes) {
--- a/src/trace/recording_scheduler.cpp
+++ b/src/trace/recording_scheduler.cpp
@@ -4,7 +4,7 @@
 
 namespace plumkeel::trace {
 
-RecordingScheduler::RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes,
+RecordingScheduler::RecordingScheduler(SchedulerSettings start, std::vector<const RequestClass*> request_classes,
                                        std::vector<const Tenant*> tenants, RecordCallback callback,
                                        bool record_candidates)
     : scheduler_(start.seed, start.rules, start.capabilities), callback_(std::move(callback)) {
--- a/src/trace/recording_scheduler.hpp
+++ b/src/trace/recording_scheduler.hpp
@@ -18,7 +18,7 @@
 public:
     /// Request classes and tenants are identified by their objects, in the order of `start`. With `record_candidates`
     /// the transitions hold the invokers that were considered, else only the reason.
-    RecordingScheduler(Start start, std::vector<const RequestClass*> request_classes,
+    RecordingScheduler(SchedulerSettings start, std::vector<const RequestClass*> request_classes,
                        std::vector<const Tenant*> tenants, RecordCallback callback, bool record_candidates = false);
 
     Actions submit(Time now, Request& request);
--- a/src/trace/records.cpp
+++ b/src/trace/records.cpp
@@ -32,7 +32,7 @@
 namespace plumkeel::trace {
 
 template <class Codec>
-void encode_fields(Codec& codec, Start& value) {
+void encode_fields(Codec& codec, SchedulerSettings& value) {
     codec.all(value.name, value.seed, value.rules, value.capabilities, value.request_classes, value.tenants);
     codec.optional_last(value.capabilities.health_check_price);
 }
@@ -158,7 +158,7 @@
     template std::string pack<T>(const T&);             \
     template void pack_into<T>(std::string&, const T&); \
     template T unpack<T>(std::string_view);
-PLUMKEEL_RECORD_TYPE(Start)
+PLUMKEEL_RECORD_TYPE(SchedulerSettings)
 PLUMKEEL_RECORD_TYPE(NameRecord)
 PLUMKEEL_RECORD_TYPE(FunctionReleased)
 PLUMKEEL_RECORD_TYPE(Gap)
--- a/src/trace/records.hpp
+++ b/src/trace/records.hpp
@@ -35,7 +35,7 @@
 };
 
 /// What the scheduler was given at its start; request classes and tenants in the order that numbers them.
-struct Start {
+struct SchedulerSettings {
     std::string name;  ///< Of the controller.
     std::uint64_t seed{};
     SafetyRules rules;
--- a/src/trace/replayed_scheduler.cpp
+++ b/src/trace/replayed_scheduler.cpp
@@ -2,7 +2,7 @@
 
 namespace plumkeel::trace {
 
-Replayer::ReplayedScheduler::ReplayedScheduler(const Start& start, TraceDetail detail)
+Replayer::ReplayedScheduler::ReplayedScheduler(const SchedulerSettings& start, TraceDetail detail)
     : scheduler_(start.seed, start.rules, start.capabilities), tenants_(start.tenants.size()) {
     for (const auto& [name, request_class] : start.request_classes) request_classes_.push_back(request_class);
     for (std::size_t i = 0; i < tenants_.size(); ++i) tenants_[i].quota_per_s = start.tenants[i].second;
--- a/src/trace/replayed_scheduler.hpp
+++ b/src/trace/replayed_scheduler.hpp
@@ -14,7 +14,7 @@
 
 class Replayer::ReplayedScheduler {
 public:
-    ReplayedScheduler(const Start& start, TraceDetail detail);
+    ReplayedScheduler(const SchedulerSettings& start, TraceDetail detail);
 
     /// Whether the record introduces a name or is otherwise no call.
     bool take_non_call(const Record& record);
--- a/src/trace/replayer.cpp
+++ b/src/trace/replayer.cpp
@@ -42,7 +42,7 @@
     if (record.type == RecordType::resumed) return;
     if (record.type == RecordType::settings) {
         if (scheduler_) return;  // repeated by a later file
-        Start start = unpack<Start>(record.body);
+        SchedulerSettings start = unpack<SchedulerSettings>(record.body);
         if (edit_start_) edit_start_(start);
         scheduler_ =
             std::make_unique<ReplayedScheduler>(start, transitions_ ? TraceDetail::candidates : TraceDetail::none);
--- a/src/trace/replayer.hpp
+++ b/src/trace/replayer.hpp
@@ -36,7 +36,7 @@
 /// or request which does not exist there is skipped; the requests' paths are compared all the same.
 class Replayer {
 public:
-    using StartEdit = std::function<void(Start&)>;
+    using StartEdit = std::function<void(SchedulerSettings&)>;
 
     /// `edit_start` may alter what the scheduler is given at its start. `transitions` receives every transition of the
     /// replayed scheduler as a record, with all candidates.
--- a/src/trace/sampler.cpp
+++ b/src/trace/sampler.cpp
@@ -16,7 +16,7 @@
 
 void Sampler::feed(const Record& record, const RecordCallback& keep) {
     if (record.type == RecordType::actions || record.type == RecordType::wake) return;
-    if (record.type == RecordType::settings) start_ = unpack<Start>(record.body);
+    if (record.type == RecordType::settings) start_ = unpack<SchedulerSettings>(record.body);
     if (!record.request) return keep(record);
 
     auto it = open_.find(record.request);
--- a/src/trace/sampler.hpp
+++ b/src/trace/sampler.hpp
@@ -40,7 +40,7 @@
 
     const double ratio_;
     const std::size_t max_bytes_;
-    Start start_;
+    SchedulerSettings start_;
     std::unordered_map<std::uint64_t, OpenRequest> open_;
     std::map<std::uint64_t, std::uint64_t> by_age_;  // request by order of submission
     std::uint64_t submitted_{};
--- a/src/trace_analysis/controller_trace.cpp
+++ b/src/trace_analysis/controller_trace.cpp
@@ -11,19 +11,19 @@
 using trace::TraceError;
 
 /// Reads how the file continues others and, if it holds them, its settings.
-std::optional<trace::Start> read_first_records(ControllerTrace::File& file) {
-    std::optional<trace::Start> start;
+std::optional<trace::SchedulerSettings> read_first_records(ControllerTrace::File& file) {
+    std::optional<trace::SchedulerSettings> start;
     bool is_first = true;
     file.reader->for_each_name([&](const Record& record) {
         if (record.type == trace::resumed && is_first) file.resumed = trace::unpack<trace::Resumed>(record.body);
-        if (record.type == trace::settings) start = trace::unpack<trace::Start>(record.body);
+        if (record.type == trace::settings) start = trace::unpack<trace::SchedulerSettings>(record.body);
         is_first = false;
         return !start;
     });
     return start;
 }
 
-std::optional<trace::Start> open(ControllerTrace::File& file, const OpenSource& open_source) {
+std::optional<trace::SchedulerSettings> open(ControllerTrace::File& file, const OpenSource& open_source) {
     try {
         file.source = open_source(file.name);
         file.reader = std::make_unique<trace::Reader>(*file.source);
@@ -47,13 +47,13 @@
 std::vector<std::unique_ptr<ControllerTrace>> open_traces(const std::vector<std::string>& names,
                                                           const OpenSource& open_source) {
     struct Group {
-        trace::Start start;
+        trace::SchedulerSettings start;
         std::vector<ControllerTrace::File> files;
     };
     std::map<std::pair<Time, std::string>, Group> groups;  // by start time and controller
     for (const std::string& name : names) {
         ControllerTrace::File file{name, nullptr, nullptr, {}};
-        const std::optional<trace::Start> start = open(file, open_source);
+        const std::optional<trace::SchedulerSettings> start = open(file, open_source);
         // A file without settings is on its own: its start time alone does not identify the controller.
         Group& group = groups[{file.reader->start_time(), start ? start->name : name}];
         if (start) group.start = *start;
@@ -73,7 +73,7 @@
     return traces;
 }
 
-ControllerTrace::ControllerTrace(std::vector<File> files, trace::Start start)
+ControllerTrace::ControllerTrace(std::vector<File> files, trace::SchedulerSettings start)
     : files_(std::move(files)), start_(std::move(start)) {}
 
 void ControllerTrace::rewind(std::optional<Time> from) {
--- a/src/trace_analysis/controller_trace.hpp
+++ b/src/trace_analysis/controller_trace.hpp
@@ -31,7 +31,7 @@
     };
 
     /// `files` is not empty and in order; `start` holds what is known of the controller, at least a name.
-    ControllerTrace(std::vector<File> files, trace::Start start);
+    ControllerTrace(std::vector<File> files, trace::SchedulerSettings start);
 
     std::optional<Record> next() override;
     Time start_time() const override { return files_.front().reader->start_time(); }
@@ -39,7 +39,7 @@
     /// Back to the start; or, with `from`, to the block that holds that time, after all names.
     void rewind(std::optional<Time> from = {});
 
-    const trace::Start& start() const { return start_; }
+    const trace::SchedulerSettings& start() const { return start_; }
     const std::string& controller() const { return start_.name; }
     const std::vector<File>& files() const { return files_; }
     /// Records that no file holds, as far as the files read so far show.
@@ -53,7 +53,7 @@
     bool is_repeated(const Record& record);
 
     std::vector<File> files_;
-    trace::Start start_;
+    trace::SchedulerSettings start_;
     std::size_t file_index_{}, block_index_{}, record_index_{};
     std::vector<Record> block_;
     std::uint64_t position_{};        // in the whole trace: records passed on or known to be missing
--- a/src/trace_analysis/merged_stream.cpp
+++ b/src/trace_analysis/merged_stream.cpp
@@ -40,10 +40,10 @@
 
 /// The settings are those of the first controller, with all request classes and tenants.
 void MergedStream::write_first_records() {
-    trace::Start merged_start = sources_.front().trace.start();
+    trace::SchedulerSettings merged_start = sources_.front().trace.start();
     trace::Merged merged;
     for (Source& source : sources_) {
-        const trace::Start& start = source.trace.start();
+        const trace::SchedulerSettings& start = source.trace.start();
         for (const auto& [name, request_class] : start.request_classes)
             source.request_classes.push_back(find_or_add(merged_start.request_classes, name, request_class));
         for (const auto& [name, quota] : start.tenants)
--- a/src/trace_analysis/name_table.cpp
+++ b/src/trace_analysis/name_table.cpp
@@ -14,7 +14,7 @@
 bool NameTable::feed(const Record& record) {
     switch (record.type) {
         case trace::settings:
-            start_ = trace::unpack<trace::Start>(record.body);
+            start_ = trace::unpack<trace::SchedulerSettings>(record.body);
             return true;
         case trace::merged:
             controllers_ = trace::unpack<trace::Merged>(record.body).controllers;
--- a/src/trace_analysis/name_table.hpp
+++ b/src/trace_analysis/name_table.hpp
@@ -20,7 +20,7 @@
     /// Takes the records of a trace in order. Returns whether the record only defined names or settings.
     bool feed(const Record& record);
 
-    const trace::Start& start() const { return start_; }
+    const trace::SchedulerSettings& start() const { return start_; }
     /// Of a merged trace; empty if the trace is of one controller, start().name.
     const std::vector<std::string>& controllers() const { return controllers_; }
 
@@ -34,7 +34,7 @@
 
 private:
     const bool keep_released_;
-    trace::Start start_;
+    trace::SchedulerSettings start_;
     std::vector<std::string> controllers_;
     std::unordered_map<std::uint64_t, std::string> functions_, invokers_;
 };
--- a/src/trace_analysis/pseudonymizer.cpp
+++ b/src/trace_analysis/pseudonymizer.cpp
@@ -46,7 +46,7 @@
 std::optional<Record> Pseudonymizer::pseudonymize(const Record& record) const {
     switch (record.type) {
         case trace::settings:
-            return edited<trace::Start>(record, [&](trace::Start& start) {
+            return edited<trace::SchedulerSettings>(record, [&](trace::SchedulerSettings& start) {
                 start.name = token("controller", start.name);
                 start.seed = 0;
                 // The roles are hashed: changing them would change the tokens of a key.
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -187,7 +187,7 @@
     start_gateway();
     add_client(10ms, request("p"));
     loop.run(5s);
-    trace::Replayer replayer([](trace::Start& start) { start.capabilities.max_attempts = 1; });
+    trace::Replayer replayer([](trace::SchedulerSettings& start) { start.capabilities.max_attempts = 1; });
     for (const trace::Record& record : trace) replayer.feed(record);
     const trace::Comparison comparison = replayer.compare();
     ASSERT_TRUE(comparison.first);
--- a/tests/merged_stream_test.cpp
+++ b/tests/merged_stream_test.cpp
@@ -79,7 +79,7 @@
     FileSet set;
     for (const char* name : {"a", "b"}) {
         auto records = first_records();
-        auto start = trace::unpack<trace::Start>(records[0].body);
+        auto start = trace::unpack<trace::SchedulerSettings>(records[0].body);
         start.name = name;
         records[0].body = trace::pack(start);
         for (std::uint64_t request = 1; request <= 3; ++request) records.push_back(submit_record(1s, request));
--- a/tests/simulated_trace.hpp
+++ b/tests/simulated_trace.hpp
@@ -59,9 +59,9 @@
     }
 
 private:
-    static trace::Start make_start(const SimulatedTraceOptions& options) {
+    static trace::SchedulerSettings make_start(const SimulatedTraceOptions& options) {
         using namespace std::chrono_literals;
-        trace::Start start;
+        trace::SchedulerSettings start;
         start.name = options.name;
         start.seed = options.seed;
         Capabilities& capabilities = start.capabilities;
@@ -200,7 +200,7 @@
     }
 
     const SimulatedTraceOptions options_;
-    const trace::Start start_;
+    const trace::SchedulerSettings start_;
     std::vector<RequestClass> request_classes_;
     std::vector<Tenant> tenants_;
     std::vector<trace::Record> records_;
--- a/tests/trace_analysis_fixtures.hpp
+++ b/tests/trace_analysis_fixtures.hpp
@@ -71,7 +71,7 @@
 /// Settings and names: controller "one", request class "u", tenant "t", function "f", invokers "left" and "right".
 inline std::vector<Record> first_records() {
     using namespace std::chrono_literals;
-    trace::Start start;
+    trace::SchedulerSettings start;
     start.name = "one";
     start.request_classes = {{"u", {1s, Idempotency::at_most_once, DeduplicationScope::global, 0s}}};
     start.tenants = {{"t", 0.0}};
