--- a/src/trace/action_records.cpp
+++ b/src/trace/action_records.cpp
@@ -7,13 +7,13 @@
 namespace plumkeel::trace {
 namespace {
 
-std::string describe(const ActionsRecord::Completed& completed) {
+std::string describe(const ActionsRecord::CompletedRequest& completed) {
     const std::string retry =
         completed.retry_after > Time{} ? fmt::format(", retry after {} ms", completed.retry_after.count() / 1000) : "";
     return fmt::format("request {} is {}{}", completed.request, name_of(completed.state), retry);
 }
 
-std::string describe(const ActionsRecord::Sent& sent) {
+std::string describe(const ActionsRecord::SentAttempt& sent) {
     return fmt::format("sends attempt {} of request {} to invoker #{} with a timeout of {} ms", sent.attempt,
                        sent.request, sent.invoker, sent.timeout.count() / 1000);
 }
--- a/src/trace/action_records.hpp
+++ b/src/trace/action_records.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Converts the scheduler's results into records, for recording and for comparing with what was recorded.
+/// Converts the results of scheduler calls into records, which are stored or compared with recorded ones.
 #pragma once
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace plumkeel::trace {
 
-/// Overwrites `out`, reusing its memory. `function_number` and `invoker_number` map a Function or an Invoker to its
-/// number in the trace; they are called in the order of the lists. Equal results give equal records, whatever objects
-/// they point to.
+/// Converts `from` into `out`, replacing its content and reusing its memory. `function_number` and `invoker_number`
+/// return the number of a Function or an Invoker in the trace. They may assign new numbers, so the order of the calls
+/// must not change: equal results must give equal records.
 template <class FunctionNumber, class InvokerNumber>
 void assign(ActionsRecord& out, const Actions& from, FunctionNumber function_number, InvokerNumber invoker_number) {
     out.to_cancel.clear();
@@ -37,14 +37,15 @@
     out.next_wake = from.next_wake;
 }
 
-/// Estimates are unbounded; stored times are at most this many seconds.
+/// Larger estimates are stored as this many seconds.
 constexpr double max_estimate_s = 1e6;
 
 inline Time estimate_to_time(double seconds) {
     return Time(static_cast<Time::rep>(std::clamp(seconds, 0.0, max_estimate_s) * 1e6));
 }
 
-/// Overwrites `out`, reusing its memory; `invoker_number` as above.
+/// Converts `from` into `out`, replacing its content and reusing its memory. `invoker_number` returns the number of an
+/// Invoker in the trace.
 template <class InvokerNumber>
 void assign(TransitionRecord& out, const StateTransition& from, InvokerNumber invoker_number) {
     out.to = from.to;
@@ -55,12 +56,12 @@
     if (from.attempt)
         out.sent = {static_cast<std::uint64_t>(from.attempt->number), invoker_number(*from.attempt->invoker),
                     from.attempt->starts_load, from.attempt->expected_warm};
-    for (const Candidate& each : from.candidates)
-        out.candidates.push_back({invoker_number(*each.invoker), estimate_to_time(each.finish_s),
-                                  estimate_to_time(each.contention_s), each.warm, each.exclusion});
+    for (const Candidate& candidate : from.candidates)
+        out.candidates.push_back({invoker_number(*candidate.invoker), estimate_to_time(candidate.finish_s),
+                                  estimate_to_time(candidate.contention_s), candidate.warm, candidate.exclusion});
 }
 
-/// The actions in words, for a person.
+/// Describes the actions in English, as clauses separated by semicolons.
 std::string describe(const ActionsRecord& actions);
 
 }  // namespace plumkeel::trace
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -11,7 +11,7 @@
 namespace plumkeel::trace {
 namespace {
 
-[[noreturn]] void throw_errno(const std::string& name) {
+[[noreturn]] void throw_system_error(const std::string& name) {
     throw TraceError(name + ": " + std::strerror(errno));
 }
 
@@ -20,7 +20,7 @@
 FileSink::FileSink(std::string name)
     : name_(std::move(name)),
       descriptor_(::open(name_.c_str(), O_CREAT | O_EXCL | O_WRONLY | O_APPEND | O_CLOEXEC, 0640)) {
-    if (descriptor_ < 0) throw_errno(name_);
+    if (descriptor_ < 0) throw_system_error(name_);
 }
 
 FileSink::~FileSink() {
@@ -31,7 +31,7 @@
     while (!bytes.empty()) {
         const ssize_t written = ::write(descriptor_, bytes.data(), bytes.size());
         if (written < 0 && errno == EINTR) continue;
-        if (written < 0) throw_errno(name_);
+        if (written < 0) throw_system_error(name_);
         bytes.remove_prefix(static_cast<std::size_t>(written));
     }
 }
@@ -39,7 +39,7 @@
 FileSource::FileSource(std::string name)
     : name_(std::move(name)), descriptor_(::open(name_.c_str(), O_RDONLY | O_CLOEXEC)) {
     struct stat status {};
-    if (descriptor_ < 0 || ::fstat(descriptor_, &status) != 0) throw_errno(name_);
+    if (descriptor_ < 0 || ::fstat(descriptor_, &status) != 0) throw_system_error(name_);
     size_ = static_cast<std::uint64_t>(status.st_size);
 }
 
@@ -52,12 +52,12 @@
     std::string out(static_cast<std::size_t>(std::min<std::uint64_t>(bytes, size_ - offset)), '\0');
     std::size_t filled = 0;
     while (filled < out.size()) {
-        const ssize_t got =
+        const ssize_t bytes_read =
             ::pread(descriptor_, out.data() + filled, out.size() - filled, static_cast<off_t>(offset + filled));
-        if (got < 0 && errno == EINTR) continue;
-        if (got < 0) throw_errno(name_);
-        if (got == 0) break;
-        filled += static_cast<std::size_t>(got);
+        if (bytes_read < 0 && errno == EINTR) continue;
+        if (bytes_read < 0) throw_system_error(name_);
+        if (bytes_read == 0) break;
+        filled += static_cast<std::size_t>(bytes_read);
     }
     out.resize(filled);
     return out;
--- a/src/trace/file.hpp
+++ b/src/trace/file.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Trace files on disk.
+/// Implementations of Sink and Source for trace files on disk.
 #pragma once
 
 #include <functional>
@@ -10,10 +10,10 @@
 
 namespace plumkeel::trace {
 
-/// Appends to a new file with write(2). Throws TraceError that names the file and the system's error.
+/// Appends to a new file with write(2). A TraceError contains the file name and the system's error message.
 class FileSink : public Sink {
 public:
-    /// Creates the file; one that exists already is an error.
+    /// Creates the file. Throws TraceError if it already exists.
     explicit FileSink(std::string name);
     ~FileSink() override;
     FileSink(const FileSink&) = delete;
@@ -26,10 +26,10 @@
     int descriptor_;
 };
 
-/// Makes the sink of a new file. The recorder takes one, so that tests can replace the disk.
-using MakeSink = std::function<std::unique_ptr<Sink>(const std::string& name)>;
+/// Creates the sink for a new file. Tests pass a factory of their own to Recorder to simulate disk errors.
+using SinkFactory = std::function<std::unique_ptr<Sink>(const std::string& name)>;
 
-/// Reads from a file. Throws TraceError that names the file and the system's error.
+/// Reads from a file. A TraceError contains the file name and the system's error message.
 class FileSource : public Source {
 public:
     explicit FileSource(std::string name);
@@ -37,7 +37,7 @@
     FileSource(const FileSource&) = delete;
     FileSource& operator=(const FileSource&) = delete;
 
-    /// The size when the file was opened: a writer may still append.
+    /// The file size at the time of opening. The file may grow afterwards.
     std::uint64_t size() const override { return size_; }
     std::string read(std::uint64_t offset, std::size_t bytes) const override;
 
--- a/src/trace/format.hpp
+++ b/src/trace/format.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The types that the writer and the reader of trace files share (docs/trace-format.md). Free of I/O: bytes go to a
-/// Sink and come from a Source.
+/// Types shared by the writer and the reader of trace files (docs/trace-format.md). File I/O is behind the interfaces
+/// Sink and Source.
 #pragma once
 
 #include <chrono>
@@ -14,66 +14,66 @@
 
 using Time = std::chrono::microseconds;
 
-/// The format version that this build writes, and the newest that it reads.
-constexpr std::uint32_t version = 1;
-/// No time in a trace is further from zero, in microseconds (1,100 years), so that sums of times cannot overflow.
+/// The trace format version that is written, and the newest version that can be read.
+constexpr std::uint32_t format_version = 1;
+/// Bound of the absolute value of every time in a trace, in microseconds (1,100 years); sums of times cannot overflow.
 constexpr std::int64_t max_duration = std::int64_t{1} << 55;
-/// Bound of an uncompressed block. A block that claims to be larger is damaged, and no memory is allocated for it.
+/// Maximum size of a block before compression. A block whose header declares more is treated as damaged.
 constexpr std::size_t max_block_bytes = 16 * 1024 * 1024;
 
 struct Record {
-    Time at{};                ///< Since the trace's start; never decreases within a file.
-    std::uint8_t type{};      ///< A RecordType, or a value that only a newer writer knows.
-    std::uint64_t request{};  ///< The request it concerns, or 0.
-    std::string body;         ///< Encoded as its type demands; see records.hpp.
+    Time at{};                ///< Time since the start of the trace; never decreases within a file.
+    std::uint8_t type{};      ///< A RecordType, or an unknown type from a newer version of the writer.
+    std::uint64_t request{};  ///< Number of the request that the record concerns, or 0.
+    std::string body;         ///< Encoded struct of the record type, see records.hpp.
 
     bool operator==(const Record&) const = default;
 };
 
-/// Record types from 1 to this one define names and settings, without which the others cannot be interpreted. Blocks
-/// that hold any are marked, so that a reader finds them without reading the rest.
+/// Record types from 1 to this one define names and settings that are needed to interpret other records. Blocks that
+/// contain such records are marked, so that a reader finds them without reading other blocks.
 constexpr std::uint8_t last_name_type = 7;
 
 constexpr bool is_name_type(std::uint8_t type) {
     return type > 0 && type <= last_name_type;
 }
 
-/// Where a trace is written to. Throws TraceError when the bytes cannot be stored.
+/// Destination of the bytes of a trace. Throws TraceError if bytes cannot be stored.
 class Sink {
 public:
     virtual ~Sink() = default;
     virtual void append(std::string_view bytes) = 0;
 };
 
-/// Where a trace is read from.
+/// Random access to the bytes of a trace.
 class Source {
 public:
     virtual ~Source() = default;
     virtual std::uint64_t size() const = 0;
-    /// Up to `bytes` from `offset`; fewer only at the end.
+    /// Reads `bytes` bytes at `offset`, or fewer if the trace ends before.
     virtual std::string read(std::uint64_t offset, std::size_t bytes) const = 0;
 };
 
-/// Thrown for input that is not a trace or that this build cannot use, and for failures of the file system. The
-/// message is meant for the person who ran the command.
+/// Thrown for malformed or unsupported trace data and for file system errors. Command line tools show the message to
+/// the user.
 struct TraceError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// One block of records, as listed in the index.
+/// Position and summary of one block of records, as stored in the index.
 struct BlockLocation {
     std::uint64_t offset{};
-    std::uint32_t bytes{};  ///< Stored size, header included.
+    std::uint32_t bytes{};  ///< Stored size, including the block header.
     std::uint32_t records{};
-    Time first{}, last{};
-    std::uint64_t min_request{}, max_request{};  ///< Both 0 if no record concerns a request.
-    bool has_names{};                            ///< Holds records of name types.
+    Time first_time{}, last_time{};
+    std::uint64_t min_request{}, max_request{};  ///< Both 0 if no record of the block concerns a request.
+    bool has_names{};                            ///< Whether any record has a name type, see is_name_type().
 };
 
-/// A stretch of a file that could not be read.
+/// A damaged byte range of a file.
 struct Damage {
     std::uint64_t offset{}, bytes{};
-    std::optional<Time> after, before;  ///< Times of the nearest readable records on both sides.
+    std::optional<Time> after, before;  ///< Times of the nearest readable records.
     std::string what;
 };
 
--- a/src/trace/layout.cpp
+++ b/src/trace/layout.cpp
@@ -6,10 +6,10 @@
 namespace plumkeel::trace::layout {
 namespace {
 
-/// In an index entry, the top bit of the record count says that the block holds names.
+/// Bit of an index entry's record count that is set if the block contains records of name types.
 constexpr std::uint32_t index_names_bit = 0x8000'0000;
 
-bool is_plausible(Time at) {
+bool is_in_range(Time at) {
     return at.count() <= max_duration && at.count() >= -max_duration;
 }
 
@@ -37,9 +37,9 @@
 
 std::string encode_file_header(Time start_time) {
     std::string out(file_magic);
-    append_integer(out, version);
+    append_integer(out, format_version);
     append_integer(out, std::uint32_t{file_header_bytes});
-    append_integer(out, known_features);
+    append_integer(out, supported_features);
     append_integer(out, static_cast<std::int64_t>(start_time.count()));
     append_integer(out, checksum(out));
     return out;
@@ -48,17 +48,18 @@
 Time read_file_header(const Source& source) {
     const std::string header = source.read(0, file_header_bytes);
     if (!std::string_view(header).starts_with(file_magic)) throw TraceError("not a trace file");
-    if (header.size() < file_header_bytes) throw TraceError("the trace ends within its header");
+    if (header.size() < file_header_bytes) throw TraceError("the trace file ends within its 40-byte header");
     const auto file_version = read_integer<std::uint32_t>(header, 8);
-    if (file_version > version)
+    if (file_version > format_version)
         throw TraceError("trace format version " + std::to_string(file_version) +
-                         " is not supported, the newest supported is " + std::to_string(version));
+                         " is not supported, the newest supported is " + std::to_string(format_version));
     if (read_integer<std::uint64_t>(header, 32) != checksum(std::string_view(header).substr(0, 32)))
-        throw TraceError("the trace's header is damaged");
-    if (const auto unknown = read_integer<std::uint64_t>(header, 16) & ~known_features)
-        throw TraceError("the trace requires features that this build lacks: " + std::to_string(unknown));
+        throw TraceError("the trace file header has a wrong checksum");
+    if (const auto unsupported_features = read_integer<std::uint64_t>(header, 16) & ~supported_features)
+        throw TraceError("the trace requires unsupported format features; their bit mask in decimal: " +
+                         std::to_string(unsupported_features));
     const Time start_time(read_integer<std::int64_t>(header, 24));
-    if (!is_plausible(start_time)) throw TraceError("the trace's header is damaged");
+    if (!is_in_range(start_time)) throw TraceError("the start time in the trace file header is out of range");
     return start_time;
 }
 
@@ -71,12 +72,12 @@
     append_integer(out, header.stored_bytes);
     append_integer(out, header.location.records);
     append_integer(out, std::uint32_t{0});
-    append_integer(out, static_cast<std::int64_t>(header.location.first.count()));
-    append_integer(out, static_cast<std::int64_t>(header.location.last.count()));
+    append_integer(out, static_cast<std::int64_t>(header.location.first_time.count()));
+    append_integer(out, static_cast<std::int64_t>(header.location.last_time.count()));
     append_integer(out, header.location.min_request);
     append_integer(out, header.location.max_request);
     append_integer(out, header.content_checksum);
-    // The header has a checksum of its own, so that its lengths can be trusted before the content is read.
+    // The header has a separate checksum, so that its lengths are validated before the content is read.
     append_integer(out, checksum(out));
     return out;
 }
@@ -93,14 +94,14 @@
     header.content_checksum = read_integer<std::uint64_t>(bytes, 56);
     BlockLocation& location = header.location;
     location.records = read_integer<std::uint32_t>(bytes, 16);
-    location.first = Time(read_integer<std::int64_t>(bytes, 24));
-    location.last = Time(read_integer<std::int64_t>(bytes, 32));
+    location.first_time = Time(read_integer<std::int64_t>(bytes, 24));
+    location.last_time = Time(read_integer<std::int64_t>(bytes, 32));
     location.min_request = read_integer<std::uint64_t>(bytes, 40);
     location.max_request = read_integer<std::uint64_t>(bytes, 48);
     location.offset = offset;
     if (header.raw_bytes > max_block_bytes || header.stored_bytes > max_block_bytes) return {};
-    // No writer produces such a header, even if its checksum is good.
-    if (!is_plausible(location.first) || !is_plausible(location.last)) return {};
+    // Times beyond max_duration are invalid, even if the checksum is correct.
+    if (!is_in_range(location.first_time) || !is_in_range(location.last_time)) return {};
     location.bytes = static_cast<std::uint32_t>(block_header_bytes + header.stored_bytes);
     location.has_names = (header.flags & BlockFlag::names) != 0;
     return header;
@@ -119,8 +120,8 @@
     append_integer(out, location.offset);
     append_integer(out, location.bytes);
     append_integer(out, location.records | (location.has_names ? index_names_bit : 0));
-    append_integer(out, static_cast<std::int64_t>(location.first.count()));
-    append_integer(out, static_cast<std::int64_t>(location.last.count()));
+    append_integer(out, static_cast<std::int64_t>(location.first_time.count()));
+    append_integer(out, static_cast<std::int64_t>(location.last_time.count()));
     append_integer(out, location.min_request);
     append_integer(out, location.max_request);
 }
@@ -131,8 +132,8 @@
     location.offset = read_integer<std::uint64_t>(entry, 0);
     location.bytes = read_integer<std::uint32_t>(entry, 8);
     location.records = records_and_flag & ~index_names_bit;
-    location.first = Time(read_integer<std::int64_t>(entry, 16));
-    location.last = Time(read_integer<std::int64_t>(entry, 24));
+    location.first_time = Time(read_integer<std::int64_t>(entry, 16));
+    location.last_time = Time(read_integer<std::int64_t>(entry, 24));
     location.min_request = read_integer<std::uint64_t>(entry, 32);
     location.max_request = read_integer<std::uint64_t>(entry, 40);
     location.has_names = (records_and_flag & index_names_bit) != 0;
--- a/src/trace/layout.hpp
+++ b/src/trace/layout.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The byte layout of a trace file: header, blocks and footer (docs/trace-format.md). Private to Writer and Reader.
+/// The byte layout of a trace file: header, blocks and footer (docs/trace-format.md). Used only by Writer and Reader.
 #pragma once
 
 #include <optional>
@@ -19,14 +19,14 @@
 constexpr std::size_t footer_bytes = 32;
 constexpr std::size_t index_entry_bytes = 48;
 
-/// Bits of the features that this build understands.
-constexpr std::uint64_t known_features = 0;
+/// Bit mask of the optional format features that this build can read; none exist yet.
+constexpr std::uint64_t supported_features = 0;
 
 enum BlockKind : std::uint16_t { records = 1, index = 2 };
 
 enum BlockFlag : std::uint16_t {
-    optional = 1,  ///< A reader that does not know the block's kind may skip it.
-    names = 2,     ///< Holds records of name types.
+    optional = 1,  ///< Readers may skip the block if they do not support its kind.
+    names = 2,     ///< The block contains records of name types, see is_name_type().
 };
 
 /// Appends an integer in little-endian order.
@@ -36,7 +36,7 @@
         out.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i)));
 }
 
-/// Reads a little-endian integer; `offset` plus its size must lie within `bytes`.
+/// Reads a little-endian integer, which must lie within `bytes`.
 template <class Integer>
 Integer read_integer(std::string_view bytes, std::size_t offset) {
     std::uint64_t value = 0;
@@ -46,27 +46,28 @@
 }
 
 void append_varint(std::string& out, std::uint64_t value);
-/// Removes a varint from the front of `bytes`; false if it is cut short or too long.
+/// Removes a varint from the front of `bytes`. Returns false if it is incomplete or longer than 10 bytes.
 bool take_varint(std::string_view& bytes, std::uint64_t& value);
 
 std::uint64_t checksum(std::string_view bytes);
 
 std::string encode_file_header(Time start_time);
 
-/// Checks the header of a file and returns the start time in it. Throws TraceError.
+/// Validates the file header and returns the start time of the trace. Throws TraceError if the header is invalid.
 Time read_file_header(const Source& source);
 
 struct BlockHeader {
     std::uint16_t kind{}, flags{};
-    std::uint32_t raw_bytes{}, stored_bytes{};  ///< Of the content, before and after compression.
+    std::uint32_t raw_bytes{}, stored_bytes{};  ///< Size of the content before and after compression.
     BlockLocation location;
     std::uint64_t content_checksum{};
 };
 
 std::string encode(const BlockHeader& header);
-/// The header at `offset`, or nothing if there is no intact one.
+/// Returns the block header at `offset`, or nothing if there is no valid header.
 std::optional<BlockHeader> read_block_header(const Source& source, std::uint64_t offset);
-/// The decompressed content, or nothing if it is damaged. Allocates no more than the header declares.
+/// Returns the decompressed content of a block, or nothing if it is damaged. Allocates at most the sizes that the
+/// header declares.
 std::optional<std::string> read_block_content(const Source& source, const BlockHeader& header);
 
 void append_index_entry(std::string& out, const BlockLocation& location);
@@ -77,7 +78,7 @@
 };
 
 std::string encode(const Footer& footer);
-/// Nothing if the file does not end with an intact footer.
+/// Returns the footer, or nothing if the file does not end with a valid one.
 std::optional<Footer> read_footer(const Source& source);
 
 }  // namespace plumkeel::trace::layout
--- a/src/trace/names.cpp
+++ b/src/trace/names.cpp
@@ -5,7 +5,7 @@
 namespace plumkeel::trace {
 namespace {
 
-// Each table is in the order of its enumeration in scheduler/types.hpp.
+// Each table is indexed by the values of an enumeration in scheduler/types.hpp.
 constexpr std::string_view state_names[] = {"received",  "in flight", "parked", "streaming",
                                             "succeeded", "rejected",  "failed", "cancelled"};
 constexpr std::string_view state_export_names[] = {"fresh",    "hopping", "parked",      "streaming",
@@ -52,33 +52,33 @@
 };
 
 template <class T, std::size_t size>
-std::string_view word_of(const std::string_view (&words)[size], T value) {
+std::string_view name_or_unknown(const std::string_view (&names)[size], T value) {
     const auto index = static_cast<std::size_t>(value);
-    return index < size ? words[index] : "?";
+    return index < size ? names[index] : "?";
 }
 
 }  // namespace
 
 std::string_view name_of(RequestState state) {
-    return word_of(state_names, state);
+    return name_or_unknown(state_names, state);
 }
 std::string_view name_of(AttemptOutcome outcome) {
-    return word_of(outcome_names, outcome);
+    return name_or_unknown(outcome_names, outcome);
 }
 std::string_view name_of(LoadEvent event) {
-    return word_of(load_event_names, event);
+    return name_or_unknown(load_event_names, event);
 }
 std::string_view describe(DecisionReason reason) {
-    return word_of(decision_reasons, reason);
+    return name_or_unknown(decision_reasons, reason);
 }
 std::string_view describe(ExclusionReason reason) {
-    return word_of(exclusion_reasons, reason);
+    return name_or_unknown(exclusion_reasons, reason);
 }
 std::string_view export_name(RequestState state) {
-    return word_of(state_export_names, state);
+    return name_or_unknown(state_export_names, state);
 }
 std::string_view export_name(AttemptOutcome outcome) {
-    return word_of(outcome_export_names, outcome);
+    return name_or_unknown(outcome_export_names, outcome);
 }
 
 }  // namespace plumkeel::trace
--- a/src/trace/names.hpp
+++ b/src/trace/names.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The words for a trace's values: for people, in the options of the tools, and in exported JSON. A value that only a
-/// newer writer knows is "?".
+/// Names of the enumerators stored in a trace, for text output, command line options and exported JSON. An unknown
+/// value is named "?".
 #pragma once
 
 #include <string_view>
@@ -11,11 +11,11 @@
 
 std::string_view name_of(RequestState state);
 std::string_view name_of(AttemptOutcome outcome);
-std::string_view name_of(LoadEvent event);          ///< A clause; empty for LoadEvent::none.
-std::string_view describe(DecisionReason reason);   ///< A clause that explains a decision.
-std::string_view describe(ExclusionReason reason);  ///< A clause that explains why an invoker was excluded.
+std::string_view name_of(LoadEvent event);          ///< Clause for text output; empty for LoadEvent::none.
+std::string_view describe(DecisionReason reason);   ///< Clause that explains a scheduling decision.
+std::string_view describe(ExclusionReason reason);  ///< Clause that explains why an invoker was excluded.
 
-/// The words of exported JSON. Scripts match on them, so they stay as the first version of the export had them.
+/// Names in exported JSON. They are a stable interface for scripts and differ from the names in text output.
 std::string_view export_name(RequestState state);
 std::string_view export_name(AttemptOutcome outcome);
 
--- a/src/trace/record_batch.cpp
+++ b/src/trace/record_batch.cpp
@@ -3,7 +3,7 @@
 namespace plumkeel::trace {
 namespace {
 
-/// With its body; only a guess for reserving memory.
+/// Assumed average record size, including the body, when memory is reserved.
 constexpr std::size_t typical_record_bytes = 32;
 
 }  // namespace
--- a/src/trace/record_batch.hpp
+++ b/src/trace/record_batch.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Records gathered in two allocations, which the recorder hands from the recording thread to the writing one.
+/// A batch of records in two contiguous buffers; Recorder passes batches from the recording to the writing thread.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 class RecordBatch {
 public:
-    /// Reserves memory for a batch of `bytes`, so that adding records does not allocate.
+    /// Reserves memory for records of `bytes` bytes in total, so that add() rarely allocates.
     void reserve(std::size_t bytes);
     void add(const Record& record);
 
--- a/src/trace/record_codec.hpp
+++ b/src/trace/record_codec.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The primitive values of a record's body (docs/trace-format.md): one description of a struct's fields serves for
-/// writing and for reading. Private to records.cpp.
+/// Encoding of primitive values in record bodies (docs/trace-format.md). One list of a struct's fields serves for both
+/// encoding and decoding. Used only by records.cpp.
 #pragma once
 
 #include <bit>
@@ -15,10 +15,10 @@
 
 namespace plumkeel::trace {
 
-/// Appends primitive values to a body.
+/// Appends encoded primitive values to a record body.
 class BodyWriter {
 public:
-    static constexpr bool writes = true;
+    static constexpr bool is_writer = true;
     explicit BodyWriter(std::string& body) : body_(body) {}
 
     void varint(std::uint64_t value) {
@@ -44,11 +44,11 @@
     std::string& body_;
 };
 
-/// Takes primitive values from a body. Throws TraceError if the body is not long enough.
+/// Decodes primitive values from the front of a record body. Throws TraceError if the body ends too early.
 class BodyReader {
 public:
-    static constexpr bool writes = false;
-    explicit BodyReader(std::string_view body) : rest_(body) {}
+    static constexpr bool is_writer = false;
+    explicit BodyReader(std::string_view body) : remaining_bytes_(body) {}
 
     std::uint64_t varint() {
         std::uint64_t value = 0;
@@ -57,7 +57,7 @@
             value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
             if (!(byte & 0x80)) return value;
         }
-        throw TraceError("a record holds a number of too many bytes");
+        throw TraceError("a record contains a varint of more than 10 bytes");
     }
     std::uint64_t fixed64() {
         std::uint64_t value = 0;
@@ -66,39 +66,40 @@
     }
     std::string text() {
         const std::uint64_t size = varint();
-        if (size > rest_.size()) throw TraceError("a record holds a string that is longer than the record");
-        std::string out(rest_.substr(0, size));
-        rest_.remove_prefix(size);
+        if (size > remaining_bytes_.size())
+            throw TraceError("a record contains a string that is longer than the record");
+        std::string out(remaining_bytes_.substr(0, size));
+        remaining_bytes_.remove_prefix(size);
         return out;
     }
-    bool at_end() const { return rest_.empty(); }
+    bool at_end() const { return remaining_bytes_.empty(); }
 
 private:
     unsigned char take_byte() {
-        if (rest_.empty()) throw TraceError("a record ends early");
-        const auto byte = static_cast<unsigned char>(rest_.front());
-        rest_.remove_prefix(1);
+        if (remaining_bytes_.empty()) throw TraceError("a record ends before its last field");
+        const auto byte = static_cast<unsigned char>(remaining_bytes_.front());
+        remaining_bytes_.remove_prefix(1);
         return byte;
     }
-    std::string_view rest_;
+    std::string_view remaining_bytes_;
 };
 
-/// Writes or reads the values it is called with, depending on `Body`. A struct is handled by its overload of
-/// encode_fields(codec, value), found by argument-dependent lookup.
+/// Encodes or decodes each value that it is called with, for a `Body` of BodyWriter or BodyReader. Structs need an
+/// overload of visit_fields(codec, value), which is found by argument-dependent lookup.
 template <class Body>
 class FieldCodec {
 public:
     explicit FieldCodec(Body& body) : body_(body) {}
 
     void operator()(std::uint64_t& value) {
-        if constexpr (Body::writes)
+        if constexpr (Body::is_writer)
             body_.varint(value);
         else
             value = body_.varint();
     }
-    /// Zigzag: small numbers of either sign take few bytes.
+    /// Zigzag encoding: numbers of small absolute value take few bytes, whatever their sign.
     void operator()(std::int64_t& value) {
-        if constexpr (Body::writes) {
+        if constexpr (Body::is_writer) {
             body_.varint(static_cast<std::uint64_t>(value) << 1 ^ static_cast<std::uint64_t>(value >> 63));
         } else {
             const std::uint64_t zigzag = body_.varint();
@@ -106,10 +107,11 @@
         }
     }
     void operator()(int& value) {
-        std::int64_t wide = value;
-        (*this)(wide);
-        if (wide < INT32_MIN || wide > INT32_MAX) throw TraceError("a record holds a number out of range");
-        value = static_cast<int>(wide);
+        std::int64_t wide_value = value;
+        (*this)(wide_value);
+        if (wide_value < INT32_MIN || wide_value > INT32_MAX)
+            throw TraceError("a record contains an integer that does not fit into 32 bits");
+        value = static_cast<int>(wide_value);
     }
     void operator()(bool& value) {
         std::uint64_t number = value;
@@ -122,7 +124,7 @@
         value = static_cast<std::uint8_t>(number);
     }
     void operator()(double& value) {
-        if constexpr (Body::writes)
+        if constexpr (Body::is_writer)
             body_.fixed64(std::bit_cast<std::uint64_t>(value));
         else
             value = std::bit_cast<double>(body_.fixed64());
@@ -130,12 +132,12 @@
     void operator()(Time& value) {
         std::int64_t microseconds = value.count();
         (*this)(microseconds);
-        if (!Body::writes && (microseconds > max_duration || microseconds < -max_duration))
-            throw TraceError("a record holds a time out of range");
+        if (!Body::is_writer && (microseconds > max_duration || microseconds < -max_duration))
+            throw TraceError("a record contains a time of more than 2^55 microseconds");
         value = Time(microseconds);
     }
     void operator()(std::string& value) {
-        if constexpr (Body::writes)
+        if constexpr (Body::is_writer)
             body_.text(value);
         else
             value = body_.text();
@@ -145,7 +147,7 @@
     void operator()(T& value) {
         auto number = static_cast<std::uint64_t>(value);
         (*this)(number);
-        if (number > max_enumerator) throw TraceError("a record holds an unknown enumerator");
+        if (number > max_enumerator) throw TraceError("a record contains an enumerator greater than 255");
         value = static_cast<T>(number);
     }
     template <class T>
@@ -159,10 +161,10 @@
     void operator()(std::vector<T>& values) {
         std::uint64_t count = values.size();
         (*this)(count);
-        if constexpr (Body::writes)
+        if constexpr (Body::is_writer)
             for (T& each : values) (*this)(each);
         else
-            // Nothing is reserved: a count that exceeds the body runs into its end.
+            // The count is not trusted, so no memory is reserved. Decoding throws at the end of the body.
             for (; count > 0; --count) (*this)(values.emplace_back());
     }
     template <class First, class Second>
@@ -171,16 +173,16 @@
         (*this)(value.second);
     }
     template <class T>
-    requires(std::is_class_v<T>) void operator()(T& value) { encode_fields(*this, value); }
+    requires(std::is_class_v<T>) void operator()(T& value) { visit_fields(*this, value); }
 
     template <class... T>
-    void all(T&... values) {
+    void fields(T&... values) {
         ((*this)(values), ...);
     }
-    /// A field at the end of a record that older traces lack; it then keeps its default.
+    /// Handles a field at the end of a record that older traces lack. If it is absent, the value stays unchanged.
     template <class T>
-    void optional_last(T& value) {
-        if constexpr (Body::writes)
+    void optional_trailing_field(T& value) {
+        if constexpr (Body::is_writer)
             (*this)(value);
         else if (!body_.at_end())
             (*this)(value);
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -12,16 +12,17 @@
 namespace {
 
 constexpr std::size_t batch_bytes = 64 * 1024;
-/// Of names in dropped batches; those beyond are lost as well.
+/// Memory bound for names that are kept from dropped batches; further names are lost.
 constexpr std::size_t max_kept_names_bytes = 1024 * 1024;
-/// The sampler's share of the memory, for the records of open requests.
+/// The sampler gets max_memory_bytes divided by this number, for the records of open requests.
 constexpr std::size_t sampler_memory_divisor = 4;
 
-bool is_name(const Record& record) {
+/// Whether the record defines settings or a name, which every later file repeats.
+bool is_repeated_in_each_file(const Record& record) {
     return is_name_type(record.type) && record.type != RecordType::gap;
 }
 
-/// Since the Unix epoch.
+/// Time of the last modification, since the Unix epoch.
 Time modified_at(const std::filesystem::path& file) {
     std::error_code ignored;
     const auto time = std::filesystem::last_write_time(file, ignored);
@@ -38,7 +39,7 @@
     Time opened_at;
 };
 
-Recorder::Recorder(RecorderConfig config, std::string name, Time start_time, MakeSink make_sink)
+Recorder::Recorder(RecorderConfig config, std::string name, Time start_time, SinkFactory make_sink)
     : config_(std::move(config)),
       name_(std::move(name)),
       start_time_(start_time),
@@ -52,7 +53,7 @@
     thread_ = std::thread([this] { run(); });
 }
 
-/// Files of earlier runs count as well, else each restart would leave its own behind for ever.
+/// Files of earlier runs count towards the limits of RecorderConfig, so that they are removed in time as well.
 void Recorder::find_earlier_files() {
     std::error_code ignored;
     std::filesystem::create_directories(config_.folder, ignored);
@@ -68,12 +69,12 @@
         const std::lock_guard lock(mutex_);
         stopping_ = true;
     }
-    wake_.notify_one();
+    queue_changed_.notify_one();
     thread_.join();
     try {
         if (sampler_ && open_file_) sampler_->finish([&](const Record& record) { write_record(record); });
     } catch (const TraceError&) {
-        // The disk does not store them: the requests that are still open are missing.
+        // Writing failed: the trace lacks the requests that are still open.
     }
     close_file();
 }
@@ -89,34 +90,35 @@
     RecordBatch batch = std::exchange(batch_, {});
     const std::lock_guard lock(mutex_);
     if (queued_bytes_ + batch.bytes() > config_.max_memory_bytes) {
-        dropped_since_last_.records += batch.size();
-        dropped_since_last_.bytes += batch.bytes();
+        dropped_since_last_gap_.records += batch.size();
+        dropped_since_last_gap_.bytes += batch.bytes();
         dropped_ += batch.size();
-        return keep_names_of(batch);
+        return keep_names_in(batch);
     }
-    if (dropped_since_last_.records > 0) {
+    if (dropped_since_last_gap_.records > 0) {
         const Time at = batch.first_time();
         RecordBatch gap_and_names;
-        gap_and_names.add({at, RecordType::gap, 0, pack(std::exchange(dropped_since_last_, {}))});
-        std::exchange(names_of_dropped_, {}).for_each([&](const Record& record) {
+        gap_and_names.add({at, RecordType::gap, 0, pack(std::exchange(dropped_since_last_gap_, {}))});
+        std::exchange(names_in_dropped_batches_, {}).for_each([&](const Record& record) {
             gap_and_names.add({at, record.type, record.request, record.body});
         });
         enqueue(std::move(gap_and_names));
     }
     enqueue(std::move(batch));
-    wake_.notify_one();
+    queue_changed_.notify_one();
 }
 
-/// The mutex must be held.
+/// Adds a batch to the write queue. The caller must hold `mutex_`.
 void Recorder::enqueue(RecordBatch batch) {
     queued_bytes_ += batch.bytes();
-    queue_.push_back(std::move(batch));
+    write_queue_.push_back(std::move(batch));
 }
 
-/// Without the names, what follows the gap could be shown by numbers only.
-void Recorder::keep_names_of(const RecordBatch& dropped) {
+/// Keeps the names defined in a dropped batch: records after the gap refer to them by number.
+void Recorder::keep_names_in(const RecordBatch& dropped) {
     dropped.for_each([this](const Record& record) {
-        if (is_name(record) && names_of_dropped_.bytes() < max_kept_names_bytes) names_of_dropped_.add(record);
+        if (is_repeated_in_each_file(record) && names_in_dropped_batches_.bytes() < max_kept_names_bytes)
+            names_in_dropped_batches_.add(record);
     });
 }
 
@@ -125,24 +127,25 @@
         RecordBatch batch;
         {
             std::unique_lock lock(mutex_);
-            wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
-            if (queue_.empty()) return;
-            batch = std::move(queue_.front());
-            queue_.pop_front();
+            queue_changed_.wait(lock, [this] { return stopping_ || !write_queue_.empty(); });
+            if (write_queue_.empty()) return;
+            batch = std::move(write_queue_.front());
+            write_queue_.pop_front();
         }
         write(batch);
         const std::lock_guard lock(mutex_);
-        queued_bytes_ -= batch.bytes();  // only now: while it is being written it still takes its memory
+        queued_bytes_ -= batch.bytes();  // the batch counts as queued until it is written
     }
 }
 
-/// If the disk is full or fails, the batch is lost; the next one opens a file of its own.
+/// If writing fails, for example because the disk is full, the batch is lost and the next batch starts a new file.
 void Recorder::write(const RecordBatch& batch) {
     const Time at = batch.first_time();
     try {
         if (!open_file_) open_file(at);
-        // A replay must not continue past what the disk did not store.
-        if (lost_.records > 0) write_record({at, RecordType::gap, 0, pack(lost_)});
+        // The gap record stops a replay where records are missing.
+        if (unstored_since_last_gap_.records > 0)
+            write_record({at, RecordType::gap, 0, pack(unstored_since_last_gap_)});
         batch.for_each([this](const Record& record) {
             if (sampler_)
                 sampler_->feed(record, [this](const Record& kept) { write_record(kept); });
@@ -150,34 +153,36 @@
                 write_record(record);
         });
         open_file_->writer.flush();
-        lost_ = {};
+        unstored_since_last_gap_ = {};
         written_ += batch.size();
         const Time last = batch.last_time();
         files_.back().last_written = start_time_ + last;
-        const bool too_old = config_.max_file_age > Time{} && last - open_file_->opened_at >= config_.max_file_age;
-        if (open_file_->writer.offset() >= config_.max_file_bytes || too_old) close_file();
+        const bool file_is_too_old =
+            config_.max_file_age > Time{} && last - open_file_->opened_at >= config_.max_file_age;
+        if (open_file_->writer.offset() >= config_.max_file_bytes || file_is_too_old) close_file();
     } catch (const TraceError&) {
         open_file_.reset();
-        batch.for_each([this](const Record& record) { track_name(record); });
+        batch.for_each([this](const Record& record) { update_repeated_names(record); });
         dropped_ += batch.size();
-        lost_.records += batch.size();
-        lost_.bytes += batch.bytes();
+        unstored_since_last_gap_.records += batch.size();
+        unstored_since_last_gap_.bytes += batch.bytes();
     }
 }
 
 void Recorder::write_record(const Record& record) {
-    track_name(record);
+    update_repeated_names(record);
     open_file_->writer.add(record);
     ++records_written_;
 }
 
-/// Keeps what each further file has to start with.
-void Recorder::track_name(const Record& record) {
-    if (!is_name(record)) return;
+/// Updates the settings and names that are repeated at the start of each later file.
+void Recorder::update_repeated_names(const Record& record) {
+    if (!is_repeated_in_each_file(record)) return;
     if (record.type == RecordType::settings) settings_ = record;
-    if (record.type == RecordType::function_known) functions_[unpack<NameRecord>(record.body).number] = record;
-    if (record.type == RecordType::function_released) functions_.erase(unpack<FunctionReleased>(record.body).number);
-    if (record.type == RecordType::invoker_known) invokers_[unpack<NameRecord>(record.body).number] = record;
+    if (record.type == RecordType::function_defined) function_names_[unpack<NameRecord>(record.body).number] = record;
+    if (record.type == RecordType::function_released)
+        function_names_.erase(unpack<FunctionReleased>(record.body).number);
+    if (record.type == RecordType::invoker_defined) invoker_names_[unpack<NameRecord>(record.body).number] = record;
 }
 
 void Recorder::open_file(Time at) {
@@ -188,10 +193,10 @@
     remove_old_files(start_time_ + at);
     if (next_file_number_++ == 0) return;
     Writer& writer = open_file_->writer;
-    const std::uint64_t repeated_names = functions_.size() + invokers_.size() + (settings_ ? 1 : 0);
+    const std::uint64_t repeated_names = function_names_.size() + invoker_names_.size() + (settings_ ? 1 : 0);
     writer.add({at, RecordType::resumed, 0, pack(Resumed{records_written_, repeated_names, ""})});
     if (settings_) writer.add({at, settings_->type, 0, settings_->body});
-    for (const auto* names : {&functions_, &invokers_})
+    for (const auto* names : {&function_names_, &invoker_names_})
         for (const auto& [number, record] : *names) writer.add({at, record.type, 0, record.body});
 }
 
@@ -211,7 +216,7 @@
     try {
         open_file_->writer.finish();
     } catch (const TraceError&) {
-        // The file is readable up to the damage.
+        // Writing failed. The file has no index, but its complete blocks are readable.
     }
     open_file_.reset();
 }
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Writes records to trace files on a thread of its own. The recording thread never waits for the disk: beyond a bound
-/// of memory whole batches are dropped, and the trace says how many records are missing.
+/// Writes records to trace files on a background thread. The recording thread never waits for the disk: if too many
+/// records are queued, whole batches are dropped, and a gap record in the trace counts the missing records.
 #pragma once
 
 #include <atomic>
@@ -20,34 +20,35 @@
 namespace plumkeel::trace {
 
 struct RecorderConfig {
-    std::string folder;                               ///< Empty: nothing is recorded.
-    std::size_t max_memory_bytes = 64 * 1024 * 1024;  ///< Of records that wait for the disk.
+    std::string folder;                               ///< If empty, nothing is recorded.
+    std::size_t max_memory_bytes = 64 * 1024 * 1024;  ///< Bound of records queued for writing.
     std::size_t block_bytes = 256 * 1024;
-    std::size_t max_file_bytes = 256 * 1024 * 1024;  ///< A file that has reached this is closed,
-    Time max_file_age{};                             ///< or this age; 0 for no bound of age.
-    std::size_t max_files = 16;                      ///< The oldest files beyond these are removed,
-    Time max_age{};                                  ///< and those last written so long ago; 0 for no bound.
-    double sample_ratio = 1;         ///< Share of the requests that is kept, besides all that ended badly.
-    bool record_candidates = false;  ///< Record the invokers considered for each request.
+    std::size_t max_file_bytes = 256 * 1024 * 1024;  ///< A new file is started after this size.
+    Time max_file_age{};                             ///< A new file is started after this time; 0 for no limit.
+    std::size_t max_files = 16;                      ///< If there are more files, the oldest are removed.
+    Time max_age{};                                  ///< Files last written longer ago are removed; 0 for no limit.
+    double sample_ratio = 1;         ///< Fraction of requests to keep, see Sampler; 1 to keep all records.
+    bool record_candidates = false;  ///< Whether to record the invokers considered for each request.
 };
 
 class Recorder {
 public:
-    /// Files are called folder/name-START-NUMBER.trace, with the start time in milliseconds. `start_time` is since the
-    /// Unix epoch. Throws TraceError if the first file cannot be created.
-    Recorder(RecorderConfig config, std::string name, Time start_time, MakeSink make_sink = {});
-    /// Writes what was offered first.
+    /// Creates files named folder/name-START-NUMBER.trace, where START is `start_time` in milliseconds since the Unix
+    /// epoch. Throws TraceError if the first file cannot be created.
+    Recorder(RecorderConfig config, std::string name, Time start_time, SinkFactory make_sink = {});
+    /// Writes all queued records and closes the file.
     ~Recorder();
     Recorder(const Recorder&) = delete;
     Recorder& operator=(const Recorder&) = delete;
 
-    /// Both are for the recording thread alone. Call flush now and then: it hands over a batch that is not full.
+    /// Adds a record to the current batch, which is queued when it is full. Only for the recording thread.
     void offer(const Record& record);
+    /// Queues the current batch even if it is not full. To be called regularly, by the recording thread only.
     void flush();
 
     std::uint64_t dropped() const { return dropped_; }
     std::uint64_t written() const { return written_; }
-    const std::string& file() const { return first_file_; }  ///< The first one of this recorder.
+    const std::string& file() const { return first_file_; }  ///< Name of this recorder's first file.
 
 private:
     struct StoredFile {
@@ -60,8 +61,8 @@
     void run();
     void write(const RecordBatch& batch);
     void write_record(const Record& record);
-    void track_name(const Record& record);
-    void keep_names_of(const RecordBatch& dropped);
+    void update_repeated_names(const Record& record);
+    void keep_names_in(const RecordBatch& dropped);
     void enqueue(RecordBatch batch);
     void open_file(Time at);
     void close_file();
@@ -70,29 +71,29 @@
     const RecorderConfig config_;
     const std::string name_;
     const Time start_time_;
-    const MakeSink make_sink_;
+    const SinkFactory make_sink_;
     std::string first_file_;
 
-    // Used by the recording thread alone.
+    // Used only by the recording thread.
     RecordBatch batch_;
-    RecordBatch names_of_dropped_;  // to be written with the next batch that is not dropped
-    Gap dropped_since_last_;
+    RecordBatch names_in_dropped_batches_;  // queued before the next batch that is not dropped
+    Gap dropped_since_last_gap_;
 
     std::mutex mutex_;
-    std::condition_variable wake_;
-    std::deque<RecordBatch> queue_;
+    std::condition_variable queue_changed_;
+    std::deque<RecordBatch> write_queue_;
     std::size_t queued_bytes_{};
     bool stopping_{};
 
-    // Used by the writing thread alone.
+    // Used only by the writing thread.
     std::unique_ptr<OpenFile> open_file_;
-    Gap lost_;  // what the disk did not store, until a gap is written
+    Gap unstored_since_last_gap_;  // records whose writing failed
     std::uint64_t records_written_{};
     std::size_t next_file_number_{};
     std::deque<StoredFile> files_;  // oldest first
-    // Each file starts with these: the settings, and the names that are known.
+    // Repeated at the start of each file: the settings record, and the records that define names, by number.
     std::optional<Record> settings_;
-    std::map<std::uint64_t, Record> functions_, invokers_;
+    std::map<std::uint64_t, Record> function_names_, invoker_names_;
     std::optional<Sampler> sampler_;
 
     std::atomic<std::uint64_t> dropped_{}, written_{};
--- a/src/trace/recording_scheduler.cpp
+++ b/src/trace/recording_scheduler.cpp
@@ -4,16 +4,18 @@
 
 namespace plumkeel::trace {
 
-RecordingScheduler::RecordingScheduler(SchedulerSettings start, std::vector<const RequestClass*> request_classes,
+RecordingScheduler::RecordingScheduler(SchedulerSettings scheduler_settings,
+                                       std::vector<const RequestClass*> request_classes,
                                        std::vector<const Tenant*> tenants, RecordCallback callback,
                                        bool record_candidates)
-    : scheduler_(start.seed, start.rules, start.capabilities), callback_(std::move(callback)) {
+    : scheduler_(scheduler_settings.seed, scheduler_settings.rules, scheduler_settings.capabilities),
+      callback_(std::move(callback)) {
     for (const RequestClass* each : request_classes)
         request_class_numbers_.emplace(each, request_class_numbers_.size());
     for (const Tenant* each : tenants) tenant_numbers_.emplace(each, tenant_numbers_.size());
     if (!callback_) return;
     scheduler_.set_trace_detail(record_candidates ? TraceDetail::candidates : TraceDetail::transitions);
-    record(Time{}, RecordType::settings, 0, start);
+    record(Time{}, RecordType::settings, 0, scheduler_settings);
 }
 
 template <class T>
@@ -32,13 +34,13 @@
 
 std::uint64_t RecordingScheduler::number_of(const Function& function, Time now) {
     const auto [it, is_new] = function_numbers_.try_emplace(&function, next_function_number_);
-    if (is_new) record(now, RecordType::function_known, 0, NameRecord{next_function_number_++, function.name});
+    if (is_new) record(now, RecordType::function_defined, 0, NameRecord{next_function_number_++, function.name});
     return it->second;
 }
 
 std::uint64_t RecordingScheduler::number_of(const Invoker& invoker, Time now) {
     const auto [it, is_new] = invoker_numbers_.try_emplace(&invoker, next_invoker_number_);
-    if (is_new) record(now, RecordType::invoker_known, 0, NameRecord{next_invoker_number_++, invoker.name});
+    if (is_new) record(now, RecordType::invoker_defined, 0, NameRecord{next_invoker_number_++, invoker.name});
     return it->second;
 }
 
--- a/src/trace/recording_scheduler.hpp
+++ b/src/trace/recording_scheduler.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A Scheduler whose calls and results are recorded.
+/// A Scheduler whose calls and results are passed on as trace records.
 #pragma once
 
 #include <functional>
@@ -12,13 +12,13 @@
 
 using RecordCallback = std::function<void(const Record&)>;
 
-/// A Scheduler with the same calls. Each call is passed to the callback as a record, followed by records of what came
-/// of it. Without a callback it costs one branch a call.
+/// Wraps a Scheduler. Each call is passed to the callback as a record, followed by records of its results. Without a
+/// callback, calls are only forwarded.
 class RecordingScheduler {
 public:
-    /// Request classes and tenants are identified by their objects, in the order of `start`. With `record_candidates`
-    /// the transitions hold the invokers that were considered, else only the reason.
-    RecordingScheduler(SchedulerSettings start, std::vector<const RequestClass*> request_classes,
+    /// `request_classes` and `tenants` are the objects that requests point to, in the order of `scheduler_settings`.
+    /// With `record_candidates`, transition records also contain the invokers that the scheduler considered.
+    RecordingScheduler(SchedulerSettings scheduler_settings, std::vector<const RequestClass*> request_classes,
                        std::vector<const Tenant*> tenants, RecordCallback callback, bool record_candidates = false);
 
     Actions submit(Time now, Request& request);
@@ -27,8 +27,8 @@
                           int concurrent_requests, const LoadReport& report);
     Actions client_disconnected(Time now, Request& request);
     Actions endpoints_changed(Time now, const std::vector<Invoker*>& changed, bool complete);
-    /// Recorded as a complete list without the removed endpoints, which means the same. `remaining` is called only if
-    /// there is a callback.
+    /// Recorded as a complete list of the remaining endpoints, which has the same effect. `remaining` returns them; it
+    /// is called only if there is a callback.
     Actions endpoints_removed(Time now, const std::vector<Invoker*>& removed,
                               const std::function<std::vector<Invoker*>()>& remaining);
     Actions endpoint_stream_lost(Time now);
@@ -39,8 +39,9 @@
 
 private:
     void record_endpoints(Time now, const std::vector<Invoker*>& endpoints, bool complete);
-    /// Introduces the function or invoker with a record if it has no number yet.
+    /// Returns the number of a function; a new function gets a number and a function_defined record.
     std::uint64_t number_of(const Function& function, Time now);
+    /// Returns the number of an invoker; a new invoker gets a number and an invoker_defined record.
     std::uint64_t number_of(const Invoker& invoker, Time now);
     template <class T>
     void record(Time now, RecordType type, std::uint64_t request, const T& contents);
@@ -55,7 +56,7 @@
     std::unordered_map<const Invoker*, std::uint64_t> invoker_numbers_;
     std::unordered_map<const InvokerType*, std::uint64_t> invoker_type_numbers_;
     std::uint64_t next_function_number_{}, next_invoker_number_{};
-    // Reused for each record, so that recording does not allocate.
+    // Reused for all records, to avoid memory allocations.
     Record record_;
     ActionsRecord actions_record_;
     TransitionRecord transition_record_;
--- a/src/trace/records.cpp
+++ b/src/trace/records.cpp
@@ -2,29 +2,30 @@
 
 #include "trace/record_codec.hpp"
 
-// The fields of each struct in the order in which they are stored. Found by argument-dependent lookup, hence each in
-// the namespace of its struct.
+// Each visit_fields() lists the fields of one struct in their stored order. The functions are found by
+// argument-dependent lookup and therefore are in the namespace of their struct.
 namespace plumkeel {
 
 template <class Codec>
-void encode_fields(Codec& codec, RequestClass& value) {
-    codec.all(value.latency_target, value.idempotency, value.deduplication_scope, value.deduplication_window);
+void visit_fields(Codec& codec, RequestClass& value) {
+    codec.fields(value.latency_target, value.idempotency, value.deduplication_scope, value.deduplication_window);
 }
 template <class Codec>
-void encode_fields(Codec& codec, SafetyRules& value) {
-    codec.all(value.slow_start_duration, value.slow_start_initial_share, value.slow_start_rate_multiple,
-              value.slow_start_window, value.load_budget_window, value.load_budget_base, value.load_budget_per_request);
+void visit_fields(Codec& codec, SafetyRules& value) {
+    codec.fields(value.slow_start_duration, value.slow_start_initial_share, value.slow_start_rate_multiple,
+                 value.slow_start_window, value.load_budget_window, value.load_budget_base,
+                 value.load_budget_per_request);
 }
 template <class Codec>
-void encode_fields(Codec& codec, Capabilities& value) {
-    codec.all(value.cancellation, value.health_checks, value.hedging, value.retry_after, value.preload,
-              value.subscribes_endpoints, value.on_demand_loading, value.stable_capacity, value.max_attempts,
-              value.controller_count, value.max_retry_after, value.keep_alive, value.clock_resolution,
-              value.memory_price);
+void visit_fields(Codec& codec, Capabilities& value) {
+    codec.fields(value.cancellation, value.health_checks, value.hedging, value.retry_after, value.preload,
+                 value.subscribes_endpoints, value.on_demand_loading, value.stable_capacity, value.max_attempts,
+                 value.controller_count, value.max_retry_after, value.keep_alive, value.clock_resolution,
+                 value.memory_price);
 }
 template <class Codec>
-void encode_fields(Codec& codec, LoadReport& value) {
-    codec.all(value.in_flight, value.queued);
+void visit_fields(Codec& codec, LoadReport& value) {
+    codec.fields(value.in_flight, value.queued);
 }
 
 }  // namespace plumkeel
@@ -32,100 +33,100 @@
 namespace plumkeel::trace {
 
 template <class Codec>
-void encode_fields(Codec& codec, SchedulerSettings& value) {
-    codec.all(value.name, value.seed, value.rules, value.capabilities, value.request_classes, value.tenants);
-    codec.optional_last(value.capabilities.health_check_price);
+void visit_fields(Codec& codec, SchedulerSettings& value) {
+    codec.fields(value.name, value.seed, value.rules, value.capabilities, value.request_classes, value.tenants);
+    codec.optional_trailing_field(value.capabilities.health_check_price);
 }
 template <class Codec>
-void encode_fields(Codec& codec, NameRecord& value) {
-    codec.all(value.number, value.name);
+void visit_fields(Codec& codec, NameRecord& value) {
+    codec.fields(value.number, value.name);
 }
 template <class Codec>
-void encode_fields(Codec& codec, FunctionReleased& value) {
-    codec.all(value.number);
+void visit_fields(Codec& codec, FunctionReleased& value) {
+    codec.fields(value.number);
 }
 template <class Codec>
-void encode_fields(Codec& codec, Gap& value) {
-    codec.all(value.records, value.bytes);
+void visit_fields(Codec& codec, Gap& value) {
+    codec.fields(value.records, value.bytes);
 }
 template <class Codec>
-void encode_fields(Codec& codec, Resumed& value) {
-    codec.all(value.earlier_records, value.repeated_names, value.derivation);
+void visit_fields(Codec& codec, Resumed& value) {
+    codec.fields(value.earlier_records, value.repeated_names, value.derivation);
 }
 template <class Codec>
-void encode_fields(Codec& codec, Merged& value) {
-    codec.all(value.controllers);
+void visit_fields(Codec& codec, MergedControllers& value) {
+    codec.fields(value.controllers);
 }
 template <class Codec>
-void encode_fields(Codec& codec, NestedRecord& value) {
-    codec.all(value.at, value.type, value.body);
+void visit_fields(Codec& codec, NestedRecord& value) {
+    codec.fields(value.at, value.type, value.body);
 }
 template <class Codec>
-void encode_fields(Codec& codec, SampledRequest& value) {
-    codec.all(value.records);
+void visit_fields(Codec& codec, SampledRequest& value) {
+    codec.fields(value.records);
 }
 template <class Codec>
-void encode_fields(Codec& codec, RequestSubmitted& value) {
-    codec.all(value.request_class, value.tenant, value.function, value.concurrency, value.declared_load_time,
-              value.remaining, value.is_client_retry);
+void visit_fields(Codec& codec, RequestSubmitted& value) {
+    codec.fields(value.request_class, value.tenant, value.function, value.concurrency, value.declared_load_time,
+                 value.remaining, value.is_client_retry);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ResponseStarted& value) {
-    codec.all(value.attempt);
+void visit_fields(Codec& codec, ResponseStarted& value) {
+    codec.fields(value.attempt);
 }
 template <class Codec>
-void encode_fields(Codec& codec, AttemptEnded& value) {
-    codec.all(value.attempt, value.outcome, value.load_event, value.concurrent_requests, value.report);
+void visit_fields(Codec& codec, AttemptEnded& value) {
+    codec.fields(value.attempt, value.outcome, value.load_event, value.concurrent_requests, value.report);
 }
 template <class Codec>
-void encode_fields(Codec& codec, EndpointRecord& value) {
-    codec.all(value.invoker, value.ready, value.capacity, value.zone, value.type, value.cell, value.started_at);
+void visit_fields(Codec& codec, EndpointRecord& value) {
+    codec.fields(value.invoker, value.ready, value.capacity, value.zone, value.type, value.cell, value.started_at);
 }
 template <class Codec>
-void encode_fields(Codec& codec, EndpointsChanged& value) {
-    codec.all(value.complete, value.controller, value.changed);
+void visit_fields(Codec& codec, EndpointsChanged& value) {
+    codec.fields(value.complete, value.controller, value.changed);
 }
 template <class Codec>
-void encode_fields(Codec& codec, HealthCheckEnded& value) {
-    codec.all(value.invoker, value.answered, value.report);
+void visit_fields(Codec& codec, HealthCheckEnded& value) {
+    codec.fields(value.invoker, value.answered, value.report);
 }
 template <class Codec>
-void encode_fields(Codec& codec, PreloadEnded& value) {
-    codec.all(value.function, value.invoker, value.outcome, value.copies);
+void visit_fields(Codec& codec, PreloadEnded& value) {
+    codec.fields(value.function, value.invoker, value.outcome, value.copies);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ActionsRecord::Cancelled& value) {
-    codec.all(value.request, value.attempt);
+void visit_fields(Codec& codec, ActionsRecord::CancelledAttempt& value) {
+    codec.fields(value.request, value.attempt);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ActionsRecord::Completed& value) {
-    codec.all(value.request, value.state, value.retry_after);
+void visit_fields(Codec& codec, ActionsRecord::CompletedRequest& value) {
+    codec.fields(value.request, value.state, value.retry_after);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ActionsRecord::Sent& value) {
-    codec.all(value.request, value.attempt, value.invoker, value.timeout);
+void visit_fields(Codec& codec, ActionsRecord::SentAttempt& value) {
+    codec.fields(value.request, value.attempt, value.invoker, value.timeout);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ActionsRecord::Preloaded& value) {
-    codec.all(value.function, value.invoker, value.copies);
+void visit_fields(Codec& codec, ActionsRecord::Preload& value) {
+    codec.fields(value.function, value.invoker, value.copies);
 }
 template <class Codec>
-void encode_fields(Codec& codec, ActionsRecord& value) {
-    codec.all(value.to_cancel, value.completed, value.to_send, value.to_probe, value.to_preload,
-              value.released_functions, value.subscribe_endpoints, value.next_wake);
+void visit_fields(Codec& codec, ActionsRecord& value) {
+    codec.fields(value.to_cancel, value.completed, value.to_send, value.to_probe, value.to_preload,
+                 value.released_functions, value.subscribe_endpoints, value.next_wake);
 }
 template <class Codec>
-void encode_fields(Codec& codec, TransitionRecord::Sent& value) {
-    codec.all(value.attempt, value.invoker, value.starts_load, value.warm);
+void visit_fields(Codec& codec, TransitionRecord::SentAttempt& value) {
+    codec.fields(value.attempt, value.invoker, value.starts_load, value.warm);
 }
 template <class Codec>
-void encode_fields(Codec& codec, TransitionRecord::Candidate& value) {
-    codec.all(value.invoker, value.exclusion);
-    if (value.exclusion == ExclusionReason::none) codec.all(value.finish, value.contention, value.warm);
+void visit_fields(Codec& codec, TransitionRecord::Candidate& value) {
+    codec.fields(value.invoker, value.exclusion);
+    if (value.exclusion == ExclusionReason::none) codec.fields(value.finish, value.contention, value.warm);
 }
 template <class Codec>
-void encode_fields(Codec& codec, TransitionRecord& value) {
-    codec.all(value.to, value.reason, value.retry_after, value.sent, value.candidates);
+void visit_fields(Codec& codec, TransitionRecord& value) {
+    codec.fields(value.to, value.reason, value.retry_after, value.sent, value.candidates);
 }
 
 template <class T>
@@ -140,8 +141,8 @@
     body.clear();
     BodyWriter writer(body);
     FieldCodec<BodyWriter> codec(writer);
-    // One function describes the fields for both directions; writing changes nothing.
-    encode_fields(codec, const_cast<T&>(value));
+    // visit_fields() serves both encoding and decoding, so it takes a non-const reference. Encoding modifies nothing.
+    visit_fields(codec, const_cast<T&>(value));
 }
 
 template <class T>
@@ -149,8 +150,8 @@
     BodyReader reader(body);
     FieldCodec<BodyReader> codec(reader);
     T value;
-    encode_fields(codec, value);
-    if (!reader.at_end()) throw TraceError("a record is longer than its type allows");
+    visit_fields(codec, value);
+    if (!reader.at_end()) throw TraceError("a record has extra bytes after its last field");
     return value;
 }
 
@@ -163,7 +164,7 @@
 PLUMKEEL_RECORD_TYPE(FunctionReleased)
 PLUMKEEL_RECORD_TYPE(Gap)
 PLUMKEEL_RECORD_TYPE(Resumed)
-PLUMKEEL_RECORD_TYPE(Merged)
+PLUMKEEL_RECORD_TYPE(MergedControllers)
 PLUMKEEL_RECORD_TYPE(SampledRequest)
 PLUMKEEL_RECORD_TYPE(RequestSubmitted)
 PLUMKEEL_RECORD_TYPE(ResponseStarted)
--- a/src/trace/records.hpp
+++ b/src/trace/records.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The contents of a trace's records: a struct for each type, packed into a record's body and unpacked from it. The
-/// only code that knows the bodies of docs/trace-format.md. Functions, invokers, request classes and tenants are
-/// referred to by the numbers under which earlier records introduced them.
+/// The contents of trace records: one struct for each record type, with functions that encode it into a record's body
+/// and decode it (docs/trace-format.md). Records refer to functions, invokers, request classes and tenants by numbers,
+/// which earlier records of the trace assign to their names.
 #pragma once
 
 #include "scheduler/types.hpp"
@@ -9,13 +9,13 @@
 
 namespace plumkeel::trace {
 
-/// The types of records. Those up to last_name_type are needed to interpret the others.
+/// Record types; stored in trace files. Types up to last_name_type define names and settings that other records use.
 enum RecordType : std::uint8_t {
     settings = 1,
-    function_known = 2,
+    function_defined = 2,
     gap = 3,
     function_released = 4,
-    invoker_known = 5,
+    invoker_defined = 5,
     resumed = 6,
     merged = 7,
     sampled_request = 9,
@@ -29,47 +29,47 @@
     health_check_ended,
     preload_ended,
     wake,
-    // What came of the call before.
+    // Results of the preceding scheduler call.
     actions = 30,
     transition = 31,
 };
 
-/// What the scheduler was given at its start; request classes and tenants in the order that numbers them.
+/// Configuration of the recorded scheduler. Records refer to a request class or tenant by its index in these lists.
 struct SchedulerSettings {
-    std::string name;  ///< Of the controller.
+    std::string name;  ///< Name of the controller.
     std::uint64_t seed{};
     SafetyRules rules;
     Capabilities capabilities;
     std::vector<std::pair<std::string, RequestClass>> request_classes;
-    std::vector<std::pair<std::string, double>> tenants;  ///< With their quotas per second.
+    std::vector<std::pair<std::string, double>> tenants;  ///< Name and requests per second.
 };
 
-/// Introduces a function or an invoker.
+/// Assigns a number to the name of a function or an invoker.
 struct NameRecord {
     std::uint64_t number{};
     std::string name;
 };
 
-/// The scheduler has forgotten a function; its number is not used again.
+/// The scheduler has deleted its state of a function. The function's number is not reused.
 struct FunctionReleased {
     std::uint64_t number{};
 };
 
-/// Records that the recorder dropped, or that the disk did not store, are missing here.
+/// Records are missing at this position of the trace: the recorder dropped them, or writing them to disk failed.
 struct Gap {
     std::uint64_t records{}, bytes{};
 };
 
-/// The first record of a file that continues an earlier one, or was derived from others.
+/// The first record of a file that continues an earlier file, or that a tool derived from other trace files.
 struct Resumed {
-    std::uint64_t earlier_records{};  ///< Records of this trace in earlier files.
-    std::uint64_t repeated_names{};   ///< How many records follow that repeat names; they are counted nowhere else.
-    std::string derivation;           ///< Empty, or how the file was derived; it then cannot be replayed.
+    std::uint64_t earlier_records{};  ///< Number of records of this trace in earlier files.
+    std::uint64_t repeated_names{};   ///< Number of following records that repeat settings and names of earlier files.
+    std::string derivation;           ///< How the file was derived, or empty. Derived files cannot be replayed.
 };
 
-/// The trace holds several controllers' records. A request's number is its own one times their count, plus the
-/// controller's index in the list.
-struct Merged {
+/// The trace contains the records of several controllers. Request numbers are changed to be unique:
+/// original number * number of controllers + index of the controller in `controllers`.
+struct MergedControllers {
     std::vector<std::string> controllers;
 };
 
@@ -79,18 +79,18 @@
     std::string body;
 };
 
-/// All records of one request, written when it ended, in a trace that holds a sample.
+/// All records of one request, written when the request has ended, in a trace that contains a sample of the requests.
 struct SampledRequest {
     std::vector<NestedRecord> records;
 };
 
 struct RequestSubmitted {
     std::uint64_t request_class{};
-    std::uint64_t tenant{};  ///< 0 for none, else its number plus 1.
+    std::uint64_t tenant{};  ///< 0 for a request without tenant, else the tenant's number plus 1.
     std::uint64_t function{};
-    int concurrency{};  ///< Requests that one loaded copy of the function runs at a time.
+    int concurrency{};  ///< Number of requests that one loaded copy of the function runs concurrently.
     std::optional<Time> declared_load_time;
-    Time remaining{};  ///< Until the client gives up.
+    Time remaining{};  ///< Time until the request's deadline.
     bool is_client_retry{};
 };
 
@@ -113,12 +113,12 @@
     std::string zone;
     std::uint64_t type{};
     int cell{};
-    std::optional<Time> started_at;  ///< Absent if long ago.
+    std::optional<Time> started_at;  ///< Absent if the invoker started long ago.
 };
 
 struct EndpointsChanged {
-    bool complete{};             ///< The whole list; else only the endpoints that changed.
-    std::uint64_t controller{};  ///< In a merged trace the receiving controller's index, else 0.
+    bool complete{};             ///< Whether `changed` lists all endpoints, not only those that changed.
+    std::uint64_t controller{};  ///< Index of the controller that received the list; 0 if the trace is not merged.
     std::vector<EndpointRecord> changed;
 };
 
@@ -134,63 +134,64 @@
     int copies{};
 };
 
-/// The scheduler's Actions, by number instead of by pointer.
+/// The Actions that the scheduler returned, with numbers in place of pointers.
 struct ActionsRecord {
-    struct Cancelled {
+    struct CancelledAttempt {
         std::uint64_t request{}, attempt{};
     };
-    struct Completed {
+    struct CompletedRequest {
         std::uint64_t request{};
         RequestState state{};
         Time retry_after{};
     };
-    struct Sent {
+    struct SentAttempt {
         std::uint64_t request{}, attempt{}, invoker{};
         Time timeout{};
     };
-    struct Preloaded {
+    struct Preload {
         std::uint64_t function{}, invoker{};
         int copies{};
     };
-    std::vector<Cancelled> to_cancel;
-    std::vector<Completed> completed;
-    std::vector<Sent> to_send;
+    std::vector<CancelledAttempt> to_cancel;
+    std::vector<CompletedRequest> completed;
+    std::vector<SentAttempt> to_send;
     std::vector<std::uint64_t> to_probe;
-    std::vector<Preloaded> to_preload;
+    std::vector<Preload> to_preload;
     std::vector<std::uint64_t> released_functions;
     bool subscribe_endpoints{};
     Time next_wake{};
 };
 
-/// A request's change of state, with the scheduler's reason.
+/// A state transition of a request, with the scheduler's reason.
 struct TransitionRecord {
-    struct Sent {
+    struct SentAttempt {
         std::uint64_t attempt{}, invoker{};
-        bool starts_load{};  ///< The attempt makes the invoker load the function.
-        bool warm{};         ///< The invoker was estimated to have a loaded copy.
+        bool starts_load{};  ///< Whether the attempt makes the invoker load the function.
+        bool warm{};         ///< Whether the scheduler expected a loaded copy at the invoker.
     };
-    /// An invoker that was considered. The fields after `invoker` but for `exclusion` are set only if it is eligible.
+    /// An invoker that the scheduler considered for the attempt. `finish`, `contention` and `warm` are set only if
+    /// `exclusion` is ExclusionReason::none.
     struct Candidate {
         std::uint64_t invoker{};
-        Time finish{};      ///< Estimated time to the response.
-        Time contention{};  ///< The part of it caused by other requests.
+        Time finish{};      ///< Estimated time until the response.
+        Time contention{};  ///< Part of `finish` that is spent waiting for other requests.
         bool warm{};
         ExclusionReason exclusion{};
     };
     RequestState to{};
     DecisionReason reason{};
-    Time retry_after{};  ///< Of a rejection.
-    std::optional<Sent> sent;
+    Time retry_after{};  ///< Retry-After time sent with a rejection; 0 for other states.
+    std::optional<SentAttempt> sent;
     std::vector<Candidate> candidates;
 };
 
-/// Encodes any of the structs above that is a record's whole body.
+/// Encodes a record struct, such as AttemptEnded, into a record body.
 template <class T>
 std::string pack(const T& value);
-/// The same into a string that is reused: nothing is allocated once it is large enough.
+/// Encodes a record struct into `body`, replacing its content and reusing its memory.
 template <class T>
 void pack_into(std::string& body, const T& value);
-/// Throws TraceError if the body is malformed; allocates no more than the body accounts for.
+/// Decodes a record body. Throws TraceError if it is malformed. Memory use is bounded by the size of the body.
 template <class T>
 T unpack(std::string_view body);
 
--- a/src/trace/replayed_scheduler.hpp
+++ b/src/trace/replayed_scheduler.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A Scheduler with the objects that it works on, driven by records. Private to Replayer.
+/// A Scheduler and the requests, functions and invokers that it uses, driven by trace records. Used only by Replayer.
 #pragma once
 
 #include <map>
@@ -14,28 +14,29 @@
 
 class Replayer::ReplayedScheduler {
 public:
-    ReplayedScheduler(const SchedulerSettings& start, TraceDetail detail);
+    ReplayedScheduler(const SchedulerSettings& scheduler_settings, TraceDetail detail);
 
-    /// Whether the record introduces a name or is otherwise no call.
-    bool take_non_call(const Record& record);
-    /// Makes the recorded call; nothing if its attempt or request does not exist here.
+    /// Processes records that define names, and ignores function_released and transition records. Returns false for all
+    /// other records.
+    bool consume_non_call(const Record& record);
+    /// Makes the recorded call. Returns nothing if the call's attempt or request does not exist in the replay.
     std::optional<Actions> call(const Record& record);
-    /// Frees what the gateway would: settled requests and released functions. `request` is the one that the call
-    /// concerned, or 0.
+    /// Deletes settled requests and released functions, as the gateway does after a call. `request` is the request that
+    /// the call concerned, or 0.
     void release(const Actions& actions, std::uint64_t request);
 
     std::uint64_t number_of(const Function& function) const { return function_numbers_.at(&function); }
     std::uint64_t number_of(const Invoker& invoker) const { return invoker_numbers_.at(&invoker); }
-    std::string name_of_invoker(std::uint64_t number) const;
+    std::string invoker_name(std::uint64_t number) const;
 
 private:
-    Invoker& listed_invoker(std::uint64_t number);
-    Function& known_function(std::uint64_t number);
-    Attempt* attempt_in_flight(std::uint64_t request, std::uint64_t number);
-    Actions submit(Time at, std::uint64_t id, const RequestSubmitted& submitted);
-    Actions change_endpoints(Time at, const EndpointsChanged& list);
-    std::optional<Actions> end_attempt(const Record& record);
-    std::optional<Actions> end_preload(const Record& record);
+    Invoker& find_listed_invoker(std::uint64_t number);
+    Function& find_function(std::uint64_t number);
+    Attempt* find_in_flight_attempt(std::uint64_t request, std::uint64_t number);
+    Actions submit(Time call_time, std::uint64_t id, const RequestSubmitted& submitted);
+    Actions replay_endpoints_changed(Time call_time, const EndpointsChanged& list);
+    std::optional<Actions> replay_attempt_ended(const Record& record);
+    std::optional<Actions> replay_preload_ended(const Record& record);
 
     Scheduler scheduler_;
     std::vector<RequestClass> request_classes_;
--- a/src/trace/replayer.cpp
+++ b/src/trace/replayer.cpp
@@ -7,15 +7,15 @@
 namespace plumkeel::trace {
 namespace {
 
-/// Requests whose paths are kept after a difference; those beyond are not compared.
-constexpr std::size_t max_followed_requests = 1'000'000;
-/// Requests that a Comparison lists.
-constexpr std::size_t max_diverged = 10;
+/// Bound of the number of requests whose paths are stored and compared, to limit memory use.
+constexpr std::size_t max_compared_requests = 1'000'000;
+/// Bound of the number of requests in Comparison::diverged.
+constexpr std::size_t max_listed_requests = 10;
 
 }  // namespace
 
-Replayer::Replayer(StartEdit edit_start, RecordCallback transitions)
-    : edit_start_(std::move(edit_start)), transitions_(std::move(transitions)) {}
+Replayer::Replayer(SettingsEdit edit_settings, RecordCallback on_transition)
+    : edit_settings_(std::move(edit_settings)), on_transition_(std::move(on_transition)) {}
 
 Replayer::~Replayer() = default;
 
@@ -23,17 +23,17 @@
     switch (record.type) {
         case RecordType::resumed:
             if (const auto resumed = unpack<Resumed>(record.body); !resumed.derivation.empty())
-                throw TraceError("the trace is " + resumed.derivation + ": it cannot be replayed");
-            if (!scheduler_) throw TraceError("the trace's first file is missing: it cannot be replayed");
+                throw TraceError("cannot replay a derived trace (" + resumed.derivation + ")");
+            if (!replayed_scheduler_) throw TraceError("cannot replay the trace: its first file is missing");
             return;
         case RecordType::sampled_request:
-            throw TraceError("the trace holds a sample of the requests: it cannot be replayed");
+            throw TraceError("cannot replay the trace: it contains only a sample of the requests");
         case RecordType::gap:
-            throw TraceError("records are missing here: the trace can be replayed up to this point only");
+            throw TraceError("cannot replay the trace beyond this point: records are missing");
         case RecordType::settings:
             return;
         default:
-            if (!scheduler_) throw TraceError("the trace's settings are missing: it cannot be replayed");
+            if (!replayed_scheduler_) throw TraceError("cannot replay the trace: its settings record is missing");
     }
 }
 
@@ -41,14 +41,14 @@
     check_can_be_replayed(record);
     if (record.type == RecordType::resumed) return;
     if (record.type == RecordType::settings) {
-        if (scheduler_) return;  // repeated by a later file
-        SchedulerSettings start = unpack<SchedulerSettings>(record.body);
-        if (edit_start_) edit_start_(start);
-        scheduler_ =
-            std::make_unique<ReplayedScheduler>(start, transitions_ ? TraceDetail::candidates : TraceDetail::none);
+        if (replayed_scheduler_) return;  // a later file repeats the settings
+        SchedulerSettings scheduler_settings = unpack<SchedulerSettings>(record.body);
+        if (edit_settings_) edit_settings_(scheduler_settings);
+        replayed_scheduler_ = std::make_unique<ReplayedScheduler>(
+            scheduler_settings, on_transition_ ? TraceDetail::candidates : TraceDetail::none);
         return;
     }
-    if (scheduler_->take_non_call(record)) return;
+    if (replayed_scheduler_->consume_non_call(record)) return;
     if (record.type == RecordType::actions)
         compare_actions(record);
     else
@@ -56,23 +56,23 @@
 }
 
 void Replayer::replay_call(const Record& record) {
-    call_ = record;
+    last_call_ = record;
     replayed_actions_.reset();
     ++comparison_.calls;
-    const auto actions = scheduler_->call(record);
+    const auto actions = replayed_scheduler_->call(record);
     if (record.type == RecordType::submit) ++comparison_.requests;
     if (!actions) return;
-    const auto function_number = [&](const Function& function) { return scheduler_->number_of(function); };
-    const auto invoker_number = [&](const Invoker& invoker) { return scheduler_->number_of(invoker); };
+    const auto function_number = [&](const Function& function) { return replayed_scheduler_->number_of(function); };
+    const auto invoker_number = [&](const Invoker& invoker) { return replayed_scheduler_->number_of(invoker); };
     ActionsRecord actions_record;
     assign(actions_record, *actions, function_number, invoker_number);
     replayed_actions_ = pack(actions_record);
     for (const StateTransition& each : actions->transitions) {
         TransitionRecord transition;
         assign(transition, each, invoker_number);
-        transitions_({record.at, RecordType::transition, each.request->id, pack(transition)});
+        on_transition_({record.at, RecordType::transition, each.request->id, pack(transition)});
     }
-    scheduler_->release(*actions, record.request);
+    replayed_scheduler_->release(*actions, record.request);
 }
 
 void Replayer::compare_actions(const Record& record) {
@@ -83,27 +83,29 @@
     add_paths(recorded, &RequestPaths::recorded);
     add_paths(replayed, &RequestPaths::replayed);
     if (comparison_.first) return;
-    comparison_.first = Difference{comparison_.calls, call_, describe(recorded),
-                                   replayed_actions_ ? describe(replayed) : "nothing: the call no longer fits"};
+    comparison_.first =
+        Difference{comparison_.calls, last_call_, describe(recorded),
+                   replayed_actions_ ? describe(replayed)
+                                     : "no result: the attempt or request of this call does not exist in the replay"};
 }
 
-/// Adds where requests were sent and how they ended by one of two results that differ.
+/// Appends the sent attempts and outcomes in `actions` to one of the two paths of each request concerned.
 void Replayer::add_paths(const ActionsRecord& actions, std::string RequestPaths::*path) {
     const auto add = [&](std::uint64_t request, const std::string& step) {
-        if (paths_.size() >= max_followed_requests && !paths_.count(request)) return;
+        if (paths_.size() >= max_compared_requests && !paths_.count(request)) return;
         std::string& text = paths_[request].*path;
         text += (text.empty() ? "" : ", ") + step;
     };
-    for (const auto& sent : actions.to_send) add(sent.request, "to " + scheduler_->name_of_invoker(sent.invoker));
+    for (const auto& sent : actions.to_send) add(sent.request, "to " + replayed_scheduler_->invoker_name(sent.invoker));
     for (const auto& completed : actions.completed) add(completed.request, std::string(name_of(completed.state)));
 }
 
 Comparison Replayer::compare() const {
     Comparison result = comparison_;
     for (const auto& [request, paths] : paths_) {
-        if (paths.recorded == paths.replayed) continue;  // the same path at another time
+        if (paths.recorded == paths.replayed) continue;  // only the times differ
         ++result.different_requests;
-        if (result.diverged.size() < max_diverged) result.diverged[request] = paths;
+        if (result.diverged.size() < max_listed_requests) result.diverged[request] = paths;
     }
     return result;
 }
--- a/src/trace/replayer.hpp
+++ b/src/trace/replayer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Replays a trace: feeds the recorded calls to a new Scheduler and compares its results with those recorded.
+/// Replays a trace: passes the recorded calls to a new Scheduler and compares its results with the recorded results.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
 
 /// A call whose replayed result differs from the recorded one.
 struct Difference {
-    std::uint64_t call{};  ///< Its position among the calls of the trace, from 1.
+    std::uint64_t call{};  ///< Number of the call in the trace, starting at 1.
     Record record;
-    std::string recorded, replayed;  ///< The results in words.
+    std::string recorded, replayed;  ///< Descriptions of the results.
 };
 
-/// Where a request was sent and how it ended, in words, by the recorded and by the replayed results that differ.
+/// Where a request was sent and how it ended, as text, in the recorded and in the replayed calls whose results differ.
 struct RequestPaths {
     std::string recorded, replayed;
 };
@@ -28,23 +28,22 @@
     std::uint64_t calls{}, requests{};
     std::optional<Difference> first;
     std::uint64_t different_calls{};
-    std::uint64_t different_requests{};              ///< Requests that were sent elsewhere or ended otherwise.
-    std::map<std::uint64_t, RequestPaths> diverged;  ///< The first few of these, by request.
+    std::uint64_t different_requests{};              ///< Requests with different RequestPaths.
+    std::map<std::uint64_t, RequestPaths> diverged;  ///< Some of the different requests, by number.
 };
 
-/// After the first difference the recorded calls may no longer fit the replayed state. A call that concerns an attempt
-/// or request which does not exist there is skipped; the requests' paths are compared all the same.
+/// After the first difference, recorded calls may concern attempts or requests that do not exist in the replay. Such
+/// calls are skipped, and the comparison continues.
 class Replayer {
 public:
-    using StartEdit = std::function<void(SchedulerSettings&)>;
+    using SettingsEdit = std::function<void(SchedulerSettings&)>;
 
-    /// `edit_start` may alter what the scheduler is given at its start. `transitions` receives every transition of the
-    /// replayed scheduler as a record, with all candidates.
-    explicit Replayer(StartEdit edit_start = {}, RecordCallback transitions = {});
+    /// `edit_settings` may modify the settings before the scheduler is created. `on_transition` receives every state
+    /// transition of the replayed scheduler as a record, with all candidates.
+    explicit Replayer(SettingsEdit edit_settings = {}, RecordCallback on_transition = {});
     ~Replayer();
 
-    /// Takes the records of a trace in order. Throws TraceError if the trace, or the part from here on, cannot be
-    /// replayed.
+    /// Processes the next record of a trace. Throws TraceError if the trace cannot be replayed from this record on.
     void feed(const Record& record);
     Comparison compare() const;
 
@@ -55,11 +54,11 @@
     void compare_actions(const Record& record);
     void add_paths(const ActionsRecord& actions, std::string RequestPaths::*path);
 
-    const StartEdit edit_start_;
-    const RecordCallback transitions_;
-    std::unique_ptr<ReplayedScheduler> scheduler_;  // from the settings record on
-    Record call_;                                   // the last one
-    std::optional<std::string> replayed_actions_;   // what it gave now, packed; nothing if it no longer fits
+    const SettingsEdit edit_settings_;
+    const RecordCallback on_transition_;
+    std::unique_ptr<ReplayedScheduler> replayed_scheduler_;  // created by the settings record
+    Record last_call_;                                       // the record of the last replayed call
+    std::optional<std::string> replayed_actions_;            // encoded result of last_call_; nothing if it was skipped
     std::map<std::uint64_t, RequestPaths> paths_;
     Comparison comparison_;
 };
--- a/src/trace/writer.cpp
+++ b/src/trace/writer.cpp
@@ -10,12 +10,12 @@
 namespace plumkeel::trace {
 namespace {
 
-/// Large indexes are written as several blocks.
+/// A larger index is split into several blocks.
 constexpr std::size_t entries_per_index_block = 100'000;
 
 }  // namespace
 
-/// Owns zstd's compression context, which is reused for all blocks.
+/// Owns the zstd compression context, which is reused for all blocks.
 struct Writer::Compressor {
     ZSTD_CCtx* context = ZSTD_createCCtx();
     Compressor() = default;
@@ -38,37 +38,40 @@
 }
 
 void Writer::add(const Record& record) {
-    const Time at = std::max(record.at, last_);
-    if (block_.empty()) {
-        location_ = {};
-        location_.first = at;
-        location_.min_request = UINT64_MAX;
-        last_ = at;
+    const Time at = std::max(record.at, last_time_);
+    if (block_content_.empty()) {
+        block_location_ = {};
+        block_location_.first_time = at;
+        block_location_.min_request = UINT64_MAX;
+        last_time_ = at;
     }
-    layout::append_varint(block_, static_cast<std::uint64_t>((at - last_).count()));
-    block_.push_back(static_cast<char>(record.type));
-    layout::append_varint(block_, record.request);
-    layout::append_varint(block_, record.body.size());
-    block_ += record.body;
-    last_ = location_.last = at;
-    ++location_.records;
-    location_.has_names = location_.has_names || is_name_type(record.type);
+    layout::append_varint(block_content_, static_cast<std::uint64_t>((at - last_time_).count()));
+    block_content_.push_back(static_cast<char>(record.type));
+    layout::append_varint(block_content_, record.request);
+    layout::append_varint(block_content_, record.body.size());
+    block_content_ += record.body;
+    last_time_ = block_location_.last_time = at;
+    ++block_location_.records;
+    block_location_.has_names = block_location_.has_names || is_name_type(record.type);
     if (record.request) {
-        location_.min_request = std::min(location_.min_request, record.request);
-        location_.max_request = std::max(location_.max_request, record.request);
+        block_location_.min_request = std::min(block_location_.min_request, record.request);
+        block_location_.max_request = std::max(block_location_.max_request, record.request);
     }
-    if (block_.size() >= block_bytes_) flush();
+    if (block_content_.size() >= block_bytes_) flush();
 }
 
 void Writer::flush() {
-    if (block_.empty()) return;
-    if (location_.max_request == 0) location_.min_request = 0;
-    write_block(layout::BlockKind::records, location_.has_names ? layout::BlockFlag::names : 0, block_, location_);
-    block_.clear();
+    if (block_content_.empty()) return;
+    if (block_location_.max_request == 0) block_location_.min_request = 0;
+    write_block(layout::BlockKind::records, block_location_.has_names ? layout::BlockFlag::names : 0, block_content_,
+                block_location_);
+    block_content_.clear();
 }
 
 void Writer::write_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const BlockLocation& location) {
-    if (const std::size_t bound = ZSTD_compressBound(raw.size()); compressed_.size() < bound) compressed_.resize(bound);
+    if (const std::size_t max_compressed_bytes = ZSTD_compressBound(raw.size());
+        compressed_.size() < max_compressed_bytes)
+        compressed_.resize(max_compressed_bytes);
     const std::size_t size = ZSTD_compressCCtx(compressor_->context, compressed_.data(), compressed_.size(), raw.data(),
                                                raw.size(), compression_level_);
     if (ZSTD_isError(size)) throw TraceError(std::string("cannot compress a block: ") + ZSTD_getErrorName(size));
@@ -82,30 +85,30 @@
     header.content_checksum = layout::checksum(content);
     const std::string header_bytes = layout::encode(header);
     if (kind == layout::BlockKind::records) {
-        BlockLocation stored = location;
-        stored.offset = offset_;
-        stored.bytes = static_cast<std::uint32_t>(header_bytes.size() + content.size());
-        blocks_.push_back(stored);
+        BlockLocation written_block = location;
+        written_block.offset = offset_;
+        written_block.bytes = static_cast<std::uint32_t>(header_bytes.size() + content.size());
+        written_blocks_.push_back(written_block);
     }
-    // One append for the whole block: an interrupted write damages the last block and nothing else.
+    // A single append for the whole block, so that an interrupted write damages only this block.
     sink_.append(header_bytes + std::string(content));
     offset_ += header_bytes.size() + content.size();
     raw_bytes_ += raw.size();
 }
 
 void Writer::write_index() {
-    std::size_t next = 0;
-    do {  // an empty trace has an empty index block
-        const std::size_t end = std::min(blocks_.size(), next + entries_per_index_block);
+    std::size_t next_entry = 0;
+    do {  // an empty trace also has an index block
+        const std::size_t entries_end = std::min(written_blocks_.size(), next_entry + entries_per_index_block);
         std::string raw;
-        for (; next < end; ++next) layout::append_index_entry(raw, blocks_[next]);
+        for (; next_entry < entries_end; ++next_entry) layout::append_index_entry(raw, written_blocks_[next_entry]);
         write_block(layout::BlockKind::index, layout::BlockFlag::optional, raw, {});
-    } while (next < blocks_.size());
+    } while (next_entry < written_blocks_.size());
 }
 
 void Writer::finish() {
     flush();
-    const layout::Footer footer{offset_, blocks_.size()};
+    const layout::Footer footer{offset_, written_blocks_.size()};
     write_index();
     const std::string bytes = layout::encode(footer);
     sink_.append(bytes);
--- a/src/trace/writer.hpp
+++ b/src/trace/writer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Writes a trace file: blocks of records, each compressed and under a checksum, with an index at the end.
+/// Writes a trace file: compressed blocks of records, each with a checksum, and an index at the end.
 #pragma once
 
 #include <memory>
@@ -10,22 +10,23 @@
 
 namespace plumkeel::trace {
 
-/// Appends one trace to a Sink. Every method that writes throws what the sink throws, and TraceError if a block cannot
-/// be compressed.
+/// Writes one trace file to a Sink. Methods that write pass on the exceptions of the sink, and throw TraceError if the
+/// compression of a block fails.
 class Writer {
 public:
-    /// Writes the file header. `start_time` is the start of the trace, since the Unix epoch; a block is written once
-    /// its records reach `block_bytes` before compression; `compression_level` is zstd's.
+    /// Writes the file header. `start_time` is the start of the trace, since the Unix epoch. A block is written when
+    /// its records reach `block_bytes` before compression. `compression_level` is the level of zstd.
     Writer(Sink& sink, Time start_time, std::size_t block_bytes = 256 * 1024, int compression_level = 3);
     ~Writer();
 
-    /// A record that is older than the one before it takes that one's time: the index relies on the order.
+    /// Adds a record to the current block. If its time is before that of the preceding record, it is stored with the
+    /// preceding record's time, because the index requires ordered times.
     void add(const Record& record);
-    void flush();   ///< Ends the current block.
-    void finish();  ///< Writes index and footer; nothing may be added after it.
+    void flush();   ///< Writes the current block.
+    void finish();  ///< Writes index and footer; no records may be added afterwards.
 
     std::uint64_t offset() const { return offset_; }        ///< Bytes written so far.
-    std::uint64_t raw_bytes() const { return raw_bytes_; }  ///< Content of all blocks before compression.
+    std::uint64_t raw_bytes() const { return raw_bytes_; }  ///< Size of all blocks before compression.
 
 private:
     void write_block(std::uint16_t kind, std::uint16_t flags, std::string_view raw, const BlockLocation& location);
@@ -37,11 +38,11 @@
     const std::size_t block_bytes_;
     const int compression_level_;
     std::unique_ptr<Compressor> compressor_;
-    std::string block_, compressed_;
-    BlockLocation location_;  // of the current block
-    Time last_{};
+    std::string block_content_, compressed_;
+    BlockLocation block_location_;  // describes the current block
+    Time last_time_{};
     std::uint64_t offset_{}, raw_bytes_{};
-    std::vector<BlockLocation> blocks_;
+    std::vector<BlockLocation> written_blocks_;
 };
 
 }  // namespace plumkeel::trace
--- a/src/trace_analysis/clock_offset.cpp
+++ b/src/trace_analysis/clock_offset.cpp
@@ -11,25 +11,25 @@
 namespace plumkeel::trace_analysis {
 namespace {
 
-/// Lost connections to an invoker within this time have one cause.
-constexpr Time same_failure = std::chrono::seconds(2);
-/// No two clocks are assumed to be further apart.
+/// Connections to an invoker that are lost within this time of each other count as one failure.
+constexpr Time same_failure_window = std::chrono::seconds(2);
+/// Assumed maximum offset between two clocks.
 constexpr Time max_offset = std::chrono::seconds(5);
-/// Differences that belong to the same offset lie within this of each other.
+/// Maximum range of the time differences that support the same offset.
 constexpr Time cluster_width = std::chrono::milliseconds(100);
 constexpr std::size_t min_cluster_size = 3;
-/// Only traces that are damaged or forged have higher attempt numbers; they must not make us allocate.
+/// Bound of the memory allocated for the attempts of a request; only malformed traces have higher attempt numbers.
 constexpr std::uint64_t max_attempt_number = 1000;
 
-/// An event that other controllers may have seen too.
+/// An event that several controllers may have recorded.
 struct SharedEvent {
-    std::optional<EndpointChangeType> change;  // absent: its connections broke
+    std::optional<EndpointChangeType> change;  // absent if connections to the invoker were lost
     std::string invoker;
 
     auto operator<=>(const SharedEvent&) const = default;
 };
 
-using EventTimes = std::map<SharedEvent, std::vector<Time>>;  // since the Unix epoch
+using EventTimes = std::map<SharedEvent, std::vector<Time>>;  // times of each event, since the Unix epoch
 
 class SharedEventCollector {
 public:
@@ -37,14 +37,14 @@
 
     void feed(const Record& record) {
         if (names_.feed(record)) return;
-        if (record.type != trace::sampled_request) return inspect(record);
+        if (record.type != trace::sampled_request) return process_record(record);
         for (const trace::NestedRecord& each : trace::unpack<trace::SampledRequest>(record.body).records)
-            inspect({each.at, each.type, record.request, each.body});
+            process_record({each.at, each.type, record.request, each.body});
     }
-    EventTimes take() { return std::move(events_); }
+    EventTimes take_events() { return std::move(events_); }
 
 private:
-    void inspect(const Record& record) {
+    void process_record(const Record& record) {
         if (record.type == trace::transition)
             on_transition(record);
         else if (record.type == trace::attempt_ended)
@@ -73,7 +73,7 @@
         if (request == attempt_invokers_.end() || ended.attempt >= request->second.size()) return;
         const std::string& invoker = request->second[ended.attempt];
         const auto last = last_failure_.find(invoker);
-        const bool is_new_failure = last == last_failure_.end() || record.at - last->second > same_failure;
+        const bool is_new_failure = last == last_failure_.end() || record.at - last->second > same_failure_window;
         if (connection_lost && is_new_failure) events_[{std::nullopt, invoker}].push_back(start_time_ + record.at);
         last_failure_[invoker] = record.at;
     }
@@ -86,17 +86,18 @@
 
     const Time start_time_;
     EventTimes events_;
-    std::map<std::string, Time> last_failure_;  // by invoker
+    std::map<std::string, Time> last_failure_;  // time of the last lost connection, by invoker
     EndpointDiff endpoints_;
     NameTable names_{true};
-    std::unordered_map<std::uint64_t, std::vector<std::string>> attempt_invokers_;  // by open request and attempt
+    std::unordered_map<std::uint64_t, std::vector<std::string>>
+        attempt_invokers_;  // invoker by open request and attempt number
 };
 
 EventTimes collect_events(ControllerTrace& trace) {
     SharedEventCollector collector(trace.start_time());
     trace.rewind();
     while (const auto record = trace.next()) collector.feed(*record);
-    return collector.take();
+    return collector.take_events();
 }
 
 Time median(std::vector<Time>& values) {
@@ -105,7 +106,8 @@
     return *middle;
 }
 
-/// The offset at which most differences lie close together: those of unrelated events scatter.
+/// Returns the offset that most time differences support, as the differences of unrelated events are scattered.
+/// Returns nothing if fewer than min_cluster_size differences are close together.
 std::optional<ClockOffset> largest_cluster(std::vector<Time> differences) {
     std::sort(differences.begin(), differences.end());
     std::size_t best_begin = 0, best_size = 0;
@@ -127,7 +129,7 @@
     return result;
 }
 
-/// All differences between the times of equal events that are not beyond max_offset.
+/// Returns all differences of at most max_offset between the times of equal events.
 std::vector<Time> differences_between(const EventTimes& reference, const EventTimes& other) {
     std::vector<Time> differences;
     for (const auto& [event, times] : other) {
@@ -145,14 +147,15 @@
 std::vector<ClockOffset> estimate_offsets(const std::vector<ControllerTrace*>& traces) {
     std::vector<ClockOffset> offsets(traces.size());
     if (traces.size() < 2) return offsets;
-    EventTimes aligned = collect_events(*traces.front());  // of all controllers whose offset is known so far
+    EventTimes aligned_events =
+        collect_events(*traces.front());  // with corrected times, of the controllers with a known offset
     for (std::size_t i = 1; i < traces.size(); ++i) {
         const EventTimes events = collect_events(*traces[i]);
-        const auto found = largest_cluster(differences_between(aligned, events));
+        const auto found = largest_cluster(differences_between(aligned_events, events));
         if (!found) continue;
         offsets[i] = *found;
         for (const auto& [event, times] : events)
-            for (const Time time : times) aligned[event].push_back(time + found->offset);
+            for (const Time time : times) aligned_events[event].push_back(time + found->offset);
     }
     return offsets;
 }
--- a/src/trace_analysis/clock_offset.hpp
+++ b/src/trace_analysis/clock_offset.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Estimates how far the clocks of several controllers are apart.
+/// Estimates the offsets between the clocks of several controllers.
 #pragma once
 
 #include <vector>
@@ -9,13 +9,13 @@
 namespace plumkeel::trace_analysis {
 
 struct ClockOffset {
-    Time offset{};         ///< To be added to this controller's clock to get the first one's.
-    std::size_t events{};  ///< How many events support it that both controllers saw; 0: none, and the offset is 0.
-    Time deviation{};      ///< The median deviation of these events from it.
+    Time offset{};  ///< Offset to add to this controller's clock to get the time of the first controller's clock.
+    std::size_t events{};  ///< Number of shared events that the estimate is based on. If 0, `offset` is unknown and 0.
+    Time deviation{};      ///< Median deviation of the shared events from `offset`.
 };
 
-/// By events that several controllers saw: attempts whose connections broke when an invoker died, and changes of the
-/// endpoints. Reads the traces to their end; one offset for each, in their order.
+/// Returns the clock offset of each trace, estimated by events that several controllers recorded: connections lost when
+/// an invoker failed, and changes of the endpoints. Reads the traces to their end.
 std::vector<ClockOffset> estimate_offsets(const std::vector<ControllerTrace*>& traces);
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/endpoint_diff.hpp
+++ b/src/trace_analysis/endpoint_diff.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What changed from one list of endpoints to the next.
+/// Finds the changes between successive endpoint lists.
 #pragma once
 
 #include <compare>
@@ -22,9 +22,9 @@
 
 class EndpointDiff {
 public:
-    /// Returns the changes that the next list brings; none for the first list that names an endpoint.
+    /// Processes the next list and returns its changes. Returns none for the first list that contains an endpoint.
     std::vector<EndpointChange> feed(const trace::EndpointsChanged& list, const NameTable& names);
-    /// Whether a list has named an endpoint.
+    /// Whether any list so far contained an endpoint.
     bool has_endpoints() const { return has_endpoints_; }
 
 private:
--- a/src/trace_analysis/history_builder.cpp
+++ b/src/trace_analysis/history_builder.cpp
@@ -5,15 +5,15 @@
 namespace plumkeel::trace_analysis {
 
 HistoryBuilder::HistoryBuilder(HistoryCallback callback, bool keep_released, std::size_t max_open)
-    : callback_(std::move(callback)), max_open_(max_open), names_(keep_released) {}
+    : on_history_(std::move(callback)), max_open_(max_open), names_(keep_released) {}
 
-HistoryBuilder::OpenRequest& HistoryBuilder::open(const Record& record) {
-    const auto [it, is_new] = open_.try_emplace(record.request);
+HistoryBuilder::OpenRequest& HistoryBuilder::find_or_add_request(const Record& record) {
+    const auto [it, is_new] = open_requests_.try_emplace(record.request);
     if (is_new) {
         it->second.history.request = record.request;
         it->second.history.received_at = it->second.history.ended_at = record.at;
-        it->second.order = ++opened_;
-        by_age_.emplace(opened_, record.request);
+        it->second.sequence_number = ++opened_count_;
+        request_by_sequence_number_.emplace(opened_count_, record.request);
     }
     return it->second;
 }
@@ -22,9 +22,9 @@
     if (names_.feed(record)) return;
     if (record.type == trace::sampled_request) return on_sampled_request(record);
     if (!record.request || record.type == trace::actions) return;
-    const bool is_closed = open_.count(record.request) == 0;
+    const bool is_closed = open_requests_.count(record.request) == 0;
     if (is_closed && record.type == trace::client_disconnected) return;
-    OpenRequest& request = open(record);
+    OpenRequest& request = find_or_add_request(record);
     switch (record.type) {
         case trace::submit:
             on_submit(request.history, record);
@@ -39,16 +39,15 @@
             break;
     }
     if (!request.history.outcome) request.history.ended_at = record.at;
-    // The end of an attempt is recorded before the transition that it causes, and the request's outcome before the end
-    // of its other attempts.
+    // After its outcome, a request stays open until its other attempts have ended too.
     if (request.history.outcome && request.attempts_in_flight == 0) close(record.request);
-    while (open_.size() > max_open_) close(by_age_.begin()->second);
+    while (open_requests_.size() > max_open_) close(request_by_sequence_number_.begin()->second);
 }
 
 void HistoryBuilder::on_sampled_request(const Record& record) {
     for (const trace::NestedRecord& each : trace::unpack<trace::SampledRequest>(record.body).records)
         feed({each.at, each.type, record.request, each.body});
-    if (open_.count(record.request)) close(record.request);
+    if (open_requests_.count(record.request)) close(record.request);
 }
 
 void HistoryBuilder::on_submit(RequestHistory& history, const Record& record) {
@@ -97,14 +96,14 @@
 }
 
 void HistoryBuilder::close(std::uint64_t request) {
-    const auto it = open_.find(request);
-    callback_(it->second.history);
-    by_age_.erase(it->second.order);
-    open_.erase(it);
+    const auto it = open_requests_.find(request);
+    on_history_(it->second.history);
+    request_by_sequence_number_.erase(it->second.sequence_number);
+    open_requests_.erase(it);
 }
 
 void HistoryBuilder::finish() {
-    while (!by_age_.empty()) close(by_age_.begin()->second);
+    while (!request_by_sequence_number_.empty()) close(request_by_sequence_number_.begin()->second);
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/history_export.cpp
+++ b/src/trace_analysis/history_export.cpp
@@ -80,7 +80,8 @@
     std::string out;
     const std::string request = names.request(history.request);
     const auto separator = request.find('@');
-    const std::string controller = separator == std::string::npos ? names.start().name : request.substr(separator + 1);
+    const std::string controller =
+        separator == std::string::npos ? names.scheduler_settings().name : request.substr(separator + 1);
     const auto add = [&](const std::string& row, Time from, Time to, std::string_view end) {
         const json::object args{
             {"job", request}, {"end", end}, {"use case", history.request_class}, {"tenant", history.tenant}};
--- a/src/trace_analysis/history_export.hpp
+++ b/src/trace_analysis/history_export.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Histories of requests for other tools: lines of JSON, and events of the Chrome trace-event format. Keys, states and
-/// outcomes are an interface and stay as the first version had them; reasons are clauses for people and may change.
+/// Exports request histories as JSON lines and as events of the Chrome trace-event format. Keys, states and outcomes
+/// are a stable interface; the texts of reasons may change between versions.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace plumkeel::trace_analysis {
 
-/// One JSON object on one line, without its end.
+/// Returns a JSON object on one line, without a newline at the end.
 std::string to_json(const RequestHistory& history, const NameTable& names);
 
-/// The events of one request, each followed by a comma and a line end: one for each attempt in the row of its invoker,
-/// and one for each time that it was parked, in the row "parked".
+/// Returns the events of one request, each followed by a comma and a newline: one event for each attempt, in the row of
+/// its invoker, and one for each period in which the request was parked, in the row "parked".
 std::string to_chrome_events(const RequestHistory& history, const NameTable& names);
-/// An event that marks a moment in all rows.
+/// Returns an event that marks a point in time in all rows.
 std::string to_chrome_event(Time at, const std::string& what);
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/history_filter.cpp
+++ b/src/trace_analysis/history_filter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view ended_badly_word = "badly";
 
-bool is_empty_or_equal(const std::string& wanted, const std::string& value) {
+bool matches_if_set(const std::string& wanted, const std::string& value) {
     return wanted.empty() || wanted == value;
 }
 
@@ -20,21 +20,21 @@
 
 OutcomeFilter parse_outcome_filter(const std::string& word) {
     if (word == ended_badly_word) return {};
-    std::string spaced = word;
-    std::replace(spaced.begin(), spaced.end(), '-', ' ');
+    std::string word_with_spaces = word;
+    std::replace(word_with_spaces.begin(), word_with_spaces.end(), '-', ' ');
     for (const FinalOutcome outcome :
          std::array{FinalOutcome::succeeded, FinalOutcome::late, FinalOutcome::rejected, FinalOutcome::failed,
                     FinalOutcome::cancelled, FinalOutcome::unfinished})
-        if (spaced == name_of(outcome) || spaced == export_name(outcome)) return {outcome};
+        if (word_with_spaces == name_of(outcome) || word_with_spaces == export_name(outcome)) return {outcome};
     throw trace::TraceError("outcome '" + word + "' is none of " + std::string(outcome_filter_words));
 }
 
 bool HistoryFilter::matches(const RequestHistory& history) const {
     if (from && (!history.submission_recorded || history.received_at < *from)) return false;
     if (to && history.received_at >= *to) return false;
-    if (!is_empty_or_equal(request_class, history.request_class)) return false;
-    if (!is_empty_or_equal(tenant, history.tenant)) return false;
-    if (!is_empty_or_equal(function, history.function)) return false;
+    if (!matches_if_set(request_class, history.request_class)) return false;
+    if (!matches_if_set(tenant, history.tenant)) return false;
+    if (!matches_if_set(function, history.function)) return false;
     if (!invoker.empty() && std::none_of(history.attempts.begin(), history.attempts.end(),
                                          [&](const AttemptHistory& attempt) { return attempt.invoker == invoker; }))
         return false;
--- a/src/trace_analysis/history_filter.hpp
+++ b/src/trace_analysis/history_filter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Selects requests by what a person asks for.
+/// Filters request histories by time, names and outcome.
 #pragma once
 
 #include <optional>
@@ -10,24 +10,25 @@
 
 namespace plumkeel::trace_analysis {
 
-/// One outcome, or any but success within the latency target.
+/// Matches one outcome, or all outcomes other than success within the latency target.
 struct OutcomeFilter {
-    std::optional<FinalOutcome> outcome;  ///< Absent: all that ended badly.
+    std::optional<FinalOutcome> outcome;  ///< If absent, matches RequestHistory::ended_badly().
 
     bool matches(const RequestHistory& history) const;
 };
 
-/// The words that parse_outcome_filter accepts, for messages; it takes the words of exported JSON as well.
+/// Words that parse_outcome_filter() accepts, for help texts and error messages. It also accepts the words used in
+/// exported JSON.
 constexpr std::string_view outcome_filter_words =
     "succeeded, late, rejected, failed, cancelled, unfinished, or badly for all but succeeded";
-/// Throws TraceError for a word that is no outcome.
+/// Parses an outcome. Throws TraceError if the word is not an outcome.
 OutcomeFilter parse_outcome_filter(const std::string& word);
 
-/// What is not set does not matter.
+/// A history matches if it meets all conditions that are set.
 struct HistoryFilter {
-    std::optional<Time> from, to;  ///< Received at or after, and before.
+    std::optional<Time> from, to;  ///< Matches requests received at or after `from` and before `to`.
     std::string request_class, tenant, function;
-    std::string invoker;  ///< That any attempt was sent to.
+    std::string invoker;  ///< Matches requests with an attempt at this invoker.
     std::optional<OutcomeFilter> outcome;
 
     bool matches(const RequestHistory& history) const;
--- a/src/trace_analysis/history_format.cpp
+++ b/src/trace_analysis/history_format.cpp
@@ -9,9 +9,9 @@
 namespace plumkeel::trace_analysis {
 namespace {
 
-/// Contention below this is not worth a word.
+/// Estimated waiting times up to this are not shown.
 constexpr Time min_shown_contention = std::chrono::milliseconds(1);
-constexpr std::size_t event_indent = 16;
+constexpr std::size_t candidate_indent = 16;
 
 double to_seconds(Time t) {
     return static_cast<double>(t.count()) / 1e6;
@@ -34,11 +34,11 @@
                        candidate.warm ? ", with a loaded copy" : ", after loading the function");
 }
 
-std::string format_sent(const trace::TransitionRecord::Sent& sent, const NameTable& names) {
-    std::string load;
+std::string format_sent(const trace::TransitionRecord::SentAttempt& sent, const NameTable& names) {
+    std::string load_note;
     if (!sent.warm)
-        load = sent.starts_load ? ", which loads the function for it" : ", which is not known to hold a copy";
-    return fmt::format("attempt {} is sent to {}{}", sent.attempt, names.invoker(sent.invoker), load);
+        load_note = sent.starts_load ? ", which loads the function for it" : ", which is not known to hold a copy";
+    return fmt::format("attempt {} is sent to {}{}", sent.attempt, names.invoker(sent.invoker), load_note);
 }
 
 std::string format_failure(const trace::TransitionRecord& transition, const RequestHistory& history) {
@@ -73,7 +73,7 @@
 
 std::string format_heading(const RequestHistory& history, const NameTable& names) {
     std::string out = fmt::format("request {}", names.request(history.request));
-    if (names.controllers().empty()) out += fmt::format(" at {}", names.start().name);
+    if (names.controllers().empty()) out += fmt::format(" at {}", names.scheduler_settings().name);
     if (!history.submission_recorded) return out + ": received before this trace, or where records are missing\n";
     out += fmt::format(": function {}, request class {}{}{}\n", history.function, history.request_class,
                        history.tenant.empty() ? "" : ", tenant " + history.tenant,
@@ -94,27 +94,28 @@
     return ended;
 }
 
-/// Transitions and ends of attempts in order. The end of an attempt precedes the transition that it caused, of the same
-/// time, but follows the transition that sent it.
+/// Returns the transitions and the ends of attempts in order of time. At equal times, the end of an attempt is after
+/// the transition that sent the attempt, and before other transitions.
 std::string format_events(const RequestHistory& history, const NameTable& names) {
     std::string out;
     const auto add = [&](Time at, const std::string& event) {
         out += fmt::format("  {:+11.6f} s  {}\n", to_seconds(at - history.received_at), event);
     };
     const auto ended = attempts_by_end(history);
-    auto next_end = ended.begin();
-    std::uint64_t sent = 0;  // attempts so far
+    auto next_ended = ended.begin();
+    std::uint64_t sent_attempts = 0;  // number of attempts sent so far
     for (const StateTransition& transition : history.transitions) {
-        for (; next_end != ended.end(); ++next_end) {
-            if (*(*next_end)->ended_at > transition.at || (*next_end)->number >= sent) break;
-            add(*(*next_end)->ended_at, format_attempt_end(**next_end));
+        for (; next_ended != ended.end(); ++next_ended) {
+            if (*(*next_ended)->ended_at > transition.at || (*next_ended)->number >= sent_attempts) break;
+            add(*(*next_ended)->ended_at, format_attempt_end(**next_ended));
         }
         add(transition.at, format_transition(transition.transition, history, names));
-        if (transition.transition.sent) sent = std::max(sent, transition.transition.sent->attempt + 1);
+        if (transition.transition.sent)
+            sent_attempts = std::max(sent_attempts, transition.transition.sent->attempt + 1);
         for (const auto& candidate : transition.transition.candidates)
-            out += std::string(event_indent, ' ') + format_candidate(candidate, names) + "\n";
+            out += std::string(candidate_indent, ' ') + format_candidate(candidate, names) + "\n";
     }
-    for (; next_end != ended.end(); ++next_end) add(*(*next_end)->ended_at, format_attempt_end(**next_end));
+    for (; next_ended != ended.end(); ++next_ended) add(*(*next_ended)->ended_at, format_attempt_end(**next_ended));
     for (const AttemptHistory& attempt : history.attempts)
         if (!attempt.ended_at)
             out += fmt::format("               attempt {} at {} was in flight at the end of the trace\n",
--- a/src/trace_analysis/history_format.hpp
+++ b/src/trace_analysis/history_format.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Histories of requests as text for a person.
+/// Formats request histories as human-readable text.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace plumkeel::trace_analysis {
 
-/// Several lines: the request, then what happened to it in order, and its outcome. Times are since the request was
-/// received.
+/// Returns several lines: the request, its events in order, and its outcome. The times of events are relative to the
+/// time at which the request was received.
 std::string format_history(const RequestHistory& history, const NameTable& names);
-/// One line, without its end.
+/// Returns a summary of the request on one line, without a newline at the end.
 std::string format_line(const RequestHistory& history, const NameTable& names);
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/latency_histogram.cpp
+++ b/src/trace_analysis/latency_histogram.cpp
@@ -8,7 +8,7 @@
 using trace::Time;
 
 constexpr double min_ms = 0.1, max_ms = 1'000'000;
-constexpr unsigned bin_count = 814;  // each 2% wider than the one before
+constexpr unsigned bin_count = 814;  // bin widths grow by 2% from bin to bin
 
 }  // namespace
 
@@ -21,14 +21,14 @@
     ++count_;
 }
 
-Time LatencyHistogram::quantile(double share) const {
+Time LatencyHistogram::quantile(double fraction) const {
     if (!count_) return {};
-    const double wanted = share * static_cast<double>(count_);
-    double seen = 0;
-    // Bin -1 holds what is below the range, bin `bin_count` what is above.
+    const double target_count = fraction * static_cast<double>(count_);
+    double cumulative_count = 0;
+    // Bin -1 counts values below min_ms, and bin `bin_count` counts values above max_ms.
     for (int i = -1; i <= static_cast<int>(bin_count); ++i) {
-        seen += bins_.at(i);
-        if (seen < wanted || seen == 0) continue;
+        cumulative_count += bins_.at(i);
+        if (cumulative_count < target_count || cumulative_count == 0) continue;
         if (i < 0) return min_;
         if (i == static_cast<int>(bin_count)) return max_;
         return std::clamp(Time(static_cast<Time::rep>(bins_.axis().bin(i).upper() * 1e3)), min_, max_);
--- a/src/trace_analysis/name_table.cpp
+++ b/src/trace_analysis/name_table.cpp
@@ -14,19 +14,19 @@
 bool NameTable::feed(const Record& record) {
     switch (record.type) {
         case trace::settings:
-            start_ = trace::unpack<trace::SchedulerSettings>(record.body);
+            scheduler_settings_ = trace::unpack<trace::SchedulerSettings>(record.body);
             return true;
         case trace::merged:
-            controllers_ = trace::unpack<trace::Merged>(record.body).controllers;
+            controllers_ = trace::unpack<trace::MergedControllers>(record.body).controllers;
             return true;
-        case trace::function_known: {
-            auto known = trace::unpack<trace::NameRecord>(record.body);
-            functions_[known.number] = std::move(known.name);
+        case trace::function_defined: {
+            auto name_record = trace::unpack<trace::NameRecord>(record.body);
+            functions_[name_record.number] = std::move(name_record.name);
             return true;
         }
-        case trace::invoker_known: {
-            auto known = trace::unpack<trace::NameRecord>(record.body);
-            invokers_[known.number] = std::move(known.name);
+        case trace::invoker_defined: {
+            auto name_record = trace::unpack<trace::NameRecord>(record.body);
+            invokers_[name_record.number] = std::move(name_record.name);
             return true;
         }
         case trace::function_released:
@@ -40,13 +40,14 @@
 }
 
 std::string NameTable::request_class(std::uint64_t number) const {
-    return number < start_.request_classes.size() ? start_.request_classes[number].first
-                                                  : "request class #" + std::to_string(number);
+    return number < scheduler_settings_.request_classes.size() ? scheduler_settings_.request_classes[number].first
+                                                               : "request class #" + std::to_string(number);
 }
 
 std::string NameTable::tenant(std::uint64_t number) const {
     if (!number) return "";
-    return number <= start_.tenants.size() ? start_.tenants[number - 1].first : "tenant #" + std::to_string(number);
+    return number <= scheduler_settings_.tenants.size() ? scheduler_settings_.tenants[number - 1].first
+                                                        : "tenant #" + std::to_string(number);
 }
 
 std::string NameTable::function(std::uint64_t number) const {
@@ -62,8 +63,9 @@
 }
 
 Time NameTable::latency_target(std::uint64_t request_class) const {
-    return request_class < start_.request_classes.size() ? start_.request_classes[request_class].second.latency_target
-                                                         : Time{};
+    return request_class < scheduler_settings_.request_classes.size()
+               ? scheduler_settings_.request_classes[request_class].second.latency_target
+               : Time{};
 }
 
 }  // namespace plumkeel::trace_analysis
--- a/src/trace_analysis/name_table.hpp
+++ b/src/trace_analysis/name_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The names that the numbers in a trace's records stand for.
+/// Maps the numbers in trace records to names.
 #pragma once
 
 #include <string>
@@ -14,27 +14,27 @@
 
 class NameTable {
 public:
-    /// With `keep_released`, functions that the controller has released stay known.
+    /// With `keep_released`, the names of functions that the controller has released are kept.
     explicit NameTable(bool keep_released = false) : keep_released_(keep_released) {}
 
-    /// Takes the records of a trace in order. Returns whether the record only defined names or settings.
+    /// Processes the next record of a trace. Returns whether it is a record that defines names or settings.
     bool feed(const Record& record);
 
-    const trace::SchedulerSettings& start() const { return start_; }
-    /// Of a merged trace; empty if the trace is of one controller, start().name.
+    const trace::SchedulerSettings& scheduler_settings() const { return scheduler_settings_; }
+    /// Names of the controllers of a merged trace. Empty for the trace of one controller.
     const std::vector<std::string>& controllers() const { return controllers_; }
 
-    // Numbers that no record defined are shown as such, as "function #3".
+    // A number without a known name is returned as text such as "function #3".
     std::string request_class(std::uint64_t number) const;
-    std::string tenant(std::uint64_t number) const;  ///< By RequestSubmitted::tenant: empty for 0.
+    std::string tenant(std::uint64_t number) const;  ///< Takes a RequestSubmitted::tenant; empty for 0.
     std::string function(std::uint64_t number) const;
     std::string invoker(std::uint64_t number) const;
-    std::string request(std::uint64_t number) const;         ///< "12", or "12@controller" in a merged trace.
-    Time latency_target(std::uint64_t request_class) const;  ///< 0 if it is not known.
+    std::string request(std::uint64_t number) const;         ///< Text such as "12", or "12@controller" if merged.
+    Time latency_target(std::uint64_t request_class) const;  ///< 0 if the request class is unknown.
 
 private:
     const bool keep_released_;
-    trace::SchedulerSettings start_;
+    trace::SchedulerSettings scheduler_settings_;
     std::vector<std::string> controllers_;
     std::unordered_map<std::uint64_t, std::string> functions_, invokers_;
 };
--- a/src/trace_analysis/plot_page.hpp
+++ b/src/trace_analysis/plot_page.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A page of diagrams over time as an SVG file, drawn with PLplot. Private to chart.cpp.
+/// An SVG page with diagrams over time, drawn with PLplot. Used only by chart.cpp.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace plumkeel::trace_analysis {
 
-/// Indexes into the page's palette.
+/// Indexes of the page's colour palette.
 enum Colour : int {
-    paper,
-    ink,
-    grey,
+    background_colour,
+    text_colour,
+    annotation_line_colour,
     succeeded_colour,
     late_colour,
     rejected_colour,
@@ -21,7 +21,7 @@
     first_invoker_colour,
 };
 
-/// PLplot has global state: only one page may exist at a time. The file is complete when the page is destroyed.
+/// Only one page may exist at a time, because PLplot has global state. The destructor completes the file.
 class PlotPage {
 public:
     explicit PlotPage(const std::string& file);
@@ -29,26 +29,26 @@
     PlotPage(const PlotPage&) = delete;
     PlotPage& operator=(const PlotPage&) = delete;
 
-    /// What a diagram shows on its axes. `bottom` and `top` place it on the page, from 0 to 1.
+    /// Position and axes of a diagram. `bottom` and `top` are vertical positions on the page, from 0 to 1.
     struct Panel {
         double bottom, top;
-        double width_s;  ///< Of the time axis.
+        double width_s;  ///< Length of the time axis in seconds.
         double max_value;
         const char* label;
-        bool has_time_axis;  ///< Whether the time axis is labelled.
+        bool has_time_axis;  ///< Whether the time axis has labels.
     };
-    /// What is drawn next is in the panel's coordinates.
+    /// Starts a panel. Later drawing calls use its coordinates.
     void begin_panel(const Panel& panel);
     void title(const std::string& text);
     void box(double left, double right, double bottom, double top, int colour);
     void curve(const std::vector<double>& x, const std::vector<double>& y, int colour);
-    /// Dashed vertical lines in the panel.
+    /// Draws dashed vertical lines over the height of the panel.
     void vertical_lines(const std::vector<double>& x, const Panel& panel);
 
-    /// An entry to the right of the panels; `height` is that of the legend's top on the page.
+    /// Draws a legend entry to the right of the panels. `height` is the position of the legend's top on the page.
     void legend_entry(double height, int row, int colour, const std::string& text);
 
-    /// Starts the area for text below the panels, with coordinates from 0 to 1.
+    /// Starts the text area below the panels. Later calls of note() use its coordinates, from 0 to 1.
     void begin_notes();
     void note(double x, double y, const std::string& text);
 };
--- a/src/trace_analysis/pseudonymizer.cpp
+++ b/src/trace_analysis/pseudonymizer.cpp
@@ -9,11 +9,11 @@
 
 constexpr std::size_t min_key_bytes = 16;
 constexpr int token_hash_bytes = 8;
-/// Stored in Resumed::derivation, and thereby part of the files.
+/// Stored in trace files, as Resumed::derivation.
 constexpr const char* pseudonymized_derivation = "without its names";
 
 template <class T, class Edit>
-Record edited(Record record, Edit edit) {
+Record with_edited_body(Record record, Edit edit) {
     auto value = trace::unpack<T>(record.body);
     edit(value);
     record.body = trace::pack(value);
@@ -24,11 +24,11 @@
 
 Pseudonymizer::Pseudonymizer(std::string key) : key_(std::move(key)) {
     if (key_.size() < min_key_bytes)
-        throw trace::TraceError(fmt::format("the key has {} bytes, at least {} are needed: its tokens could be guessed",
+        throw trace::TraceError(fmt::format("the pseudonymization key has {} bytes, but at least {} are required",
                                             key_.size(), min_key_bytes));
 }
 
-/// The role is hashed as well, so that a tenant and a function of the same name do not look alike.
+/// The hash includes the role, so that a tenant and a function with the same name have different hashes.
 std::string Pseudonymizer::token(std::string_view role, const std::string& name) const {
     if (name.empty()) return {};
     const std::string text = fmt::format("{}:{}", role, name);
@@ -36,7 +36,7 @@
     unsigned int hash_bytes = 0;
     if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
               reinterpret_cast<const unsigned char*>(text.data()), text.size(), hash, &hash_bytes))
-        throw trace::TraceError("cannot hash the names");
+        throw trace::TraceError("cannot compute the HMAC-SHA256 of a name");
     std::string out(role);
     out += '-';
     for (int i = 0; i < token_hash_bytes; ++i) out += fmt::format("{:02x}", hash[i]);
@@ -46,28 +46,31 @@
 std::optional<Record> Pseudonymizer::pseudonymize(const Record& record) const {
     switch (record.type) {
         case trace::settings:
-            return edited<trace::SchedulerSettings>(record, [&](trace::SchedulerSettings& start) {
-                start.name = token("controller", start.name);
-                start.seed = 0;
-                // The roles are hashed: changing them would change the tokens of a key.
-                for (auto& [name, request_class] : start.request_classes) name = token("use-case", name);
-                for (auto& [name, quota] : start.tenants) name = token("tenant", name);
-            });
+            return with_edited_body<trace::SchedulerSettings>(
+                record, [&](trace::SchedulerSettings& scheduler_settings) {
+                    scheduler_settings.name = token("controller", scheduler_settings.name);
+                    scheduler_settings.seed = 0;
+                    // The role is part of the hash, so "use-case" must not be renamed: existing tokens would change.
+                    for (auto& [name, request_class] : scheduler_settings.request_classes)
+                        name = token("use-case", name);
+                    for (auto& [name, quota] : scheduler_settings.tenants) name = token("tenant", name);
+                });
         case trace::merged:
-            return edited<trace::Merged>(record, [&](trace::Merged& merged) {
+            return with_edited_body<trace::MergedControllers>(record, [&](trace::MergedControllers& merged) {
                 for (std::string& name : merged.controllers) name = token("controller", name);
             });
-        case trace::function_known:
-        case trace::invoker_known:
-            return edited<trace::NameRecord>(record, [&](trace::NameRecord& known) {
-                known.name = token(record.type == trace::function_known ? "function" : "invoker", known.name);
+        case trace::function_defined:
+        case trace::invoker_defined:
+            return with_edited_body<trace::NameRecord>(record, [&](trace::NameRecord& name_record) {
+                name_record.name =
+                    token(record.type == trace::function_defined ? "function" : "invoker", name_record.name);
             });
         case trace::endpoints_changed:
-            return edited<trace::EndpointsChanged>(record, [&](trace::EndpointsChanged& list) {
+            return with_edited_body<trace::EndpointsChanged>(record, [&](trace::EndpointsChanged& list) {
                 for (trace::EndpointRecord& endpoint : list.changed) endpoint.zone = token("zone", endpoint.zone);
             });
         case trace::resumed:
-            return edited<trace::Resumed>(record, [](trace::Resumed& resumed) {
+            return with_edited_body<trace::Resumed>(record, [](trace::Resumed& resumed) {
                 if (!resumed.derivation.empty()) resumed.derivation += ", and ";
                 resumed.derivation += pseudonymized_derivation;
             });
@@ -82,7 +85,7 @@
         case trace::health_check_ended:
         case trace::preload_ended:
         case trace::transition:
-            return record;  // holds numbers and times only
+            return record;  // contains only numbers and times
         case trace::actions:
         case trace::wake:
         default:
--- a/src/trace_analysis/pseudonymizer.hpp
+++ b/src/trace_analysis/pseudonymizer.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Replaces the names in a trace by tokens, so that it can be given away. What a trace holds besides names are numbers
-/// and times; it never holds bodies of requests.
+/// Replaces the names in a trace by tokens, so that the trace can be shared. Apart from names, a trace contains only
+/// numbers and times; it never contains request or response bodies.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,17 @@
 
 namespace plumkeel::trace_analysis {
 
-/// Tokens are keyed hashes: with one key, equal names have equal tokens; without the key, a token does not reveal its
-/// name.
+/// Tokens are keyed hashes (HMAC). With the same key, equal names have equal tokens. Without the key, the name cannot
+/// be found from the token.
 class Pseudonymizer {
 public:
-    /// Throws TraceError if the key is too short to be safe.
+    /// Throws TraceError if the key has less than 16 bytes.
     explicit Pseudonymizer(std::string key);
 
-    /// The record without names. Nothing for actions and wakes, which serve only replay (and that depends on the
-    /// names), and for types that this build does not know, as they may hold names.
+    /// Returns the record with tokens in place of names. Returns nothing for actions and wake records, which are needed
+    /// only to replay a trace, and for unknown record types, which may contain names.
     std::optional<Record> pseudonymize(const Record& record) const;
-    /// As "function-3f9a0c1b2d4e5f60"; empty for an empty name.
+    /// Returns a token such as "function-3f9a0c1b2d4e5f60" for the role "function"; empty for an empty name.
     std::string token(std::string_view role, const std::string& name) const;
 
 private:
--- a/src/trace_analysis/request_history.cpp
+++ b/src/trace_analysis/request_history.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-/// The words for outcomes that are no state of a request; empty for the others.
+/// Names of outcomes without a corresponding RequestState; empty for other outcomes.
 std::string_view name_without_state(FinalOutcome outcome) {
     switch (outcome) {
         case FinalOutcome::late:
--- a/src/trace_analysis/request_history.hpp
+++ b/src/trace_analysis/request_history.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What happened to one request: its submission, attempts, changes of state and outcome.
+/// The history of one request: its submission, attempts, state transitions and outcome.
 #pragma once
 
 #include <optional>
@@ -15,10 +15,10 @@
     std::uint64_t number{};
     std::string invoker;
     Time sent_at{};
-    std::optional<Time> ended_at;  ///< Absent if it was in flight at the end of the trace.
+    std::optional<Time> ended_at;  ///< Absent if the attempt was in flight at the end of the trace.
     AttemptOutcome outcome{};
     LoadEvent load_event{};
-    bool starts_load{}, warm{};  ///< As in TransitionRecord::Sent.
+    bool starts_load{}, warm{};  ///< See TransitionRecord::SentAttempt.
 };
 
 struct StateTransition {
@@ -28,39 +28,39 @@
 
 /// How a request ended, as seen by its client.
 enum class FinalOutcome {
-    succeeded,  ///< Within its latency target.
-    late,       ///< Succeeded after it.
+    succeeded,  ///< Succeeded within its latency target.
+    late,       ///< Succeeded after its latency target.
     rejected,
     failed,
     cancelled,
-    unfinished,  ///< It was open at the end of the trace.
-    unknown,     ///< A state that only a newer writer knows.
+    unfinished,  ///< The request had no outcome at the end of the trace.
+    unknown,     ///< An unknown state, from a newer version of the writer.
 };
 
 std::string_view name_of(FinalOutcome outcome);
-/// The words of exported JSON, see trace::export_name.
+/// Name of the outcome in exported JSON, see trace::export_name().
 std::string_view export_name(FinalOutcome outcome);
 
 struct RequestHistory {
     std::uint64_t request{};
-    /// False if it was submitted before the trace began, or in a gap. Then `received_at` is the time of its first
-    /// record, and the fields down to `is_client_retry` are not known.
+    /// Whether the trace contains the request's submit record. If not, `received_at` is the time of the request's first
+    /// record, and the fields from `request_class` to `is_client_retry` are unknown.
     bool submission_recorded{};
     Time received_at{};
     std::string request_class, tenant, function;
-    Time latency_target{};  ///< From `received_at`; 0 if the request class is not known.
-    Time deadline{};        ///< From `received_at`.
+    Time latency_target{};  ///< Relative to `received_at`; 0 if the request class is unknown.
+    Time deadline{};        ///< Relative to `received_at`.
     bool is_client_retry{};
     std::vector<AttemptHistory> attempts;
     std::vector<StateTransition> transitions;
     std::optional<RequestState> outcome;
-    Time ended_at{};  ///< The time of its outcome, else of its last record.
+    Time ended_at{};  ///< Time of the request's outcome or, without outcome, of its last record.
 
     bool is_late() const { return latency_target > Time{} && ended_at - received_at > latency_target; }
     bool ended_badly() const { return final_outcome() != FinalOutcome::succeeded; }
     Time duration() const { return ended_at - received_at; }
-    Time parked_time() const;  ///< In all.
-    /// When the state that `transitions[index]` began was left.
+    Time parked_time() const;  ///< Total time in the state `parked`.
+    /// End of the state that began with `transitions[index]`.
     Time end_of_state(std::size_t index) const;
     FinalOutcome final_outcome() const;
 };
--- a/src/trace_analysis/request_stats.hpp
+++ b/src/trace_analysis/request_stats.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counts and latencies over many requests or attempts.
+/// Statistics of requests and of attempts.
 #pragma once
 
 #include "trace_analysis/latency_histogram.hpp"
@@ -7,7 +7,7 @@
 
 namespace plumkeel::trace_analysis {
 
-/// Requests by FinalOutcome; `unknown` ones count as cancelled.
+/// Number of requests by FinalOutcome. Requests with the outcome `unknown` count as cancelled.
 struct OutcomeCounts {
     std::uint64_t succeeded{}, late{}, rejected{}, failed{}, cancelled{}, unfinished{};
 
@@ -20,18 +20,18 @@
 struct RequestStats {
     OutcomeCounts outcomes;
     std::uint64_t attempts{};
-    std::uint64_t retried{};    ///< Requests with more than one attempt.
-    LatencyHistogram duration;  ///< Of requests that succeeded, within the latency target or not.
-    LatencyHistogram parked;    ///< Of requests that were parked.
+    std::uint64_t retried{};    ///< Number of requests with more than one attempt.
+    LatencyHistogram duration;  ///< Durations of the requests that succeeded or were late.
+    LatencyHistogram parked;    ///< Time parked, of the requests that were parked at all.
 
     void add(const RequestHistory& history);
 };
 
 struct AttemptStats {
     std::uint64_t sent{}, succeeded{}, rejected{}, connection_lost{}, unreachable{}, timed_out{}, cancelled{}, other{};
-    std::uint64_t in_flight{};  ///< At the end of the trace.
+    std::uint64_t in_flight{};  ///< Attempts in flight at the end of the trace.
     std::uint64_t loads{};
-    LatencyHistogram duration;  ///< Of those that succeeded.
+    LatencyHistogram duration;  ///< Durations of the attempts that succeeded.
 
     void add(const AttemptHistory& attempt);
 };
--- a/src/trace_analysis/summary.cpp
+++ b/src/trace_analysis/summary.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr std::size_t max_annotations = 10'000;
-/// So many connections to an invoker lost within this time mean that it failed.
+/// An invoker counts as failed if failure_threshold connections to it are lost within this time.
 constexpr Time failure_window = std::chrono::seconds(2);
 constexpr std::size_t failure_threshold = 3;
-/// Several controllers see the same event within this time.
+/// Equal annotations within this time describe the same event, recorded by several controllers.
 constexpr Time same_event_window = std::chrono::seconds(3);
-/// A controller whose first endpoints come later was started within the trace.
+/// If a controller gets its first endpoints after this time, it is annotated as started during the trace.
 constexpr Time initial_endpoints_window = std::chrono::seconds(1);
 
 constexpr const char* describe(EndpointChangeType type) {
@@ -38,48 +38,49 @@
 
 Summary::Summary(std::size_t max_rows, std::size_t max_seconds) : max_rows_(max_rows), max_seconds_(max_seconds) {}
 
-template <class Row>
-Row& Summary::row(std::map<std::string, Row>& table, const std::string& name) {
+template <class Stats>
+Stats& Summary::find_or_add_row(std::map<std::string, Stats>& table, const std::string& name) {
     const auto it = table.find(name);
     if (it != table.end()) return it->second;
     return table[table.size() < max_rows_ ? name : "(others)"];
 }
 
-/// Null if the time is beyond the time line.
-SecondStats* Summary::second(Time at) {
+/// Returns the statistics of the second that contains `at`, or null if it is outside the time line.
+SecondStats* Summary::find_or_add_second(Time at) {
     if (at < Time{}) return nullptr;
     const std::size_t index = second_of(at);
     if (index >= max_seconds_) return nullptr;
     if (index >= seconds_.size()) {
         seconds_.resize(index + 1);
-        parked_change_.resize(index + 2);
+        parked_change_by_second_.resize(index + 2);
     }
     return &seconds_[index];
 }
 
 void Summary::add(const RequestHistory& history) {
     all_.add(history);
-    row(request_classes_, history.request_class).add(history);
-    row(tenants_, history.tenant).add(history);
-    row(functions_, history.function).add(history);
+    find_or_add_row(request_classes_, history.request_class).add(history);
+    find_or_add_row(tenants_, history.tenant).add(history);
+    find_or_add_row(functions_, history.function).add(history);
     if (history.submission_recorded)
-        if (SecondStats* received = second(history.received_at)) ++received->received;
-    if (SecondStats* ended = second(history.ended_at)) ended->ended.add(history);
+        if (SecondStats* received = find_or_add_second(history.received_at)) ++received->received;
+    if (SecondStats* ended = find_or_add_second(history.ended_at)) ended->ended.add(history);
     for (const AttemptHistory& attempt : history.attempts) add_attempt(attempt);
     add_parked(history);
 }
 
 void Summary::add_attempt(const AttemptHistory& attempt) {
-    row(invokers_, attempt.invoker).add(attempt);
-    if (SecondStats* sent = second(attempt.sent_at)) ++row(sent->attempts, attempt.invoker);
+    find_or_add_row(invokers_, attempt.invoker).add(attempt);
+    if (SecondStats* sent = find_or_add_second(attempt.sent_at)) ++find_or_add_row(sent->attempts, attempt.invoker);
     if (attempt.ended_at && attempt.outcome == AttemptOutcome::connection_lost) annotate_failure(attempt);
 }
 
 void Summary::annotate_failure(const AttemptHistory& attempt) {
-    auto& lost = recent_lost_[attempt.invoker];
-    std::erase_if(lost, [&](Time at) { return at + failure_window < *attempt.ended_at; });
-    lost.push_back(*attempt.ended_at);
-    if (lost.size() == failure_threshold) annotate(lost.front(), attempt.invoker + " breaks its connections");
+    auto& lost_connections = recent_lost_connections_[attempt.invoker];
+    std::erase_if(lost_connections, [&](Time at) { return at + failure_window < *attempt.ended_at; });
+    lost_connections.push_back(*attempt.ended_at);
+    if (lost_connections.size() == failure_threshold)
+        annotate(lost_connections.front(), attempt.invoker + " lost its connections");
 }
 
 void Summary::add_parked(const RequestHistory& history) {
@@ -87,13 +88,13 @@
         const StateTransition& transition = history.transitions[i];
         if (transition.transition.to != RequestState::parked) continue;
         const Time end = history.end_of_state(i);
-        if (!second(transition.at) || !second(end)) continue;
-        ++parked_change_[second_of(transition.at)];
-        --parked_change_[second_of(end)];
+        if (!find_or_add_second(transition.at) || !find_or_add_second(end)) continue;
+        ++parked_change_by_second_[second_of(transition.at)];
+        --parked_change_by_second_[second_of(end)];
     }
 }
 
-/// What several controllers saw is annotated once.
+/// Adds an annotation, unless an equal one was added within same_event_window.
 void Summary::annotate(Time at, std::string what) {
     if (annotations_.size() >= max_annotations) return;
     const auto [it, is_new] = last_annotated_.try_emplace(what, at);
@@ -119,7 +120,7 @@
 void Summary::finish() {
     std::int64_t parked = 0;
     for (std::size_t i = 0; i < seconds_.size(); ++i) {
-        parked += parked_change_[i];
+        parked += parked_change_by_second_[i];
         seconds_[i].parked = static_cast<std::uint64_t>(std::max<std::int64_t>(0, parked));
     }
     std::stable_sort(annotations_.begin(), annotations_.end(),
--- a/tests/history_builder_test.cpp
+++ b/tests/history_builder_test.cpp
@@ -11,14 +11,14 @@
 
 using namespace std::chrono_literals;
 
-HistoryFilter received_from(Time from) {
+HistoryFilter filter_received_from(Time from) {
     HistoryFilter filter;
     filter.from = from;
     return filter;
 }
 
 TEST(HistoryBuilder, RequestsSubmittedBeforeTheTraceAreMarked) {
-    auto records = first_records();
+    auto records = definition_records();
     records.push_back(attempt_ended_record(1500ms, 7, 0, AttemptOutcome::succeeded));
     records.push_back(transition_record(1500ms, 7, RequestState::succeeded, DecisionReason::response_received));
     records.push_back(submit_record(2s, 8));
@@ -30,16 +30,17 @@
     NameTable names(true);
     for (const Record& each : records) names.feed(each);
     EXPECT_NE(format_history(histories[0], names).find("received before this trace"), std::string::npos);
-    EXPECT_FALSE(received_from(1s).matches(histories[0]));
-    EXPECT_TRUE(received_from(1s).matches(histories[1]));
+    EXPECT_FALSE(filter_received_from(1s).matches(histories[0]));
+    EXPECT_TRUE(filter_received_from(1s).matches(histories[1]));
 }
 
-TEST(HistoryBuilder, BeyondItsBoundPassesOnTheOldestOpenRequest) {
-    std::vector<std::uint64_t> passed_on;
-    HistoryBuilder builder([&](const RequestHistory& history) { passed_on.push_back(history.request); }, false, 3);
-    for (const Record& each : first_records()) builder.feed(each);
+TEST(HistoryBuilder, PassesOnOldestOpenRequestBeyondLimit) {
+    std::vector<std::uint64_t> passed_requests;
+    HistoryBuilder builder([&](const RequestHistory& history) { passed_requests.push_back(history.request); }, false,
+                           3);
+    for (const Record& each : definition_records()) builder.feed(each);
     for (std::uint64_t request = 1; request <= 5; ++request) builder.feed(submit_record(Time(request), request));
-    EXPECT_EQ(passed_on, (std::vector<std::uint64_t>{1, 2}));
+    EXPECT_EQ(passed_requests, (std::vector<std::uint64_t>{1, 2}));
 }
 
 }  // namespace
--- a/tests/history_export_test.cpp
+++ b/tests/history_export_test.cpp
@@ -18,14 +18,16 @@
         EXPECT_NE(json.find("\"outcome\":\"" + std::string(export_name(history.final_outcome())) + "\""),
                   std::string::npos);
         const std::string events = to_chrome_events(history, names);
-        std::size_t bars = 0;
-        for (std::size_t at = 0; (at = events.find("\"ph\":\"X\"", at)) != std::string::npos; ++at) ++bars;
-        EXPECT_GE(bars, history.attempts.size());
+        std::size_t attempt_events = 0;
+        for (std::size_t position = 0; (position = events.find("\"ph\":\"X\"", position)) != std::string::npos;
+             ++position)
+            ++attempt_events;
+        EXPECT_GE(attempt_events, history.attempts.size());
     }
 }
 
-TEST(HistoryExport, JsonKeepsTheWordsOfTheFirstVersion) {
-    auto records = first_records();
+TEST(HistoryExport, JsonNamesAreStable) {
+    auto records = definition_records();
     records.push_back(submit_record(1s, 7));
     records.push_back(transition_record(1s, 7, RequestState::in_flight, DecisionReason::best_invoker, 0, 1));
     records.push_back(attempt_ended_record(1500ms, 7, 0, AttemptOutcome::connection_lost));
@@ -33,10 +35,11 @@
     NameTable names(true);
     for (const Record& each : records) names.feed(each);
     const std::string json = to_json(histories_of(records).at(0), names);
-    for (const char* part : {R"("job":"7")", R"("outcome":"written off")", R"("hops":[{"number":0,"invoker":"right")",
-                             R"("ending":"cut off")", R"("turns":[)", R"("to":"hopping")", R"("to":"written off")",
-                             R"("use_case":"u")", R"("taken_s":)", R"("promised_s":)", R"("expires_s":)"})
-        EXPECT_NE(json.find(part), std::string::npos) << part << "\nin:\n" << json;
+    for (const char* expected_text :
+         {R"("job":"7")", R"("outcome":"written off")", R"("hops":[{"number":0,"invoker":"right")",
+          R"("ending":"cut off")", R"("turns":[)", R"("to":"hopping")", R"("to":"written off")", R"("use_case":"u")",
+          R"("taken_s":)", R"("promised_s":)", R"("expires_s":)"})
+        EXPECT_NE(json.find(expected_text), std::string::npos) << expected_text << "\nin:\n" << json;
 }
 
 }  // namespace
--- a/tests/history_filter_test.cpp
+++ b/tests/history_filter_test.cpp
@@ -9,15 +9,18 @@
 
 using namespace std::chrono_literals;
 
-/// Two requests that succeed, one of them late, one that fails and one that is rejected.
+/// Returns the histories of four requests: one that succeeds, one that succeeds late, one that fails and one that is
+/// rejected.
 std::vector<RequestHistory> four_histories() {
-    auto records = first_records();
-    const auto add = [&](std::uint64_t id, RequestState to, Time took) {
-        records.push_back(submit_record(1s, id));
-        records.push_back(transition_record(1s, id, RequestState::in_flight, DecisionReason::best_invoker, 0, id % 2));
+    auto records = definition_records();
+    const auto add = [&](std::uint64_t request, RequestState to, Time duration) {
+        records.push_back(submit_record(1s, request));
+        records.push_back(
+            transition_record(1s, request, RequestState::in_flight, DecisionReason::best_invoker, 0, request % 2));
         records.push_back(attempt_ended_record(
-            1s + took, id, 0, to == RequestState::succeeded ? AttemptOutcome::succeeded : AttemptOutcome::timed_out));
-        records.push_back(transition_record(1s + took, id, to, DecisionReason::response_received));
+            1s + duration, request, 0,
+            to == RequestState::succeeded ? AttemptOutcome::succeeded : AttemptOutcome::timed_out));
+        records.push_back(transition_record(1s + duration, request, to, DecisionReason::response_received));
     };
     add(1, RequestState::succeeded, 200ms);
     add(2, RequestState::succeeded, 1500ms);  // the latency target is 1 s
@@ -26,7 +29,7 @@
     return histories_of(records);
 }
 
-std::ptrdiff_t count(const HistoryFilter& filter) {
+std::ptrdiff_t count_matches(const HistoryFilter& filter) {
     const auto histories = four_histories();
     return std::count_if(histories.begin(), histories.end(),
                          [&](const RequestHistory& history) { return filter.matches(history); });
@@ -39,28 +42,28 @@
 }
 
 TEST(HistoryFilter, SelectsByOutcome) {
-    EXPECT_EQ(count(by_outcome("succeeded")), 1);
-    EXPECT_EQ(count(by_outcome("late")), 1);
-    EXPECT_EQ(count(by_outcome("failed")), 1);
-    EXPECT_EQ(count(by_outcome("rejected")), 1);
-    EXPECT_EQ(count(by_outcome("badly")), 3);
+    EXPECT_EQ(count_matches(by_outcome("succeeded")), 1);
+    EXPECT_EQ(count_matches(by_outcome("late")), 1);
+    EXPECT_EQ(count_matches(by_outcome("failed")), 1);
+    EXPECT_EQ(count_matches(by_outcome("rejected")), 1);
+    EXPECT_EQ(count_matches(by_outcome("badly")), 3);
     EXPECT_THROW(parse_outcome_filter("lost"), trace::TraceError);
 }
 
-TEST(HistoryFilter, AcceptsTheWordsOfExportedJson) {
-    EXPECT_EQ(count(by_outcome("honoured")), 1);
-    EXPECT_EQ(count(by_outcome("bounced")), 1);
-    EXPECT_EQ(count(by_outcome("written-off")), 1);
-    EXPECT_EQ(count(by_outcome("written off")), 1);
-    EXPECT_EQ(count(by_outcome("abandoned")), 0);
+TEST(HistoryFilter, AcceptsOutcomeNamesOfExportedJson) {
+    EXPECT_EQ(count_matches(by_outcome("honoured")), 1);
+    EXPECT_EQ(count_matches(by_outcome("bounced")), 1);
+    EXPECT_EQ(count_matches(by_outcome("written-off")), 1);
+    EXPECT_EQ(count_matches(by_outcome("written off")), 1);
+    EXPECT_EQ(count_matches(by_outcome("abandoned")), 0);
 }
 
 TEST(HistoryFilter, SelectsByInvokerAndTenant) {
     HistoryFilter by_invoker, by_tenant;
     by_invoker.invoker = "right";
     by_tenant.tenant = "nobody";
-    EXPECT_EQ(count(by_invoker), 2);
-    EXPECT_EQ(count(by_tenant), 0);
+    EXPECT_EQ(count_matches(by_invoker), 2);
+    EXPECT_EQ(count_matches(by_tenant), 0);
 }
 
 }  // namespace
--- a/tests/memory_file.hpp
+++ b/tests/memory_file.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A trace file in memory, to write and to read.
+/// A trace file in memory that can be written and read.
 #pragma once
 
 #include "trace/format.hpp"
@@ -11,10 +11,10 @@
 
     MemoryFile() = default;
     explicit MemoryFile(std::string text) : bytes(std::move(text)) {}
-    void append(std::string_view more) override { bytes += more; }
+    void append(std::string_view appended) override { bytes += appended; }
     std::uint64_t size() const override { return bytes.size(); }
-    std::string read(std::uint64_t offset, std::size_t n) const override {
-        return offset >= bytes.size() ? std::string() : bytes.substr(offset, n);
+    std::string read(std::uint64_t offset, std::size_t length) const override {
+        return offset >= bytes.size() ? std::string() : bytes.substr(offset, length);
     }
 };
 
--- a/tests/pseudonymizer_test.cpp
+++ b/tests/pseudonymizer_test.cpp
@@ -7,30 +7,30 @@
 namespace plumkeel::trace_analysis {
 namespace {
 
-TEST(Pseudonymizer, LeavesNoNameAndGivesEqualNamesEqualTokens) {
+TEST(Pseudonymizer, RemovesAllNamesAndGivesEqualNamesEqualTokens) {
     const auto records = simulated_trace(with_candidates());
-    const Pseudonymizer one("a key of sixteen bytes or more"), same("a key of sixteen bytes or more"),
-        other("another key, of as many bytes");
+    const Pseudonymizer pseudonymizer("a key of sixteen bytes or more"), same_key("a key of sixteen bytes or more"),
+        other_key("another key, of as many bytes");
     std::vector<Record> pseudonymized;
     for (const Record& each : records)
-        if (auto out = one.pseudonymize(each)) pseudonymized.push_back(std::move(*out));
+        if (auto record = pseudonymizer.pseudonymize(each)) pseudonymized.push_back(std::move(*record));
     ASSERT_GT(pseudonymized.size(), records.size() / 2);
     for (const Record& each : pseudonymized)
-        for (const char* part : {"secret", "toy", "10.9.8", "acme", "umbrella", "preview", "charge"})
-            EXPECT_EQ(each.body.find(part), std::string::npos) << int(each.type) << " " << part;
-    EXPECT_EQ(one.token("function", "f"), same.token("function", "f"));
-    EXPECT_NE(one.token("function", "f"), other.token("function", "f"));
-    EXPECT_NE(one.token("function", "f").substr(9), one.token("tenant", "f").substr(7));
+        for (const char* original_name : {"secret", "toy", "10.9.8", "acme", "umbrella", "preview", "charge"})
+            EXPECT_EQ(each.body.find(original_name), std::string::npos) << int(each.type) << " " << original_name;
+    EXPECT_EQ(pseudonymizer.token("function", "f"), same_key.token("function", "f"));
+    EXPECT_NE(pseudonymizer.token("function", "f"), other_key.token("function", "f"));
+    EXPECT_NE(pseudonymizer.token("function", "f").substr(9), pseudonymizer.token("tenant", "f").substr(7));
     EXPECT_THROW(Pseudonymizer("short"), trace::TraceError);
-    // The histories stay the same.
+    // Pseudonymization must not change outcomes, and must replace function names by their tokens.
     const auto before = histories_of(records), after = histories_of(pseudonymized);
     ASSERT_EQ(before.size(), after.size());
     for (std::size_t i = 0; i < before.size(); ++i) {
         EXPECT_EQ(before[i].outcome, after[i].outcome);
-        EXPECT_EQ(one.token("function", before[i].function), after[i].function);
+        EXPECT_EQ(pseudonymizer.token("function", before[i].function), after[i].function);
     }
-    // A type that this build does not know may hold anything.
-    EXPECT_FALSE(one.pseudonymize({Time{}, 200, 0, "secret"}));
+    // Records of unknown types may contain names, so they must be dropped.
+    EXPECT_FALSE(pseudonymizer.pseudonymize({Time{}, 200, 0, "secret"}));
 }
 
 }  // namespace
--- a/tests/recorder_test.cpp
+++ b/tests/recorder_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Recorder: rotation, retention, memory bound, and disks that stall, fill up and recover.
+/// Tests of Recorder: file rotation and removal, memory limit, and disks that stall, fill up and recover.
 #include "trace/recorder.hpp"
 
 #include <gtest/gtest.h>
@@ -19,22 +19,22 @@
 
 using namespace std::chrono_literals;
 
-/// What all files of a folder hold, in order, without the names that files start with.
+/// Returns the records of all files in a folder, in order, without records that define names or settings.
 std::vector<Record> read_folder(const std::string& folder) {
-    std::map<std::string, int> names;
-    for (const auto& entry : std::filesystem::directory_iterator(folder)) names[entry.path()];
-    std::vector<Record> out;
-    for (const auto& [name, unused] : names) {
+    std::map<std::string, int> file_names;
+    for (const auto& entry : std::filesystem::directory_iterator(folder)) file_names[entry.path()];
+    std::vector<Record> records;
+    for (const auto& [name, unused] : file_names) {
         const FileSource source(name);
         Reader(source).for_each(Time::min(), [&](const Record& record) {
-            if (record.type == RecordType::gap || record.type > last_name_type) out.push_back(record);
+            if (record.type == RecordType::gap || record.type > last_name_type) records.push_back(record);
             return true;
         });
     }
-    return out;
+    return records;
 }
 
-/// Writes to real files.
+/// Records to files in a temporary folder.
 class RecorderTest : public testing::Test {
 protected:
     RecorderTest() { std::filesystem::remove_all(config.folder); }
@@ -53,8 +53,8 @@
     EXPECT_GT(std::distance(std::filesystem::directory_iterator(config.folder), {}), 2);
 }
 
-TEST_F(RecorderTest, BeyondItsMemoryDropsAndCountsWholeBatches) {
-    config.max_memory_bytes = 1;  // no batch fits
+TEST_F(RecorderTest, DropsAndCountsWholeBatchesBeyondMemoryLimit) {
+    config.max_memory_bytes = 1;  // less than the size of any batch
     const auto records = random_records(10'000);
     std::uint64_t dropped = 0;
     {
@@ -67,50 +67,50 @@
     EXPECT_TRUE(read_folder(config.folder).empty());
 }
 
-TEST_F(RecorderTest, KeepsTheNewestFilesOverRestarts) {
+TEST_F(RecorderTest, KeepsNewestFilesAcrossRestarts) {
     config.max_files = 3;
     for (int run = 0; run < 6; ++run) {
         Recorder recorder(config, "c", Time(1'000'000 * (run + 1)));
         recorder.offer({Time(run), 9, 1, "x"});
     }
-    const auto got = read_folder(config.folder);
-    ASSERT_EQ(got.size(), 3u);
-    EXPECT_EQ(got.front().at, Time(3));
+    const auto read_back = read_folder(config.folder);
+    ASSERT_EQ(read_back.size(), 3u);
+    EXPECT_EQ(read_back.front().at, Time(3));
 }
 
-TEST_F(RecorderTest, WritesAGapForWhatTheDiskDidNotStore) {
-    config.max_file_bytes = 1;  // each batch begins a file
+TEST_F(RecorderTest, WritesGapRecordAfterFailedWrites) {
+    config.max_file_bytes = 1;  // each batch starts a new file
     {
         Recorder recorder(config, "c", Time(5));
-        auto record_at = [&](int at) {
-            const std::uint64_t before = recorder.written() + recorder.dropped();
+        auto offer_and_wait = [&](int at) {
+            const std::uint64_t processed_before = recorder.written() + recorder.dropped();
             recorder.offer({Time(at), 9, 1, "x"});
             recorder.flush();
-            while (recorder.written() + recorder.dropped() == before) ::usleep(1000);
+            while (recorder.written() + recorder.dropped() == processed_before) ::usleep(1000);
         };
-        record_at(1);
+        offer_and_wait(1);
         std::filesystem::rename(config.folder, config.folder + ".away");
-        record_at(2);
+        offer_and_wait(2);
         EXPECT_EQ(recorder.dropped(), 1u);
         std::filesystem::rename(config.folder + ".away", config.folder);
-        record_at(3);
+        offer_and_wait(3);
     }
-    const auto got = read_folder(config.folder);
-    ASSERT_EQ(got.size(), 3u);
-    EXPECT_EQ(got[0].at, Time(1));
-    EXPECT_EQ(got[1].type, gap);
-    EXPECT_EQ(unpack<Gap>(got[1].body).records, 1u);
-    EXPECT_EQ(got[2].at, Time(3));
+    const auto read_back = read_folder(config.folder);
+    ASSERT_EQ(read_back.size(), 3u);
+    EXPECT_EQ(read_back[0].at, Time(1));
+    EXPECT_EQ(read_back[1].type, gap);
+    EXPECT_EQ(unpack<Gap>(read_back[1].body).records, 1u);
+    EXPECT_EQ(read_back[2].at, Time(3));
 }
 
-/// A disk that a test can stall or fill. Its files outlive the recorder.
+/// A simulated disk whose writes can be blocked or fail. Its files stay readable when the recorder is destroyed.
 class FakeDisk {
 public:
-    MakeSink sink_maker() {
+    SinkFactory sink_factory() {
         return [this](const std::string& name) {
             const std::lock_guard lock(mutex_);
             files_[name];
-            return std::make_unique<FileOnDisk>(*this, name);
+            return std::make_unique<FakeFile>(*this, name);
         };
     }
     void set_stalled(bool stalled) {
@@ -130,7 +130,7 @@
         std::vector<std::vector<Record>> out;
         for (const auto& [name, bytes] : files_) {
             out.emplace_back();
-            if (bytes.empty()) continue;  // not even its header was stored
+            if (bytes.empty()) continue;  // the disk was full when the file header was written
             const MemoryFile source(bytes);
             Reader(source).for_each(Time::min(), [&](const Record& record) {
                 out.back().push_back(record);
@@ -141,10 +141,10 @@
     }
 
 private:
-    struct FileOnDisk : Sink {
+    struct FakeFile : Sink {
         FakeDisk& disk;
         std::string name;
-        FileOnDisk(FakeDisk& on, std::string called) : disk(on), name(std::move(called)) {}
+        FakeFile(FakeDisk& owner, std::string file_name) : disk(owner), name(std::move(file_name)) {}
         void append(std::string_view bytes) override { disk.append(name, bytes); }
     };
     void append(const std::string& name, std::string_view bytes) {
@@ -154,7 +154,7 @@
         changed_.wait(lock, [this] { return !stalled_; });
         write_is_stalled_ = false;
         const std::size_t stored = std::min(bytes.size(), free_bytes_);
-        files_[name] += bytes.substr(0, stored);  // what still fits is written
+        files_[name] += bytes.substr(0, stored);  // a full disk stores the first part of a write
         if (free_bytes_ != SIZE_MAX) free_bytes_ -= stored;
         if (stored < bytes.size()) throw TraceError(name + ": no space left");
     }
@@ -179,25 +179,25 @@
 bool all_functions_are_named(const std::vector<Record>& records) {
     std::set<std::uint64_t> functions;
     for (const Record& each : records) {
-        if (each.type == RecordType::function_known) functions.insert(unpack<NameRecord>(each.body).number);
+        if (each.type == RecordType::function_defined) functions.insert(unpack<NameRecord>(each.body).number);
         if (each.type == RecordType::submit && !functions.count(unpack<RequestSubmitted>(each.body).function))
             return false;
     }
     return true;
 }
 
-// While the disk stalls, offer() returns at once and only the memory bounds what is kept; the trace then continues
-// behind a gap, with all names.
-TEST(Recorder, StalledDiskCausesAGapAndNoWait) {
+// offer() must not wait for a stalled disk. Records beyond the memory limit are dropped, and the trace continues with a
+// gap record and the names defined in the dropped records.
+TEST(Recorder, StalledDiskCausesGapWithoutBlocking) {
     SimulatedTraceOptions options;
     options.requests = 2000;
     const auto records = simulated_trace(options);
     FakeDisk disk;
-    RecorderConfig small = default_config();
-    small.max_memory_bytes = 200'000;
+    RecorderConfig small_memory_config = default_config();
+    small_memory_config.max_memory_bytes = 200'000;
     std::uint64_t dropped = 0;
     {
-        Recorder recorder(small, "c", Time(5), disk.sink_maker());
+        Recorder recorder(small_memory_config, "c", Time(5), disk.sink_factory());
         recorder.offer(records[0]);
         recorder.flush();
         wait_until_processed(recorder, 1);
@@ -205,7 +205,7 @@
         std::size_t next = 1;
         for (; next < records.size() * 9 / 10; ++next) recorder.offer(records[next]);
         recorder.flush();
-        disk.wait_until_a_write_stalls();  // and all of the above was offered meanwhile
+        disk.wait_until_a_write_stalls();  // all offer() calls above returned while the disk was stalled
         dropped = recorder.dropped();
         disk.set_stalled(false);
         while (recorder.written() + dropped < next) ::usleep(500);
@@ -214,13 +214,13 @@
     EXPECT_GT(dropped, records.size() / 4);
     const auto files = disk.read_files();
     ASSERT_EQ(files.size(), 1u);
-    std::uint64_t in_gaps = 0, calls = 0;
+    std::uint64_t records_in_gaps = 0, scheduler_call_records = 0;
     for (const Record& each : files[0]) {
-        if (each.type == RecordType::gap) in_gaps += unpack<Gap>(each.body).records;
-        calls += each.type >= RecordType::submit;
+        if (each.type == RecordType::gap) records_in_gaps += unpack<Gap>(each.body).records;
+        scheduler_call_records += each.type >= RecordType::submit;
     }
-    EXPECT_EQ(in_gaps, dropped);
-    EXPECT_GT(calls, 0u);
+    EXPECT_EQ(records_in_gaps, dropped);
+    EXPECT_GT(scheduler_call_records, 0u);
     EXPECT_TRUE(all_functions_are_named(files[0]));
     Replayer replayer;
     EXPECT_THROW(
@@ -231,49 +231,49 @@
     EXPECT_FALSE(replayer.compare().first);
 }
 
-TEST(Recorder, FullDiskCausesAGapAndALaterFileHasAllNames) {
+TEST(Recorder, FullDiskCausesGapAndNextFileHasAllNames) {
     const auto records = simulated_trace({});
     FakeDisk disk;
     std::uint64_t dropped = 0;
     {
-        Recorder recorder(default_config(), "c", Time(5), disk.sink_maker());
+        Recorder recorder(default_config(), "c", Time(5), disk.sink_factory());
         std::size_t next = 0;
-        const auto record_until = [&](std::size_t end) {
+        const auto offer_until = [&](std::size_t end) {
             for (; next < end; ++next) recorder.offer(records[next]);
             recorder.flush();
             wait_until_processed(recorder, next);
         };
-        record_until(records.size() / 3);
+        offer_until(records.size() / 3);
         disk.set_free_bytes(100);
-        record_until(records.size() * 2 / 3);
+        offer_until(records.size() * 2 / 3);
         EXPECT_GT(recorder.dropped(), 0u);
         disk.set_free_bytes(SIZE_MAX);
-        record_until(records.size());
+        offer_until(records.size());
         dropped = recorder.dropped();
     }
-    std::uint64_t in_gaps = 0;
+    std::uint64_t records_in_gaps = 0;
     for (const auto& file : disk.read_files()) {
         EXPECT_TRUE(all_functions_are_named(file));
         for (const Record& each : file)
-            if (each.type == RecordType::gap) in_gaps += unpack<Gap>(each.body).records;
+            if (each.type == RecordType::gap) records_in_gaps += unpack<Gap>(each.body).records;
     }
-    EXPECT_EQ(in_gaps, dropped);
+    EXPECT_EQ(records_in_gaps, dropped);
 }
 
 TEST(Recorder, FilesRotateByAgeAndAreReplayedAsOne) {
     const auto records = simulated_trace({});
     FakeDisk disk;
-    RecorderConfig by_age = default_config();
-    by_age.max_file_age = 1s;
+    RecorderConfig age_limited_config = default_config();
+    age_limited_config.max_file_age = 1s;
     {
-        Recorder recorder(by_age, "c", Time(5), disk.sink_maker());
+        Recorder recorder(age_limited_config, "c", Time(5), disk.sink_factory());
         for (const Record& each : records) {
             recorder.offer(each);
             if (each.type == RecordType::wake) recorder.flush();
         }
     }
     const auto files = disk.read_files();
-    EXPECT_GE(files.size(), 3u);  // about 4.5 s
+    EXPECT_GE(files.size(), 3u);  // the records cover about 4.5 s
     Replayer replayer;
     for (const auto& file : files)
         for (const Record& each : file) replayer.feed(each);
@@ -286,21 +286,21 @@
 }
 
 TEST(Recorder, FilesAreRemovedByAge) {
-    RecorderConfig by_age = default_config();
-    std::filesystem::remove_all(by_age.folder);
-    by_age.max_file_bytes = 1;  // each batch has its own
-    by_age.max_age = 60s;
+    RecorderConfig age_limited_config = default_config();
+    std::filesystem::remove_all(age_limited_config.folder);
+    age_limited_config.max_file_bytes = 1;  // each batch has its own file
+    age_limited_config.max_age = 60s;
     const Time start_time = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
     {
-        Recorder recorder(by_age, "c", start_time);
+        Recorder recorder(age_limited_config, "c", start_time);
         for (int minute = 0; minute < 10; ++minute) {
             recorder.offer({std::chrono::minutes(minute), 200, 1, "x"});
             recorder.flush();
             wait_until_processed(recorder, static_cast<std::uint64_t>(minute) + 1);
         }
     }
-    EXPECT_EQ(std::distance(std::filesystem::directory_iterator(by_age.folder), {}), 2);
-    std::filesystem::remove_all(by_age.folder);
+    EXPECT_EQ(std::distance(std::filesystem::directory_iterator(age_limited_config.folder), {}), 2);
+    std::filesystem::remove_all(age_limited_config.folder);
 }
 
 }  // namespace
--- a/tests/sampler_test.cpp
+++ b/tests/sampler_test.cpp
@@ -9,71 +9,71 @@
 
 using namespace std::chrono_literals;
 
-/// Whether each request of the trace ended badly.
+/// Returns for each request whether it ended badly: without success, or after its latency target.
 std::map<std::uint64_t, bool> requests_ended_badly(const std::vector<Record>& records) {
     std::map<std::uint64_t, bool> out;
-    std::map<std::uint64_t, Time> late_after;
+    std::map<std::uint64_t, Time> target_time;
     for (const Record& each : records) {
         if (each.type == RecordType::submit) {
             const auto submitted = unpack<RequestSubmitted>(each.body);
-            late_after[each.request] = each.at + (submitted.request_class == 0 ? Time(1s) : Time(800ms));
+            target_time[each.request] = each.at + (submitted.request_class == 0 ? Time(1s) : Time(800ms));
             out[each.request] = true;
         }
         if (each.type == RecordType::transition)
             if (const auto transition = unpack<TransitionRecord>(each.body); transition.to >= RequestState::succeeded)
-                out[each.request] = transition.to != RequestState::succeeded || each.at > late_after[each.request];
+                out[each.request] = transition.to != RequestState::succeeded || each.at > target_time[each.request];
     }
     return out;
 }
 
-TEST(Sampler, KeepsAllThatEndedBadlyAndItsShareOfTheRest) {
+TEST(Sampler, KeepsRequestsThatEndedBadlyAndAFractionOfOthers) {
     SimulatedTraceOptions options;
     options.requests = 3000;
     const auto records = simulated_trace(options);
-    std::map<std::uint64_t, std::size_t> whole, kept;
+    std::map<std::uint64_t, std::size_t> recorded_counts, kept_counts;
     for (const Record& each : records)
-        if (each.request && each.type != RecordType::actions) ++whole[each.request];
+        if (each.request && each.type != RecordType::actions) ++recorded_counts[each.request];
     Sampler sampler(0.1, 1'000'000);
-    Time last{};
+    Time last_time{};
     const auto keep = [&](const Record& record) {
-        EXPECT_GE(record.at, last);  // the file's order
-        last = record.at;
+        EXPECT_GE(record.at, last_time);  // kept records must stay in order of time
+        last_time = record.at;
         if (record.type == RecordType::sampled_request)
-            kept[record.request] = unpack<SampledRequest>(record.body).records.size();
+            kept_counts[record.request] = unpack<SampledRequest>(record.body).records.size();
         EXPECT_TRUE(record.type == RecordType::sampled_request || record.request == 0);
         EXPECT_NE(record.type, RecordType::actions);
     };
     for (const Record& each : records) sampler.feed(each, keep);
     sampler.finish(keep);
-    std::size_t bad = 0, good = 0;
+    std::size_t ended_badly_count = 0, kept_other_count = 0;
     for (const auto& [request, ended_badly] : requests_ended_badly(records)) {
         if (ended_badly) {
-            ++bad;
-            EXPECT_TRUE(kept.count(request)) << request;
+            ++ended_badly_count;
+            EXPECT_TRUE(kept_counts.count(request)) << request;
         } else {
-            good += kept.count(request);
+            kept_other_count += kept_counts.count(request);
         }
     }
-    for (const auto& [request, n] : kept) EXPECT_EQ(n, whole[request]) << request;
-    EXPECT_GT(bad, 50u);
-    const double rest = static_cast<double>(good) / static_cast<double>(3000 - bad);
-    EXPECT_GT(rest, 0.07);
-    EXPECT_LT(rest, 0.13);
+    for (const auto& [request, count] : kept_counts) EXPECT_EQ(count, recorded_counts[request]) << request;
+    EXPECT_GT(ended_badly_count, 50u);
+    const double kept_fraction = static_cast<double>(kept_other_count) / static_cast<double>(3000 - ended_badly_count);
+    EXPECT_GT(kept_fraction, 0.07);
+    EXPECT_LT(kept_fraction, 0.13);
 }
 
-TEST(Sampler, BeyondItsMemoryKeepsTheOldestRequestAsFarAsKnown) {
+TEST(Sampler, KeepsOldestRequestWhenMemoryLimitIsExceeded) {
     Sampler sampler(0, 1000);
-    std::vector<std::uint64_t> kept;
+    std::vector<std::uint64_t> kept_requests;
     const auto keep = [&](const Record& record) {
-        if (record.type == RecordType::sampled_request) kept.push_back(record.request);
+        if (record.type == RecordType::sampled_request) kept_requests.push_back(record.request);
     };
     for (std::uint64_t request = 1; request <= 100; ++request)
         sampler.feed({Time(request), RecordType::submit, request, pack(RequestSubmitted{0, 0, 0, 1, {}, 4s, false})},
                      keep);
-    ASSERT_GT(kept.size(), 50u);
-    EXPECT_EQ(kept.front(), 1u);
+    ASSERT_GT(kept_requests.size(), 50u);
+    EXPECT_EQ(kept_requests.front(), 1u);
     sampler.finish(keep);
-    EXPECT_EQ(kept.size(), 100u);
+    EXPECT_EQ(kept_requests.size(), 100u);
 }
 
 }  // namespace
--- a/tests/summary_test.cpp
+++ b/tests/summary_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Summary, CountsOutcomesAttemptsAndSeconds) {
+TEST(Summary, CountsByOutcomeInvokerAndSecond) {
     const auto records = simulated_trace({});
     Summary summary;
     NameTable names;
@@ -30,7 +30,7 @@
     EXPECT_GT(counts.failed, 0u);
     std::uint64_t by_function = 0, by_invoker = 0, by_second = 0, received = 0;
     for (const auto& [name, requests] : summary.functions()) by_function += requests.outcomes.total();
-    for (const auto& [name, row] : summary.invokers()) by_invoker += row.sent;
+    for (const auto& [name, stats] : summary.invokers()) by_invoker += stats.sent;
     for (const SecondStats& each : summary.seconds()) by_second += each.ended.total(), received += each.received;
     EXPECT_EQ(by_function, 400u);
     EXPECT_EQ(by_invoker, attempts);
@@ -38,22 +38,24 @@
     EXPECT_EQ(received, 400u);
     ASSERT_TRUE(summary.worst_period());
     EXPECT_LE(summary.worst_period()->ended.ended_badly(), counts.ended_badly());
-    EXPECT_TRUE(std::any_of(summary.annotations().begin(), summary.annotations().end(),
-                            [](const Annotation& a) { return a.what.find("drains") != std::string::npos; }));
+    EXPECT_TRUE(
+        std::any_of(summary.annotations().begin(), summary.annotations().end(),
+                    [](const Annotation& annotation) { return annotation.what.find("drains") != std::string::npos; }));
 }
 
 TEST(LatencyHistogram, QuantilesAreWithinTwoPercent) {
     LatencyHistogram histogram;
     EXPECT_EQ(histogram.quantile(0.5), Time{});
     for (int i = 1; i <= 10'000; ++i) histogram.add(Time(i * 100));
-    for (const double share : {0.01, 0.5, 0.9, 0.99, 0.999})
-        EXPECT_NEAR(static_cast<double>(histogram.quantile(share).count()), share * 1e6, share * 1e6 * 0.021) << share;
+    for (const double fraction : {0.01, 0.5, 0.9, 0.99, 0.999})
+        EXPECT_NEAR(static_cast<double>(histogram.quantile(fraction).count()), fraction * 1e6, fraction * 1e6 * 0.021)
+            << fraction;
     EXPECT_EQ(histogram.quantile(1), Time(1'000'000));
-    LatencyHistogram wide;
-    wide.add(Time(1));
-    wide.add(std::chrono::hours(1));
-    EXPECT_EQ(wide.quantile(0.1), Time(1));
-    EXPECT_EQ(wide.quantile(1), std::chrono::hours(1));
+    LatencyHistogram wide_histogram;
+    wide_histogram.add(Time(1));
+    wide_histogram.add(std::chrono::hours(1));
+    EXPECT_EQ(wide_histogram.quantile(0.1), Time(1));
+    EXPECT_EQ(wide_histogram.quantile(1), std::chrono::hours(1));
 }
 
 TEST(Summary, TablesAndTimeLineAreBounded) {
@@ -74,16 +76,16 @@
 
 TEST(Summary, WorstPeriodHasTheMostRequestsThatEndedBadly) {
     Summary summary;
-    auto end = [&](int second, RequestState outcome) {
+    auto add_request = [&](int second, RequestState outcome) {
         RequestHistory history;
         history.submission_recorded = true;
         history.received_at = history.ended_at = std::chrono::seconds(second);
         history.outcome = outcome;
         summary.add(history);
     };
-    for (int s = 0; s < 60; ++s) end(s, RequestState::succeeded);
-    for (int s = 30; s < 38; ++s) end(s, RequestState::rejected);
-    end(5, RequestState::failed);
+    for (int second = 0; second < 60; ++second) add_request(second, RequestState::succeeded);
+    for (int second = 30; second < 38; ++second) add_request(second, RequestState::rejected);
+    add_request(5, RequestState::failed);
     summary.finish();
     ASSERT_TRUE(summary.worst_period());
     EXPECT_EQ(summary.worst_period()->ended.rejected, 8u);
--- a/tests/trace_analysis_fixtures.hpp
+++ b/tests/trace_analysis_fixtures.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Files in memory, hand-written records and histories for the tests of the trace analysis.
+/// Trace files in memory, records and histories for tests of the trace analysis.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace plumkeel::trace_analysis {
 
-/// Files by name, as a disk holds them.
+/// Trace files in memory, by name.
 struct FileSet {
     std::map<std::string, MemoryFile> files;
 
@@ -27,7 +27,7 @@
         for (const Record& each : records) writer.add(each);
         writer.finish();
     }
-    OpenSource opener() {
+    SourceOpener source_opener() {
         return [this](const std::string& name) { return std::make_unique<MemoryFile>(files.at(name)); };
     }
     std::vector<std::string> names() const {
@@ -59,7 +59,7 @@
 inline Record transition_record(Time at, std::uint64_t request, RequestState to, DecisionReason reason,
                                 std::optional<std::uint64_t> attempt = {}, std::uint64_t invoker = 0) {
     trace::TransitionRecord transition{to, reason, {}, {}, {}};
-    if (attempt) transition.sent = trace::TransitionRecord::Sent{*attempt, invoker, true, false};
+    if (attempt) transition.sent = trace::TransitionRecord::SentAttempt{*attempt, invoker, true, false};
     return {at, trace::transition, request, trace::pack(transition)};
 }
 
@@ -68,17 +68,18 @@
             trace::pack(trace::AttemptEnded{attempt, outcome, LoadEvent::none, 0, {}})};
 }
 
-/// Settings and names: controller "one", request class "u", tenant "t", function "f", invokers "left" and "right".
-inline std::vector<Record> first_records() {
+/// Returns the records that define settings and names: controller "one", request class "u", tenant "t", function "f",
+/// invokers "left" and "right".
+inline std::vector<Record> definition_records() {
     using namespace std::chrono_literals;
-    trace::SchedulerSettings start;
-    start.name = "one";
-    start.request_classes = {{"u", {1s, Idempotency::at_most_once, DeduplicationScope::global, 0s}}};
-    start.tenants = {{"t", 0.0}};
-    return {{Time{}, trace::settings, 0, trace::pack(start)},
-            {Time{}, trace::function_known, 0, trace::pack(trace::NameRecord{0, "f"})},
-            {Time{}, trace::invoker_known, 0, trace::pack(trace::NameRecord{0, "left"})},
-            {Time{}, trace::invoker_known, 0, trace::pack(trace::NameRecord{1, "right"})}};
+    trace::SchedulerSettings scheduler_settings;
+    scheduler_settings.name = "one";
+    scheduler_settings.request_classes = {{"u", {1s, Idempotency::at_most_once, DeduplicationScope::global, 0s}}};
+    scheduler_settings.tenants = {{"t", 0.0}};
+    return {{Time{}, trace::settings, 0, trace::pack(scheduler_settings)},
+            {Time{}, trace::function_defined, 0, trace::pack(trace::NameRecord{0, "f"})},
+            {Time{}, trace::invoker_defined, 0, trace::pack(trace::NameRecord{0, "left"})},
+            {Time{}, trace::invoker_defined, 0, trace::pack(trace::NameRecord{1, "right"})}};
 }
 
 inline SimulatedTraceOptions with_candidates() {
--- a/tests/trace_file_test.cpp
+++ b/tests/trace_file_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Writer and Reader: exact round trips, every cut point, random damage, forged headers.
+/// Tests of Writer and Reader: round trips, truncation at every byte, random damage, and invalid headers.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -39,124 +39,127 @@
 TEST(TraceFile, RoundTripIsExact) {
     const auto records = random_records(20'000);
     for (const std::size_t block : {100u, 4000u, 1'000'000u}) EXPECT_EQ(read(write(records, block)), records) << block;
-    EXPECT_EQ(read(write(records, 4000, false)), records);  // never finished
+    EXPECT_EQ(read(write(records, 4000, false)), records);  // a file without index and footer
     EXPECT_TRUE(read(write({})).empty());
 }
 
-TEST(TraceFile, IndexFindsATimeAndARequest) {
+TEST(TraceFile, IndexFindsTimeAndRequest) {
     const auto records = random_records(20'000);
     const MemoryFile file = write(records);
     Reader reader(file);
     EXPECT_TRUE(reader.finished());
     EXPECT_EQ(reader.start_time(), Time(1000));
-    const Record& wanted = records[12'345];
-    std::optional<Record> found;
-    reader.for_each(wanted.at, [&](const Record& record) {
-        found = record;
+    const Record& target_record = records[12'345];
+    std::optional<Record> found_record;
+    reader.for_each(target_record.at, [&](const Record& record) {
+        found_record = record;
         return false;
     });
-    ASSERT_TRUE(found);
-    EXPECT_EQ(found->at, wanted.at);
-    std::vector<Record> of_request, expected;
+    ASSERT_TRUE(found_record);
+    EXPECT_EQ(found_record->at, target_record.at);
+    std::vector<Record> records_of_request, expected;
     reader.for_each_of_request(3000, [&](const Record& record) {
-        of_request.push_back(record);
+        records_of_request.push_back(record);
         return true;
     });
     for (const Record& each : records)
         if (each.request == 3000) expected.push_back(each);
-    EXPECT_EQ(of_request, expected);
+    EXPECT_EQ(records_of_request, expected);
 }
 
 TEST(TraceFile, ClockThatStepsBackKeepsTimesInOrder) {
     std::vector<Record> records = {{Time(100), 1, 1, "a"}, {Time(50), 1, 1, "b"}, {Time(200), 1, 2, "c"}};
-    const auto got = read(write(records, 1));
-    ASSERT_EQ(got.size(), 3u);
-    EXPECT_EQ(got[1].at, Time(100));
-    EXPECT_EQ(got[1].body, "b");
+    const auto read_back = read(write(records, 1));
+    ASSERT_EQ(read_back.size(), 3u);
+    EXPECT_EQ(read_back[1].at, Time(100));
+    EXPECT_EQ(read_back[1].body, "b");
 }
 
-// Whole blocks before the cut are read, and nothing else; the damage is reported.
+// Truncation must lose only the block that it cuts, and damage() must report that block.
 TEST(TraceFile, TruncationAtEveryByteKeepsEarlierBlocks) {
     const auto records = random_records(400);
-    const MemoryFile whole = write(records, 600);
-    Reader all(whole);
-    for (std::size_t cut = 0; cut < whole.bytes.size(); ++cut) {
-        MemoryFile part;
-        part.bytes = whole.bytes.substr(0, cut);
-        if (cut < file_header_bytes) {
-            EXPECT_THROW(Reader{part}, TraceError) << cut;
+    const MemoryFile complete_file = write(records, 600);
+    Reader complete_reader(complete_file);
+    for (std::size_t cut_offset = 0; cut_offset < complete_file.bytes.size(); ++cut_offset) {
+        MemoryFile truncated_file;
+        truncated_file.bytes = complete_file.bytes.substr(0, cut_offset);
+        if (cut_offset < file_header_bytes) {
+            EXPECT_THROW(Reader{truncated_file}, TraceError) << cut_offset;
             continue;
         }
-        std::size_t expected = 0;
-        bool torn = cut > file_header_bytes;
-        for (const BlockLocation& block : all.blocks()) {
-            if (block.offset + block.bytes <= cut) expected += block.records;
-            if (block.offset + block.bytes == cut) torn = false;
+        std::size_t expected_records = 0;
+        bool cut_inside_block = cut_offset > file_header_bytes;
+        for (const BlockLocation& block : complete_reader.blocks()) {
+            if (block.offset + block.bytes <= cut_offset) expected_records += block.records;
+            if (block.offset + block.bytes == cut_offset) cut_inside_block = false;
         }
         std::size_t damage_count = 0;
-        const auto got = read(part, &damage_count);
-        ASSERT_EQ(got.size(), expected) << cut;
-        ASSERT_TRUE(std::equal(got.begin(), got.end(), records.begin())) << cut;
-        const std::uint64_t last = all.blocks().back().offset + all.blocks().back().bytes;
-        if (torn && cut < last) {
-            EXPECT_EQ(damage_count, 1u) << cut;
+        const auto read_back = read(truncated_file, &damage_count);
+        ASSERT_EQ(read_back.size(), expected_records) << cut_offset;
+        ASSERT_TRUE(std::equal(read_back.begin(), read_back.end(), records.begin())) << cut_offset;
+        const std::uint64_t blocks_end = complete_reader.blocks().back().offset + complete_reader.blocks().back().bytes;
+        if (cut_inside_block && cut_offset < blocks_end) {
+            EXPECT_EQ(damage_count, 1u) << cut_offset;
         }
     }
 }
 
-/// Flips, clears, repeats or removes bytes. Returns the offset of the first.
-std::size_t damage(MemoryFile& file, std::uint64_t& random) {
-    const int count = 1 + static_cast<int>(next_random(random) % 3);
-    std::size_t first = file.bytes.size();
-    for (int i = 0; i < count; ++i) {
-        const std::size_t at = next_random(random) % file.bytes.size(),
-                          n = std::min<std::size_t>(1 + next_random(random) % 60, file.bytes.size() - at);
-        first = std::min(first, at);
-        switch (next_random(random) % 4) {
+/// Flips a bit, or clears, repeats or removes bytes, at one to three random offsets. Returns the lowest offset.
+std::size_t damage(MemoryFile& file, std::uint64_t& random_state) {
+    const int change_count = 1 + static_cast<int>(next_random(random_state) % 3);
+    std::size_t first_damaged = file.bytes.size();
+    for (int i = 0; i < change_count; ++i) {
+        const std::size_t offset = next_random(random_state) % file.bytes.size(),
+                          length =
+                              std::min<std::size_t>(1 + next_random(random_state) % 60, file.bytes.size() - offset);
+        first_damaged = std::min(first_damaged, offset);
+        switch (next_random(random_state) % 4) {
             case 0:
-                file.bytes[at] = static_cast<char>(file.bytes[at] ^ (1 << (next_random(random) % 8)));
+                file.bytes[offset] = static_cast<char>(file.bytes[offset] ^ (1 << (next_random(random_state) % 8)));
                 break;
             case 1:
-                std::fill_n(file.bytes.begin() + static_cast<std::ptrdiff_t>(at), n, '\0');
+                std::fill_n(file.bytes.begin() + static_cast<std::ptrdiff_t>(offset), length, '\0');
                 break;
             case 2:
-                file.bytes.insert(at, file.bytes.substr(at, n));
+                file.bytes.insert(offset, file.bytes.substr(offset, length));
                 break;
             default:
-                file.bytes.erase(at, n);
+                file.bytes.erase(offset, length);
         }
     }
-    return first;
+    return first_damaged;
 }
 
 TEST(TraceFile, RandomDamageYieldsNoWrongRecord) {
     const auto records = random_records(1500);
-    const MemoryFile whole = write(records, 800);
-    std::map<std::pair<Time, std::string>, int> known;
-    for (const Record& each : records) ++known[{each.at, each.body}];
-    std::uint64_t random = 11;
+    const MemoryFile complete_file = write(records, 800);
+    std::map<std::pair<Time, std::string>, int> original_records;
+    for (const Record& each : records) ++original_records[{each.at, each.body}];
+    std::uint64_t random_state = 11;
     for (int round = 0; round < 10'000; ++round) {
-        MemoryFile file = whole;
-        const std::size_t first = damage(file, random);
+        MemoryFile file = complete_file;
+        const std::size_t first_damaged = damage(file, random_state);
         try {
-            const auto got = read(file);
-            ASSERT_LE(got.size(), records.size());
-            for (const Record& each : got) ASSERT_TRUE(known.count({each.at, each.body})) << round;
-            std::size_t before = 0;  // all in blocks before the damage
-            Reader clean(whole);
-            for (const BlockLocation& block : clean.blocks())
-                if (block.offset + block.bytes <= first) before += block.records;
-            ASSERT_GE(got.size(), before) << round;
-            ASSERT_TRUE(std::equal(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(before), got.begin()))
+            const auto read_back = read(file);
+            ASSERT_LE(read_back.size(), records.size());
+            for (const Record& each : read_back) ASSERT_TRUE(original_records.count({each.at, each.body})) << round;
+            std::size_t records_before_damage = 0;  // number of records in blocks before the damage
+            Reader undamaged_reader(complete_file);
+            for (const BlockLocation& block : undamaged_reader.blocks())
+                if (block.offset + block.bytes <= first_damaged) records_before_damage += block.records;
+            ASSERT_GE(read_back.size(), records_before_damage) << round;
+            ASSERT_TRUE(std::equal(records.begin(),
+                                   records.begin() + static_cast<std::ptrdiff_t>(records_before_damage),
+                                   read_back.begin()))
                 << round;
         } catch (const TraceError&) {
-            // Only a damaged header, or a block that must not be skipped, stops a reader.
-            ASSERT_LT(first, file_header_bytes) << round;
+            // Only damage to the file header may make the whole file unreadable.
+            ASSERT_LT(first_damaged, file_header_bytes) << round;
         }
     }
 }
 
-TEST(TraceFile, OtherVersionsAndOtherFilesAreRefused) {
+TEST(TraceFile, UnsupportedVersionsAndOtherFilesAreRejected) {
     MemoryFile file = write(random_records(10));
     file.bytes[8] = 9;
     try {
