--- a/tests/trace_fuzz.cpp
+++ b/tests/trace_fuzz.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Feeds hostile bytes to all code that reads traces, under sanitizers: files with damage, and records with malformed
-/// bodies inside files whose checksums are good. The entry point is libFuzzer's; main() runs a fixed number of inputs
-/// generated from seeds, so that its verdict is the same every time.
+/// Fuzz test of all code that reads traces, with damaged files and with malformed records in files with correct
+/// checksums. It has libFuzzer's entry point; without libFuzzer, main() runs reproducible pseudo-random inputs.
 #include <cstdio>
 #include <cstdlib>
 
@@ -21,7 +20,7 @@
 
 using namespace plumkeel;
 
-/// TraceError is the only exception that a reader may throw.
+/// Calls the function and ignores a TraceError, the only exception that reading a trace may throw.
 template <class Function>
 void allow_trace_error(Function function) {
     try {
@@ -65,21 +64,22 @@
     replayer.compare();
 }
 
-void use_as_trace(const std::string& bytes) {
+void read_as_trace(const std::string& bytes) {
     const MemoryFile file(bytes);
     const auto open = [&](const std::string&) { return std::make_unique<MemoryFile>(file); };
     allow_trace_error([&] {
         const auto traces = trace_analysis::open_traces({"x", "y"}, open);
-        std::vector<trace_analysis::ControllerTrace*> all;
-        for (const auto& each : traces) all.push_back(each.get());
-        const std::vector<trace::Record> records = read_records(*all.front());
+        std::vector<trace_analysis::ControllerTrace*> trace_pointers;
+        for (const auto& each : traces) trace_pointers.push_back(each.get());
+        const std::vector<trace::Record> records = read_records(*trace_pointers.front());
         analyze(records);
         allow_trace_error([&] {
-            trace_analysis::MergedStream merged(all, std::vector<trace::Time>(all.size()), trace::Time(300'000));
+            trace_analysis::MergedStream merged(trace_pointers, std::vector<trace::Time>(trace_pointers.size()),
+                                                trace::Time(300'000));
             while (merged.next()) {
             }
         });
-        allow_trace_error([&] { trace_analysis::estimate_offsets(all); });
+        allow_trace_error([&] { trace_analysis::estimate_offsets(trace_pointers); });
         allow_trace_error([&] { replay(records); });
     });
     allow_trace_error([&] {
@@ -96,41 +96,41 @@
     return std::move(file.bytes);
 }
 
-void damage(std::string& bytes, std::uint64_t& random) {
+void damage_bytes(std::string& bytes, std::uint64_t& random_state) {
     if (bytes.empty()) return;
-    const std::size_t at = next_random(random) % bytes.size(),
-                      n = std::min<std::size_t>(1 + next_random(random) % 20, bytes.size() - at);
-    switch (next_random(random) % 5) {
+    const std::size_t offset = next_random(random_state) % bytes.size(),
+                      length = std::min<std::size_t>(1 + next_random(random_state) % 20, bytes.size() - offset);
+    switch (next_random(random_state) % 5) {
         case 0:
-            bytes[at] = static_cast<char>(bytes[at] ^ (1 << (next_random(random) % 8)));
+            bytes[offset] = static_cast<char>(bytes[offset] ^ (1 << (next_random(random_state) % 8)));
             break;
         case 1:
-            bytes[at] = static_cast<char>(next_random(random) % 2 ? 0xff : 0x7f);
+            bytes[offset] = static_cast<char>(next_random(random_state) % 2 ? 0xff : 0x7f);
             break;
         case 2:
-            bytes.insert(at, bytes.substr(at, n));
+            bytes.insert(offset, bytes.substr(offset, length));
             break;
         case 3:
-            bytes.erase(at, n);
+            bytes.erase(offset, length);
             break;
         default:
-            bytes.resize(at);
+            bytes.resize(offset);
     }
 }
 
-/// Alters a few records, which are then written with good checksums.
-std::vector<trace::Record> with_hostile_records(std::vector<trace::Record> records, std::uint64_t& random) {
-    for (auto n = 1 + next_random(random) % 4; n > 0; --n) {
-        trace::Record& record = records[next_random(random) % records.size()];
-        switch (next_random(random) % 4) {
+/// Makes a few records malformed. The caller writes them to a file with correct checksums.
+std::vector<trace::Record> with_malformed_records(std::vector<trace::Record> records, std::uint64_t& random_state) {
+    for (auto changes = 1 + next_random(random_state) % 4; changes > 0; --changes) {
+        trace::Record& record = records[next_random(random_state) % records.size()];
+        switch (next_random(random_state) % 4) {
             case 0:
-                record.type = static_cast<std::uint8_t>(next_random(random) % 35);
+                record.type = static_cast<std::uint8_t>(next_random(random_state) % 35);
                 break;
             case 1:
-                record.request = next_random(random) % 50;
+                record.request = next_random(random_state) % 50;
                 break;
             default:
-                damage(record.body, random);
+                damage_bytes(record.body, random_state);
         }
     }
     return records;
@@ -139,7 +139,7 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    use_as_trace(std::string(reinterpret_cast<const char*>(data), size));
+    read_as_trace(std::string(reinterpret_cast<const char*>(data), size));
     return 0;
 }
 
@@ -150,15 +150,16 @@
     options.requests = 40;
     options.candidates = true;
     const auto records = simulated_trace(options);
-    const std::string whole = to_file(records);
-    std::uint64_t random = 2026;
+    const std::string intact_bytes = to_file(records);
+    std::uint64_t random_state = 2026;
     for (int round = 0; round < rounds; ++round) {
-        std::string bytes = whole;
-        for (auto n = 1 + next_random(random) % 3; n > 0; --n) damage(bytes, random);
+        std::string bytes = intact_bytes;
+        for (auto changes = 1 + next_random(random_state) % 3; changes > 0; --changes)
+            damage_bytes(bytes, random_state);
         LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-        use_as_trace(to_file(with_hostile_records(records, random)));
+        read_as_trace(to_file(with_malformed_records(records, random_state)));
     }
-    std::printf("%d inputs of each sort: no crash\n", rounds);
+    std::printf("%d damaged files, and as many with malformed records, were read without a crash\n", rounds);
     return 0;
 }
 #endif
--- a/tests/trace_records.hpp
+++ b/tests/trace_records.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Random records for the tests of trace files.
+/// Random records for tests of trace files.
 #pragma once
 
 #include <string>
@@ -10,16 +10,17 @@
 
 namespace plumkeel::trace {
 
-/// Of types that no build knows; each request has a few, and a tenth concern none.
-inline std::vector<Record> random_records(int count, std::uint64_t random = 5) {
+/// Returns records of unknown types with random contents. About a tenth of them concern no request; each request has up
+/// to four.
+inline std::vector<Record> random_records(int count, std::uint64_t random_state = 5) {
     std::vector<Record> out;
     Time at{};
     for (int i = 0; i < count; ++i) {
-        at += Time(next_random(random) % 200);
-        const std::uint64_t request = next_random(random) % 10 == 0 ? 0 : 1 + static_cast<std::uint64_t>(i) / 4;
-        out.push_back(
-            {at, static_cast<std::uint8_t>(40 + next_random(random) % 20), request,
-             "f" + std::to_string(next_random(random) % 50) + "=" + std::to_string(next_random(random) % 1000)});
+        at += Time(next_random(random_state) % 200);
+        const std::uint64_t request = next_random(random_state) % 10 == 0 ? 0 : 1 + static_cast<std::uint64_t>(i) / 4;
+        out.push_back({at, static_cast<std::uint8_t>(40 + next_random(random_state) % 20), request,
+                       "f" + std::to_string(next_random(random_state) % 50) + "=" +
+                           std::to_string(next_random(random_state) % 1000)});
     }
     return out;
 }
