--- a/src/consul/blocking_query.cpp
+++ b/src/consul/blocking_query.cpp
@@ -10,8 +10,8 @@
 
 constexpr Time initial_backoff = 100ms, max_backoff = 5s;
 constexpr int max_backoff_doublings = 6;
-constexpr Time min_poll_delay = 10ms;      // a source that responds at once must not be polled in a tight loop
-constexpr Time unindexed_poll_delay = 1s;  // without an index no poll blocks
+constexpr Time min_poll_delay = 10ms;      // avoids a busy loop if Consul responds at once
+constexpr Time unindexed_poll_delay = 1s;  // used without an index, since such polls do not block
 constexpr int http_ok = 200;
 
 BlockingQuery::BlockingQuery(Time wait, std::uint64_t seed) : wait_(wait), random_(seed) {}
@@ -25,9 +25,9 @@
     Step step;
     step.result = PollResult::failed;
     const Time backoff = std::min(max_backoff, initial_backoff * (1 << std::min(failures_ - 1, max_backoff_doublings)));
-    // Jitter, so that all controllers do not return to a recovering source at the same moment.
-    const double jittered = static_cast<double>(backoff.count()) * (0.5 + random_.next());
-    step.next = {index_, wait_, Time(static_cast<Time::rep>(jittered))};
+    // The jitter prevents that all controllers poll a recovering Consul agent at the same moment.
+    const double jittered_backoff = static_cast<double>(backoff.count()) * (0.5 + random_.next());
+    step.next = {index_, wait_, Time(static_cast<Time::rep>(jittered_backoff))};
     return step;
 }
 
@@ -39,7 +39,7 @@
 
 BlockingQuery::Step BlockingQuery::on_response(Time now, const PollResponse& response) {
     if (response.status != http_ok) return on_malformed_response();
-    auto current = parse_health_response(response.body, skipped_);
+    auto current = parse_health_response(response.body, skipped_entries_);
     if (!current) {
         Step step = on_malformed_response();
         step.next.index = 0;
@@ -48,8 +48,8 @@
     failures_ = 0;
     Step step;
     const std::uint64_t index = response.index.value_or(0);
-    const bool index_went_back = index < index_, became_empty = current->empty() && !endpoints_.empty();
-    if ((index_went_back || became_empty) && !unconfirmed_) {
+    const bool index_decreased = index < index_, became_empty = current->empty() && !endpoints_.empty();
+    if ((index_decreased || became_empty) && !unconfirmed_) {
         unconfirmed_ = true;
         step.result = PollResult::unconfirmed;
         step.next = poll_from(0);
@@ -70,16 +70,17 @@
     return step;
 }
 
-// A removal makes the step a complete list, since `changed` can't express it.
+// Fills `changed` with the endpoints that differ, or with the whole list if an endpoint was removed, since `changed`
+// can't express a removal.
 void BlockingQuery::find_changes(const std::vector<Endpoint>& current, Step& step) const {
-    std::map<std::string, const Endpoint*> before, after;
-    for (const Endpoint& endpoint : endpoints_) before[endpoint.name] = &endpoint;
-    for (const Endpoint& endpoint : current) after[endpoint.name] = &endpoint;
+    std::map<std::string, const Endpoint*> old_endpoints, new_endpoints;
+    for (const Endpoint& endpoint : endpoints_) old_endpoints[endpoint.name] = &endpoint;
+    for (const Endpoint& endpoint : current) new_endpoints[endpoint.name] = &endpoint;
     step.is_complete = std::any_of(endpoints_.begin(), endpoints_.end(),
-                                   [&](const Endpoint& endpoint) { return !after.count(endpoint.name); });
+                                   [&](const Endpoint& endpoint) { return !new_endpoints.count(endpoint.name); });
     for (const Endpoint& endpoint : current) {
-        const auto known = before.find(endpoint.name);
-        if (step.is_complete || known == before.end() || !(*known->second == endpoint))
+        const auto previous = old_endpoints.find(endpoint.name);
+        if (step.is_complete || previous == old_endpoints.end() || !(*previous->second == endpoint))
             step.changed.push_back(endpoint);
     }
 }
--- a/src/consul/health_response.cpp
+++ b/src/consul/health_response.cpp
@@ -12,8 +12,8 @@
 
 namespace json = boost::json;
 
-constexpr double capacity_limit = 1e9;
-constexpr std::int64_t started_at_limit_ms = 1LL << 50;  // beyond it the time of the start counts as unknown
+constexpr double max_capacity = 1e9;
+constexpr std::int64_t max_started_at_ms = 1LL << 50;  // a later start time counts as unknown
 constexpr std::int64_t max_port = 65535;
 
 const json::value* find_field(const json::value* value, std::string_view key) {
@@ -33,7 +33,7 @@
     return number;
 }
 
-// Any critical check drains an endpoint; maintenance of the node or of the service is one.
+// An endpoint with a critical check is drained. Consul's maintenance mode of a node or service is a critical check.
 bool has_no_critical_check(const json::value* checks) {
     if (!checks || !checks->is_array()) return true;
     for (const auto& check : checks->as_array())
@@ -41,7 +41,7 @@
     return true;
 }
 
-// `HOST:PORT`, an IPv6 host in brackets. The node's address stands in for a service without its own.
+// Returns `HOST:PORT`, with an IPv6 host in brackets. A service without an address has the address of its node.
 std::optional<std::string> parse_address(const json::value* service, const json::value* node) {
     std::string host = text_or_empty(find_field(service, "Address"));
     if (host.empty()) host = text_or_empty(find_field(node, "Address"));
@@ -61,27 +61,27 @@
     endpoint.name = text_or_empty(find_field(service, "ID"));
     if (endpoint.name.empty() || !address) return {};
     endpoint.address = *address;
-    // The service's own metadata takes precedence over its node's.
+    // Metadata of the service takes precedence over metadata of its node.
     const auto metadata = [&](const char* key) {
-        const std::string own = text_or_empty(find_field(find_field(service, "Meta"), key));
-        return own.empty() ? text_or_empty(find_field(find_field(node, "Meta"), key)) : own;
+        const std::string service_value = text_or_empty(find_field(find_field(service, "Meta"), key));
+        return service_value.empty() ? text_or_empty(find_field(find_field(node, "Meta"), key)) : service_value;
     };
     endpoint.ready = has_no_critical_check(find_field(&entry, "Checks"));
     endpoint.zone = metadata("zone");
     endpoint.type = metadata("kind");
     if (const auto capacity = parse_number<double>(metadata("units"));
-        capacity && *capacity > 0 && *capacity < capacity_limit)
+        capacity && *capacity > 0 && *capacity < max_capacity)
         endpoint.capacity = *capacity;
     if (const auto cell = parse_number<int>(metadata("cell"))) endpoint.cell = *cell;
     if (const auto started_at_ms = parse_number<std::int64_t>(metadata("start"));
-        started_at_ms && *started_at_ms > 0 && *started_at_ms < started_at_limit_ms)
+        started_at_ms && *started_at_ms > 0 && *started_at_ms < max_started_at_ms)
         endpoint.started_at = std::chrono::milliseconds(*started_at_ms);
     return endpoint;
 }
 
 }  // namespace
 
-std::optional<std::vector<Endpoint>> parse_health_response(std::string_view body, std::size_t& skipped) {
+std::optional<std::vector<Endpoint>> parse_health_response(std::string_view body, std::size_t& skipped_entries) {
     boost::system::error_code error;
     const json::value value = json::parse({body.data(), body.size()}, error);
     if (error || !value.is_array()) return {};
@@ -92,7 +92,7 @@
         if (endpoint && names.insert(endpoint->name).second)
             endpoints.push_back(std::move(*endpoint));
         else
-            ++skipped;
+            ++skipped_entries;
     }
     std::sort(endpoints.begin(), endpoints.end(), [](const Endpoint& a, const Endpoint& b) { return a.name < b.name; });
     return endpoints;
--- a/src/consul/health_response.hpp
+++ b/src/consul/health_response.hpp
@@ -1,4 +1,5 @@
-/// Parses the response of Consul's health endpoint (`/v1/health/service/NAME`) into invoker endpoints. Free of I/O.
+/// Parses the response of Consul's health endpoint (`/v1/health/service/NAME`) into endpoints of invokers. Does no
+/// I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +13,8 @@
 
 using gateway::Endpoint;
 
-/// The endpoints listed, ordered by name; nothing if the body is not a JSON array. Entries without a name, host or
-/// valid port and repeated names are skipped and added to `skipped`.
-std::optional<std::vector<Endpoint>> parse_health_response(std::string_view body, std::size_t& skipped);
+/// Returns the listed endpoints ordered by name; empty if the body is not a JSON array. Entries without a name, host or
+/// valid port and entries with a repeated name are skipped; their number is added to `skipped_entries`.
+std::optional<std::vector<Endpoint>> parse_health_response(std::string_view body, std::size_t& skipped_entries);
 
 }  // namespace plumkeel::consul
--- a/src/consul/health_watcher.hpp
+++ b/src/consul/health_watcher.hpp
@@ -1,4 +1,4 @@
-/// Sends the polls of a `BlockingQuery` to Consul and delivers the changes of the list.
+/// Polls Consul as a `BlockingQuery` decides, and reports changes of the list of invokers.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,11 @@
 
 class HealthWatcher {
 public:
-    /// `is_complete`: `changed` is the whole list; otherwise only endpoints that differ.
+    /// Called when the list changes. If `is_complete`, `changed` is the whole list, otherwise only the endpoints that
+    /// differ.
     using OnChange = std::function<void(const std::vector<Endpoint>& changed, bool is_complete)>;
 
-    /// `controller` names this gateway in its polls; `seed` spreads retries.
+    /// `controller` is sent with each poll as the name of this controller. `seed` is for the random delays of retries.
     HealthWatcher(net::EventLoop& loop, const EndpointSource& source, std::string controller, Log& log,
                   std::uint64_t seed, OnChange on_change);
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -15,7 +15,7 @@
 constexpr net::Time max_connect_timeout = std::chrono::seconds(2);
 constexpr std::size_t read_buffer_bytes = std::size_t{256} * 1024;
 
-/// Reads until the response is complete or an error shows that it never will be.
+// Reads until the response is complete; returns an error if it can't be completed.
 net::Task<net::Error> read_response(std::shared_ptr<net::Stream> stream, ResponseParser& parser) {
     ReadBuffer read_buffer(std::move(stream), read_buffer_bytes);
     net::Error error;
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address to, std::string head, std::string body,
+net::Task<ExchangeResult> exchange(net::EventLoop& loop, net::Address address, std::string head, std::string body,
                                    std::chrono::microseconds timeout, std::size_t max_response_bytes) {
     const auto deadline = loop.now() + timeout;
-    const auto connected = co_await loop.connect(std::move(to), std::min<net::Time>(timeout, max_connect_timeout));
+    const auto connected = co_await loop.connect(std::move(address), std::min<net::Time>(timeout, max_connect_timeout));
     if (connected.error) co_return ExchangeResult{connected.error, {}};
     const auto stream = connected.stream;
     bool timed_out = false;
--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -6,9 +6,9 @@
 namespace plumkeel::http {
 namespace {
 
-constexpr std::string_view own_prefix = "plumkeel-";
+constexpr std::string_view protocol_prefix = "plumkeel-";
 
-constexpr std::array<std::string_view, 13> not_forwarded{
+constexpr std::array<std::string_view, 13> unforwarded_headers{
     "connection",        "keep-alive", "proxy-authenticate",    "proxy-authorization", "te",   "trailer",
     "transfer-encoding", "upgrade",    "endpoint-load-metrics", "content-length",      "host", "expect",
     "proxy-connection"};
@@ -21,9 +21,9 @@
 }
 
 bool is_forwarded_header(std::string_view name) {
-    if (equals_ignoring_case(name.substr(0, own_prefix.size()), own_prefix)) return false;
-    return std::ranges::none_of(not_forwarded,
-                                [name](std::string_view each) { return equals_ignoring_case(name, each); });
+    if (equals_ignoring_case(name.substr(0, protocol_prefix.size()), protocol_prefix)) return false;
+    return std::ranges::none_of(unforwarded_headers,
+                                [name](std::string_view header) { return equals_ignoring_case(name, header); });
 }
 
 }  // namespace plumkeel::http
--- a/src/http/headers.hpp
+++ b/src/http/headers.hpp
@@ -20,19 +20,19 @@
     return {text.data(), text.size()};
 }
 
-/// Value of the named field, or empty if the message has none.
+/// Returns the value of a header field, or an empty text if the message does not have the field.
 template <class Message>
 std::string_view field(const Message& message, std::string_view name) {
     const auto it = message.find(beast::string_view(name.data(), name.size()));
     return it == message.end() ? std::string_view() : to_string_view(it->value());
 }
 
-/// Compares ASCII text without regard to case, as for field names.
+/// Compares ASCII text ignoring case, as is required for names of header fields.
 inline bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return beast::iequals({a.data(), a.size()}, {b.data(), b.size()});
 }
 
-/// The number that makes up the whole text; empty if it is none or out of range.
+/// Parses a number; empty unless the whole text is a number in the range of the type.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
     Number value{};
@@ -41,7 +41,7 @@
     return value;
 }
 
-/// Writes a message head. Names and values must not contain line breaks; those that a parser read contain none.
+/// Writes the head of an HTTP message. Names and values must not contain line breaks; parsed ones never do.
 class HeadWriter {
 public:
     explicit HeadWriter(std::string_view first_line) {
@@ -54,13 +54,13 @@
     }
     HeadWriter& add(std::string_view name, std::int64_t value) { return add(name, std::to_string(value)); }
 
-    /// Adds field lines that are complete, each with its line break.
+    /// Adds complete header lines, each of which ends with a line break.
     HeadWriter& add_raw_lines(std::string_view lines) {
         text_ += lines;
         return *this;
     }
 
-    /// Returns the head with the empty line that ends it. The writer must not be used afterwards.
+    /// Returns the head including the empty line at its end. The writer must not be used afterwards.
     std::string finish() { return std::move(text_ += "\r\n"); }
 
 private:
@@ -69,11 +69,12 @@
     std::string text_;
 };
 
-/// Status line without its line break, with the standard reason phrase.
+/// Returns a status line with the standard reason phrase, without a line break.
 std::string status_line(unsigned status);
 
-/// Whether a proxy passes the field on. Not passed on are fields that concern a single connection (RFC 9110, 7.6.1),
-/// fields that the gateway writes itself, and those of its own protocol (`plumkeel-`).
+/// Returns whether the gateway passes the header field on between client and invoker. It does not pass on fields that
+/// concern a single connection (RFC 9110, 7.6.1), fields that it writes itself, and fields of its own protocol
+/// (`plumkeel-`).
 bool is_forwarded_header(std::string_view name);
 
 }  // namespace plumkeel::http
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -1,5 +1,5 @@
-/// HTTP/1.1 over net::Stream: Boost.Beast parses messages, this package reads and writes them within bounds.
-/// Convenience header that includes all of the package but exchange.hpp.
+/// HTTP/1.1 over net::Stream, with the message parsers of Boost.Beast and limits on the size of messages.
+/// Convenience header that includes the package's other headers except exchange.hpp.
 #pragma once
 
 #include "http/headers.hpp"      // IWYU pragma: export
--- a/src/http/read_buffer.hpp
+++ b/src/http/read_buffer.hpp
@@ -1,4 +1,4 @@
-/// Bytes of a connection that were received and not parsed yet.
+/// A buffer for bytes received on a connection and not parsed yet.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -25,8 +25,8 @@
 
     void discard() { buffer_.consume(buffer_.size()); }
 
-    /// Passes the buffered bytes to a Beast parser and removes those that it consumed. That the parser needs more bytes
-    /// is no error.
+    /// Passes the buffered bytes to a Beast parser and removes those that it consumed. Returns no error if the parser
+    /// only needs more bytes.
     template <class Parser>
     net::Error feed(Parser& parser) {
         net::Error error;
--- a/src/http/target.cpp
+++ b/src/http/target.cpp
@@ -20,7 +20,8 @@
     std::vector<std::pair<std::string, std::string>> parameters;
     const auto url = boost::urls::parse_origin_form({target.data(), target.size()});
     if (!url) return parameters;
-    for (const auto& each : url->params()) parameters.emplace_back(std::string(each.key), std::string(each.value));
+    for (const auto& parameter : url->params())
+        parameters.emplace_back(std::string(parameter.key), std::string(parameter.value));
     return parameters;
 }
 
--- a/src/orca/orca.cpp
+++ b/src/orca/orca.cpp
@@ -13,8 +13,8 @@
 constexpr std::string_view text_prefix = "TEXT ";
 constexpr std::string_view json_prefix = "JSON ";
 constexpr std::string_view named_metrics_prefix = "named_metrics.";
-constexpr std::string_view in_flight_metric = "inflight";
-constexpr std::string_view queued_metric = "queue";
+constexpr std::string_view in_flight_name = "inflight";
+constexpr std::string_view queued_name = "queue";
 
 std::string_view trim(std::string_view text) {
     while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
@@ -31,8 +31,8 @@
 
 void set_metric(LoadReport& report, std::string_view name, double value) {
     if (!std::isfinite(value) || value < 0) return;
-    if (name == in_flight_metric) report.in_flight = value;
-    if (name == queued_metric) report.queued = value;
+    if (name == in_flight_name) report.in_flight = value;
+    if (name == queued_name) report.queued = value;
 }
 
 void parse_text_metric(LoadReport& report, std::string_view metric) {
@@ -44,12 +44,12 @@
     set_metric(report, trim(metric.substr(name_begin, separator - name_begin)), *value);
 }
 
-LoadReport parse_text(std::string_view rest) {
+LoadReport parse_text(std::string_view metrics_text) {
     LoadReport report;
-    while (!rest.empty()) {
-        const auto comma = rest.find(',');
-        parse_text_metric(report, trim(rest.substr(0, comma)));
-        rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
+    while (!metrics_text.empty()) {
+        const auto comma = metrics_text.find(',');
+        parse_text_metric(report, trim(metrics_text.substr(0, comma)));
+        metrics_text = comma == std::string_view::npos ? std::string_view() : metrics_text.substr(comma + 1);
     }
     return report;
 }
@@ -68,22 +68,22 @@
 
 }  // namespace
 
-LoadReport parse(std::string_view value) {
-    value = trim(value);
-    if (value.starts_with(text_prefix)) return parse_text(value.substr(text_prefix.size()));
-    if (value.starts_with(json_prefix)) return parse_json(value.substr(json_prefix.size()));
+LoadReport parse(std::string_view text) {
+    text = trim(text);
+    if (text.starts_with(text_prefix)) return parse_text(text.substr(text_prefix.size()));
+    if (text.starts_with(json_prefix)) return parse_json(text.substr(json_prefix.size()));
     return {};
 }
 
 std::string format(const LoadReport& report) {
-    std::string out(text_prefix);
-    auto add = [&out, separator = ""](std::string_view name, double value) mutable {
-        out += fmt::format("{}{}{}={:g}", separator, named_metrics_prefix, name, value);
+    std::string text(text_prefix);
+    auto add = [&text, separator = ""](std::string_view name, double value) mutable {
+        text += fmt::format("{}{}{}={:g}", separator, named_metrics_prefix, name, value);
         separator = ", ";
     };
-    if (report.in_flight) add(in_flight_metric, *report.in_flight);
-    if (report.queued) add(queued_metric, *report.queued);
-    return out;
+    if (report.in_flight) add(in_flight_name, *report.in_flight);
+    if (report.queued) add(queued_name, *report.queued);
+    return text;
 }
 
 }  // namespace plumkeel::orca
--- a/src/orca/orca.hpp
+++ b/src/orca/orca.hpp
@@ -12,14 +12,14 @@
 
 namespace plumkeel::orca {
 
-/// Name of the header that carries a report.
+/// Name of the header field that carries a load report.
 constexpr const char* header_name = "endpoint-load-metrics";
 
-/// Parses a header value. Metrics that are missing, not numeric, negative or not finite stay empty; a value in an
-/// unknown format gives an empty report.
-LoadReport parse(std::string_view value);
+/// Parses a load report. Metrics that are missing, not numeric, negative or not finite stay empty; a text in an unknown
+/// format gives an empty report.
+LoadReport parse(std::string_view text);
 
-/// The report as a header value in TEXT format.
+/// Formats a load report as a header value in the TEXT format.
 std::string format(const LoadReport& report);
 
 }  // namespace plumkeel::orca
--- a/tests/blocking_query_test.cpp
+++ b/tests/blocking_query_test.cpp
@@ -1,4 +1,4 @@
-// BlockingQuery: which polls it sends to Consul's health endpoint, and which responses change its list of endpoints.
+// Tests which polls BlockingQuery asks for, and which responses change its list of endpoints.
 #include "consul/blocking_query.hpp"
 
 #include <gtest/gtest.h>
@@ -41,14 +41,14 @@
     ASSERT_EQ(step.result, PollResult::updated);
     EXPECT_EQ(step.next.index, 7u);
     ASSERT_EQ(query.endpoints().size(), 2u);
-    const auto& x = query.endpoints()[0];
-    EXPECT_EQ(x.address, "10.0.0.1:80");
-    EXPECT_EQ(x.zone, "b");
-    EXPECT_EQ(x.type, "std");
-    EXPECT_DOUBLE_EQ(x.capacity, 2.5);
-    EXPECT_EQ(x.cell, 4);
-    EXPECT_EQ(x.started_at, Time(1700000000000000));
-    EXPECT_TRUE(x.ready);
+    const auto& endpoint = query.endpoints()[0];
+    EXPECT_EQ(endpoint.address, "10.0.0.1:80");
+    EXPECT_EQ(endpoint.zone, "b");
+    EXPECT_EQ(endpoint.type, "std");
+    EXPECT_DOUBLE_EQ(endpoint.capacity, 2.5);
+    EXPECT_EQ(endpoint.cell, 4);
+    EXPECT_EQ(endpoint.started_at, Time(1700000000000000));
+    EXPECT_TRUE(endpoint.ready);
     EXPECT_FALSE(query.endpoints()[1].ready);
 }
 
@@ -87,7 +87,8 @@
     respond(1, health_response({health_entry("x")}));
     EXPECT_EQ(respond(2, "[]").result, PollResult::unconfirmed);
     EXPECT_EQ(query.endpoints().size(), 1u);
-    EXPECT_EQ(respond(3, health_response({health_entry("x")})).result, PollResult::unchanged);  // not confirmed
+    // The second poll returns an endpoint again, so it does not confirm the empty list.
+    EXPECT_EQ(respond(3, health_response({health_entry("x")})).result, PollResult::unchanged);
     EXPECT_EQ(respond(4, "[]").result, PollResult::unconfirmed);
     const auto step = respond(4, "[]");
     EXPECT_EQ(step.result, PollResult::updated);
@@ -117,7 +118,7 @@
     respond(1, health_response({health_entry("x"), health_entry("x"), R"({"Service":{"ID":"z"}})", "3",
                                 R"({"Service":{"ID":"q","Address":"h","Port":70000}})"}));
     EXPECT_EQ(query.endpoints().size(), 1u);
-    EXPECT_EQ(query.skipped(), 4u);
+    EXPECT_EQ(query.skipped_entries(), 4u);
 }
 
 TEST_F(BlockingQueryTest, MissingIndexNeitherBlocksNorPollsInATightLoop) {
--- a/tests/orca_test.cpp
+++ b/tests/orca_test.cpp
@@ -1,4 +1,4 @@
-/// Load reports in ORCA format.
+/// Tests the parsing and formatting of ORCA load reports.
 #include "orca/orca.hpp"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
         EXPECT_EQ(report.in_flight, 3) << text;
         EXPECT_EQ(report.queued, 1.5) << text;
     }
-    const LoadReport parsed_again = orca::parse(orca::format({4, 2}));
-    EXPECT_EQ(parsed_again.in_flight, 4);
-    EXPECT_EQ(parsed_again.queued, 2);
+    const LoadReport parsed_report = orca::parse(orca::format({4, 2}));
+    EXPECT_EQ(parsed_report.in_flight, 4);
+    EXPECT_EQ(parsed_report.queued, 2);
 }
 
 TEST(Orca, MalformedReportIsEmpty) {
