--- a/src/web/call_encoder.cpp
+++ b/src/web/call_encoder.cpp
@@ -26,22 +26,22 @@
                        field::controller, controller_name, copies);
 }
 
-// The fields that all attempts of a request have in common, with the empty line that ends the head.
-std::string encode_suffix(const gateway::ActiveRequest& request, std::string_view controller_name) {
-    http::HeadWriter suffix("");
-    suffix.add(field::controller, controller_name).add(field::request, static_cast<std::int64_t>(request.id));
-    suffix.add(field::request_class, static_cast<const NamedRequestClass*>(request.request_class)->name);
-    if (!request.idempotency_key.empty()) suffix.add(field::idempotency_key, request.idempotency_key);
-    suffix.add(field::concurrency, static_cast<std::int64_t>(request.concurrency));
-    if (request.memory) suffix.add(field::memory, static_cast<std::int64_t>(*request.memory));
-    suffix.add_raw_lines(request.forwarded_headers)
+// Encodes the header fields shared by all attempts of a request, and the empty line that ends the head.
+std::string encode_common_fields(const gateway::ActiveRequest& request, std::string_view controller_name) {
+    http::HeadWriter head("");
+    head.add(field::controller, controller_name).add(field::request, static_cast<std::int64_t>(request.id));
+    head.add(field::request_class, static_cast<const NamedRequestClass*>(request.request_class)->name);
+    if (!request.idempotency_key.empty()) head.add(field::idempotency_key, request.idempotency_key);
+    head.add(field::concurrency, static_cast<std::int64_t>(request.concurrency));
+    if (request.memory) head.add(field::memory, static_cast<std::int64_t>(*request.memory));
+    head.add_raw_lines(request.forwarded_headers)
         .add("Content-Length", static_cast<std::int64_t>(request.body->size()));
-    return suffix.finish().substr(2);  // without the line end of the empty first line
+    return head.finish().substr(2);  // drops the line break of the empty first line
 }
 
 std::string encode_attempt(const UpstreamCall& call, std::string_view controller_name) {
     gateway::ActiveRequest& request = *call.request;
-    if (request.encoded_suffix.empty()) request.encoded_suffix = encode_suffix(request, controller_name);
+    if (request.encoded_suffix.empty()) request.encoded_suffix = encode_common_fields(request, controller_name);
     return fmt::format("POST /v1/run/{} HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}: {}\r\n{}",
                        http::percent_encode(request.function->name), call.invoker, field::attempt, call.attempt->number,
                        field::timeout, call.attempt->timeout / 1ms, request.encoded_suffix);
--- a/src/web/call_encoder.hpp
+++ b/src/web/call_encoder.hpp
@@ -1,5 +1,5 @@
-/// Heads of the HTTP requests by which a controller runs functions on an invoker, probes it and preloads functions.
-/// Free of I/O and clocks.
+/// Encodes the HTTP requests by which a controller runs functions on an invoker, checks its health and preloads
+/// functions. Does no I/O and reads no clock.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace plumkeel::web {
 
-/// The head; the body of an attempt follows it. What all attempts of a request have in common is encoded once, and
-/// kept in ActiveRequest::encoded_suffix.
+/// Returns the head of the HTTP request for `call`; the caller sends the body of an attempt after it. The header fields
+/// shared by all attempts of a request are encoded once and cached in ActiveRequest::encoded_suffix.
 std::string encode_call(gateway::UpstreamCall& call, std::string_view controller_name);
 
 }  // namespace plumkeel::web
--- a/src/web/connection.cpp
+++ b/src/web/connection.cpp
@@ -16,28 +16,28 @@
 namespace {
 
 constexpr std::size_t read_buffer_bytes = 128 * 1024;
-constexpr std::size_t max_pending_bytes = 64 * 1024;  // of responses: while more is pending no request is read
-constexpr Time body_read_timeout = 3s;                // without a byte for so long a body is too slow at any rate
-constexpr Time linger_time = 1s;                      // between the last byte written and the close
-constexpr unsigned http_1_1 = 11;                     // as Beast numbers it
-constexpr std::string_view api_version = "v1";        // the first part of all paths
-
-std::int64_t in_seconds_rounded_up(Time span) {
-    return (span + 1s - Time(1)) / 1s;
+constexpr std::size_t max_pending_bytes = 64 * 1024;  // no request is read while more response bytes are unsent
+constexpr Time body_read_timeout = 3s;                // a body is rejected if no byte of it arrives for this long
+constexpr Time close_linger_time = 1s;                // between sending the last byte and closing the socket
+constexpr unsigned http_1_1 = 11;                     // number of HTTP/1.1 in Boost.Beast
+constexpr std::string_view api_version = "v1";        // first segment of all paths
+
+std::int64_t round_up_to_seconds(Time duration) {
+    return (duration + 1s - Time(1)) / 1s;
 }
 
-// "/v1/<page>"
-bool is_page(const RequestParser& parser, const std::vector<std::string>& path) {
+// GET /v1/PAGE
+bool is_page_request(const RequestParser& parser, const std::vector<std::string>& path) {
     return parser.get().method() == beast_http::verb::get && path.size() == 2 && path[0] == api_version;
 }
 
-// "/v1/jobs/<function>"
-bool is_run(const RequestParser& parser, const std::vector<std::string>& path) {
+// POST /v1/jobs/FUNCTION
+bool is_run_request(const RequestParser& parser, const std::vector<std::string>& path) {
     return path.size() == 3 && path[0] == api_version && path[1] == "jobs" &&
            parser.get().method() == beast_http::verb::post;
 }
 
-RejectionReason parse_failure(const net::Error& error) {
+RejectionReason reason_for_parse_error(const net::Error& error) {
     return error == beast_http::error::body_limit ? RejectionReason::body_too_big : RejectionReason::malformed;
 }
 
@@ -50,9 +50,9 @@
       stream_(std::move(stream)),
       write_queue_(std::make_shared<net::WriteQueue>(server.loop(), stream_)),
       read_buffer_(stream_, read_buffer_bytes),
-      finished_(server.loop()),
+      request_finished_(server.loop()),
       read_timer_(server.loop(), [this] { on_read_timeout(); }),
-      unread_timer_(server.loop(), [this] { check_unread_response(); }) {}
+      unread_timer_(server.loop(), [this] { on_unread_timeout(); }) {}
 
 net::EventLoop& Connection::loop() const {
     return gateway_.loop();
@@ -70,8 +70,8 @@
     clear_read_timeout();
     unread_timer_.clear();
     if (request_) gateway_.client_disconnected(*std::exchange(request_, nullptr));
-    // Closing a connection with unread input makes the system send a reset, which may overtake the last response: so
-    // what still arrives is read and discarded for a moment.
+    // Closing a socket with unread input sends a TCP reset, which may destroy the last response before the client has
+    // read it. So input is read and discarded until the socket is closed.
     while (closing_) {
         read_buffer_.discard();
         const net::Error error = co_await read_buffer_.read_more();
@@ -82,7 +82,7 @@
     server_.connection_closed(self);
 }
 
-// From a request's head to its response. False: the connection can't be used further.
+// Reads one request and waits for its response. Returns false if the connection can't be used for another request.
 net::Task<bool> Connection::serve_request() {
     RequestParser parser;
     parser.header_limit(static_cast<std::uint32_t>(gateway_.admission().limits().max_head_bytes));
@@ -97,7 +97,7 @@
     keep_alive_ = parser.keep_alive();
     chunked_ = parser.get().version() >= http_1_1;
     const auto path = http::path_segments(http::to_string_view(parser.get().target()));
-    if (is_page(parser, path)) {
+    if (is_page_request(parser, path)) {
         if (!parser.is_done()) {
             reject(RejectionReason::malformed);
             co_return false;
@@ -113,13 +113,14 @@
     }
     request.waited = gateway_.waited_unread();
     request_ = gateway_.submit(std::move(request), shared_from_this());
-    co_return co_await wait_finished();
+    co_return co_await wait_for_response();
 }
 
-// From the head to the complete body. Without a reason to reject it, the request counts as open.
+// Checks a request whose head was read, reads its body and fills `request`. RejectionReason::none: the request was
+// admitted.
 net::Task<RejectionReason> Connection::read_request(RequestParser& parser, const std::vector<std::string>& path,
                                                     bool& disconnected, IncomingRequest& request) {
-    if (!is_run(parser, path)) co_return RejectionReason::no_such_path;
+    if (!is_run_request(parser, path)) co_return RejectionReason::no_such_path;
     Admission& admission = gateway_.admission();
     request.function = path[2];
     RejectionReason reason = parse_request(parser, gateway_.config(), admission, request);
@@ -138,10 +139,10 @@
 net::Task<RejectionReason> Connection::read_head(RequestParser& parser, bool& disconnected) {
     const AdmissionLimits& limits = gateway_.admission().limits();
     co_await write_queue_->wait_below(max_pending_bytes);
-    bool has_begun = false;
+    bool has_parsed_bytes = false;
     if (read_buffer_.size() == 0) set_read_timeout(limits.idle_timeout, RejectionReason::none);
     while (!parser.is_header_done()) {
-        if (has_begun || read_buffer_.size() == 0) {
+        if (has_parsed_bytes || read_buffer_.size() == 0) {
             const net::Error error = co_await read_buffer_.read_more();
             if (error) {
                 disconnected = true;
@@ -151,9 +152,10 @@
         }
         if (const net::Error error = read_buffer_.feed(parser)) {
             clear_read_timeout();
-            co_return error == beast_http::error::header_limit ? RejectionReason::head_too_big : parse_failure(error);
+            co_return error == beast_http::error::header_limit ? RejectionReason::head_too_big
+                                                               : reason_for_parse_error(error);
         }
-        if (!std::exchange(has_begun, true) && !parser.is_header_done())
+        if (!std::exchange(has_parsed_bytes, true) && !parser.is_header_done())
             set_read_timeout(limits.head_timeout, RejectionReason::head_too_slow);
     }
     clear_read_timeout();
@@ -163,41 +165,42 @@
 net::Task<RejectionReason> Connection::read_body(RequestParser& parser, bool& disconnected,
                                                  MemoryReservation& reservation) {
     if (parser.is_done()) co_return RejectionReason::none;
-    // Reserved from the head on, or as it arrives: many incomplete bodies must not exceed the limit together.
-    const RejectionReason no_memory = reservation.grow_to(parser.content_length().value_or(0));
-    if (no_memory != RejectionReason::none) co_return no_memory;
+    // Memory is reserved before a body of known length arrives, and otherwise as it arrives, so that many incomplete
+    // bodies can't exceed the memory limit together.
+    const RejectionReason initial_rejection = reservation.grow_to(parser.content_length().value_or(0));
+    if (initial_rejection != RejectionReason::none) co_return initial_rejection;
     if (http::beast::iequals(parser.get()[beast_http::field::expect], "100-continue"))
         write_queue_->send("HTTP/1.1 100 Continue\r\n\r\n");
-    const Time since = loop().now();
+    const Time started_at = loop().now();
     parser.eager(true);
-    bool has_unparsed = read_buffer_.size() > 0;
+    bool has_buffered_bytes = read_buffer_.size() > 0;
     while (!parser.is_done()) {
-        if (!std::exchange(has_unparsed, false)) {
+        if (!std::exchange(has_buffered_bytes, false)) {
             set_read_timeout(body_read_timeout, RejectionReason::body_too_slow);
             const net::Error error = co_await read_buffer_.read_more();
             clear_read_timeout();
             disconnected = static_cast<bool>(error);
             if (disconnected || closing_) co_return RejectionReason::none;
         }
-        if (const net::Error error = read_buffer_.feed(parser)) co_return parse_failure(error);
+        if (const net::Error error = read_buffer_.feed(parser)) co_return reason_for_parse_error(error);
         const std::size_t received = parser.get().body().size();
-        const RejectionReason full = reservation.grow_to(received);
-        if (full != RejectionReason::none) co_return full;
-        const RejectionReason slow = gateway_.admission().check_body_rate(since, loop().now(), received);
-        if (slow != RejectionReason::none && !parser.is_done()) co_return slow;
+        const RejectionReason memory_rejection = reservation.grow_to(received);
+        if (memory_rejection != RejectionReason::none) co_return memory_rejection;
+        const RejectionReason rate_rejection = gateway_.admission().check_body_rate(started_at, loop().now(), received);
+        if (rate_rejection != RejectionReason::none && !parser.is_done()) co_return rate_rejection;
     }
     co_return RejectionReason::none;
 }
 
-// Waits for the request's response, and notices when the client disconnects before. Early bytes of a further request
-// stay in the read buffer, which is bounded; a disconnect is not noticed meanwhile.
-net::Task<bool> Connection::wait_finished() {
+// Waits until the request has its response or the client disconnects. Bytes of a pipelined request stay in the bounded
+// read buffer; while there are any, a disconnect is not noticed.
+net::Task<bool> Connection::wait_for_response() {
     while (request_) {
         if (read_buffer_.size() == 0) {
             const net::Error error = co_await read_buffer_.read_more();
             if (error) co_return false;
         } else {
-            co_await finished_.wait();
+            co_await request_finished_.wait();
         }
     }
     co_return !closing_;
@@ -205,9 +208,9 @@
 
 // ---------------------------------------------------------------- responses
 
-void Connection::send_response(const ActiveRequest& request, unsigned status, std::string_view passed,
+void Connection::send_response(const ActiveRequest& request, unsigned status, std::string_view forwarded,
                                std::string body) {
-    write_response(status, request, passed, std::move(body));
+    write_response(status, request, forwarded, std::move(body));
 }
 
 void Connection::send_rejection(const ActiveRequest& request) {
@@ -222,40 +225,40 @@
         .add(field::request, static_cast<std::int64_t>(request.id));
     head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size()));
     if (request.state == RequestState::rejected && request.retry_after > Time{}) {
-        head.add("Retry-After", in_seconds_rounded_up(request.retry_after));
+        head.add("Retry-After", round_up_to_seconds(request.retry_after));
         head.add(field::retry_after_ms, request.retry_after / 1ms);
     }
     head.add_raw_lines(forwarded).add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const bool is_last = is_last_response();
-    if (is_last) head.add("Connection", "close");
+    const bool closes_connection = should_close();
+    if (closes_connection) head.add("Connection", "close");
     write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
     request_ = nullptr;
-    watch_unread_response();
-    request_finished(is_last);
+    start_unread_timer();
+    finish_request(closes_connection);
 }
 
-// Closes the connection or waits for its next request.
-void Connection::request_finished(bool is_last) {
-    if (is_last)
+// Ends a request whose response has been written: closes the connection or waits for the next request.
+void Connection::finish_request(bool closes_connection) {
+    if (closes_connection)
         close_gracefully();
     else
         set_read_timeout(gateway_.admission().limits().idle_timeout, RejectionReason::none);
-    finished_.notify();
+    request_finished_.notify();
 }
 
-void Connection::begin_stream(const ActiveRequest& request, unsigned status, std::string_view passed) {
+void Connection::begin_stream(const ActiveRequest& request, unsigned status, std::string_view forwarded) {
     http::HeadWriter head(http::status_line(status));
     head.add(field::outcome, protocol::outcome_name(RequestState::succeeded))
         .add(field::controller, gateway_.incarnation())
         .add(field::request, static_cast<std::int64_t>(request.id));
-    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).add_raw_lines(passed);
+    head.add(field::attempts, static_cast<std::int64_t>(request.attempts.size())).add_raw_lines(forwarded);
     if (chunked_)
         head.add("Transfer-Encoding", "chunked");
     else
-        keep_alive_ = false;  // a client of HTTP/1.0 knows the end of the body by that of the connection
-    if (is_last_response()) head.add("Connection", "close");
+        keep_alive_ = false;  // in HTTP/1.0 the end of the connection ends the body
+    if (should_close()) head.add("Connection", "close");
     write_queue_->send(head.finish());
-    watch_unread_response();
+    start_unread_timer();
 }
 
 void Connection::write_chunk(const ActiveRequest&, std::string bytes) {
@@ -264,18 +267,18 @@
     std::string size = fmt::format("{:x}\r\n", bytes.size());
     write_queue_->send(std::move(size), std::make_shared<const std::string>(std::move(bytes)));
     write_queue_->send("\r\n");
-    watch_unread_response();
+    start_unread_timer();
 }
 
-void Connection::end_stream(const ActiveRequest&, bool whole) {
+void Connection::end_stream(const ActiveRequest&, bool is_complete) {
     request_ = nullptr;
-    if (!whole) {
-        stream_->reset();  // the client must not take an incomplete response for a complete one
-        finished_.notify();
+    if (!is_complete) {
+        stream_->reset();  // a reset shows the client that the response is incomplete
+        request_finished_.notify();
         return;
     }
     if (chunked_) write_queue_->send("0\r\n\r\n");
-    request_finished(is_last_response());
+    finish_request(should_close());
 }
 
 net::Task<bool> Connection::wait_writable() {
@@ -284,30 +287,31 @@
     co_return !write_queue_->error();
 }
 
-// False: there is no such page.
+// Writes the page `name`, such as "metrics". Returns false if there is no such page.
 bool Connection::write_page(std::string_view name) {
     const bool closing = gateway_.admission().closing();
     if (name == "metrics" && gateway_.metrics())
-        write_plain(200, "text/plain; version=0.0.4", gateway_.metrics()->exposition());
+        write_page_response(200, "text/plain; version=0.0.4", gateway_.metrics()->exposition());
     else if (name == "status")
-        write_plain(200, "application/json", boost::json::serialize(server_.status()) + "\n");
+        write_page_response(200, "application/json", boost::json::serialize(server_.status()) + "\n");
     else if (name == "health")
-        write_plain(closing ? 503 : 200, "text/plain", closing ? "closing\n" : "ok\n");
+        write_page_response(closing ? 503 : 200, "text/plain", closing ? "closing\n" : "ok\n");
     else
         return false;
     return true;
 }
 
-void Connection::write_plain(unsigned status, std::string_view content_type, std::string body) {
+void Connection::write_page_response(unsigned status, std::string_view content_type, std::string body) {
     http::HeadWriter head(http::status_line(status));
     head.add("Content-Type", content_type).add("Content-Length", static_cast<std::int64_t>(body.size()));
-    const bool is_last = is_last_response();
-    if (is_last) head.add("Connection", "close");
+    const bool closes_connection = should_close();
+    if (closes_connection) head.add("Connection", "close");
     write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
-    if (is_last) close_gracefully();
+    if (closes_connection) close_gracefully();
 }
 
-// For a request that was never submitted: its client may try it again wherever the reason permits.
+// Responds to a request that was not submitted to the gateway, and closes the connection. Only if the reason is
+// retryable does the response ask the client to retry.
 void Connection::reject(RejectionReason reason) {
     gateway_.admission().count(reason);
     const RejectionResponse& response = response_for(reason);
@@ -317,36 +321,37 @@
     head.add(field::rejection_reason, response.word);
     if (response.is_retryable) {
         head.add(field::outcome, protocol::outcome_name(RequestState::rejected));
-        const Time pause = gateway_.admission().retry_after();
-        head.add("Retry-After", in_seconds_rounded_up(pause)).add(field::retry_after_ms, pause / 1ms);
+        const Time retry_after = gateway_.admission().retry_after();
+        head.add("Retry-After", round_up_to_seconds(retry_after)).add(field::retry_after_ms, retry_after / 1ms);
     }
     head.add("Content-Type", "text/plain").add("Content-Length", static_cast<std::int64_t>(body.size()));
-    head.add("Connection", "close");  // what may still arrive of this request is not read
+    head.add("Connection", "close");  // the unread part of this request is discarded
     write_queue_->send(head.finish(), std::make_shared<const std::string>(std::move(body)));
     close_gracefully();
 }
 
-// ---------------------------------------------------------------- timeouts and the end
+// ---------------------------------------------------------------- timeouts and closing
 
-// A client that reads nothing of what is pending is disconnected, so that it holds no memory.
-void Connection::watch_unread_response() {
+// Starts a timer that disconnects a client which does not read its response, since unsent bytes take memory.
+void Connection::start_unread_timer() {
     if (unread_timer_.is_set() || write_queue_->pending_bytes() == 0) return;
-    sent_bytes_at_watch_ = write_queue_->sent_bytes();
+    sent_bytes_at_timer_start_ = write_queue_->sent_bytes();
     unread_timer_.set(loop().now() + gateway_.admission().limits().unread_timeout);
 }
 
-void Connection::check_unread_response() {
-    if (write_queue_->pending_bytes() == 0 || write_queue_->sent_bytes() != sent_bytes_at_watch_)
-        return watch_unread_response();
+void Connection::on_unread_timeout() {
+    if (write_queue_->pending_bytes() == 0 || write_queue_->sent_bytes() != sent_bytes_at_timer_start_)
+        return start_unread_timer();
     gateway_.admission().count(RejectionReason::unread_answer);
     stream_->reset();
     write_queue_->abandon();
 }
 
-// Should the next read take longer, the connection closes; with a response, if there is a reason to give.
-void Connection::set_read_timeout(Time within, RejectionReason reason) {
+// Closes the connection if the next read takes longer than `timeout`. Unless `reason` is none, the client gets a
+// response that rejects its request.
+void Connection::set_read_timeout(Time timeout, RejectionReason reason) {
     timeout_reason_ = reason;
-    read_timer_.set(loop().now() + within);
+    read_timer_.set(loop().now() + timeout);
 }
 
 void Connection::on_read_timeout() {
@@ -359,7 +364,7 @@
 void Connection::close_gracefully() {
     if (std::exchange(closing_, true)) return;
     auto drain_and_close = [](std::shared_ptr<Connection> self) -> net::Task<> {
-        co_await gateway::close_gracefully(self->loop(), self->stream_, self->write_queue_, linger_time);
+        co_await gateway::close_gracefully(self->loop(), self->stream_, self->write_queue_, close_linger_time);
     };
     loop().spawn(drain_and_close(shared_from_this()));
 }
--- a/src/web/connection_pool.cpp
+++ b/src/web/connection_pool.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t extra_priority_connections = 2;  // above the limit, for probes and preloads
+constexpr std::size_t extra_priority_connections = 2;  // for health checks and preloads, beyond max_connections
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 
 ConnectionPool::~ConnectionPool() = default;
 
-// Puts the call on an idle connection or a new one; false where it has to wait for one.
+// Sends the call on an idle connection or a new one. Returns false if the call has to wait for a connection.
 bool ConnectionPool::dispatch(const Call& call) {
     while (!idle_.empty() && !call->fresh_connection) {
         const auto connection = idle_.back();
@@ -30,7 +30,7 @@
     }
     const std::size_t limit = config_.max_connections + (call->has_priority() ? extra_priority_connections : 0);
     if (connections_.size() >= limit) {
-        if (call->fresh_connection && !idle_.empty()) {  // an idle connection makes way for a new one
+        if (call->fresh_connection && !idle_.empty()) {  // makes room for a new connection
             idle_.front()->close();
             idle_.erase(idle_.begin());
         }
@@ -53,7 +53,7 @@
     dispatch_queued();
 }
 
-// A call that is on a connection takes the connection with it.
+// Cancels a call. If it was assigned to a connection, that connection is closed.
 Progress ConnectionPool::remove(UpstreamCall& call, StopCause) {
     Progress progress = Progress::not_written;
     if (const auto connection = std::static_pointer_cast<InvokerConnection>(connection_of(call))) {
--- a/src/web/connection_pool.hpp
+++ b/src/web/connection_pool.hpp
@@ -1,5 +1,5 @@
-/// The connections to one invoker over HTTP: kept alive, limited, one call at a time on each. Cancelling an attempt
-/// closes its connection. An attempt of which a byte was written may have run.
+/// The pool of persistent HTTP connections to one invoker. The number of connections is limited, and each carries one
+/// call at a time. Cancelling an attempt closes its connection. Once a byte of an attempt was written, it may have run.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
 
 class ConnectionPool : public gateway::QueueingPool {
 public:
-    /// `controller_name`: how this controller is named to invokers.
+    /// `controller_name` is sent to invokers in a header field.
     ConnectionPool(net::EventLoop& loop, const PoolConfig& config, net::Address address,
                    gateway::ConnectionCounts& counts, std::string controller_name);
     ~ConnectionPool() override;
@@ -40,7 +40,7 @@
 
     const std::string controller_name_;
     std::vector<ConnectionPtr> connections_;
-    std::vector<ConnectionPtr> idle_;  // of connections_, the one used last at the end
+    std::vector<ConnectionPtr> idle_;  // subset of connections_, most recently used last
 };
 
 }  // namespace plumkeel::web
--- a/src/web/invoker_connection.cpp
+++ b/src/web/invoker_connection.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t read_buffer_bytes = 256 * 1024;
 constexpr std::uint32_t max_head_bytes = 64 * 1024;
-constexpr int max_reported_count = 1000;  // of concurrent requests and copies
+constexpr int max_reported_count = 1000;  // upper bound for reported numbers of requests and of copies
 
 int parse_count(std::string_view digits) {
     return std::clamp(http::parse_number<int>(digits).value_or(0), 0, max_reported_count);
@@ -31,17 +31,17 @@
       }) {}
 
 void InvokerConnection::start(std::shared_ptr<UpstreamCall> call) {
-    take(std::move(call));
+    attach_call(std::move(call));
     loop_.spawn(run(shared_from_this(), pool_.address_));
 }
 
 bool InvokerConnection::try_send(const std::shared_ptr<UpstreamCall>& call) {
     idle_timer_.clear();
-    if (!alive_ || stream_->peer_closed()) {
+    if (!is_open_ || stream_->peer_closed()) {
         close();
         return false;
     }
-    take(call);
+    attach_call(call);
     if (write_call()) {
         ++pool_.counts_.reused;
         return true;
@@ -52,7 +52,7 @@
 }
 
 void InvokerConnection::close() {
-    alive_ = false;
+    is_open_ = false;
     idle_timer_.clear();
     if (stream_) stream_->close();
     if (write_queue_) write_queue_->abandon();
@@ -60,7 +60,7 @@
 
 Progress InvokerConnection::progress() const {
     if (!stream_) return Progress::not_connected;
-    return write_queue_->sent_bytes() > sent_bytes_before_ ? Progress::may_have_run : Progress::not_written;
+    return write_queue_->sent_bytes() > sent_bytes_before_call_ ? Progress::may_have_run : Progress::not_written;
 }
 
 std::shared_ptr<UpstreamCall> InvokerConnection::release_call() {
@@ -76,17 +76,17 @@
     idle_timer_.set(loop_.now() + pool_.config_.idle_timeout);
 }
 
-void InvokerConnection::take(std::shared_ptr<UpstreamCall> call) {
+void InvokerConnection::attach_call(std::shared_ptr<UpstreamCall> call) {
     call_ = std::move(call);
     ConnectionPool::connection_of(*call_) = shared_from_this();
     ConnectionPool::mark_sent(*call_);
 }
 
-// False: nothing of it could be written.
+// Returns false if no byte of the call could be sent.
 bool InvokerConnection::write_call() {
-    sent_bytes_before_ = write_queue_->sent_bytes();
+    sent_bytes_before_call_ = write_queue_->sent_bytes();
     write_queue_->send(encode_call(*call_, pool_.controller_name_), call_->request ? call_->request->body : nullptr);
-    return !write_queue_->error() || write_queue_->sent_bytes() > sent_bytes_before_;
+    return !write_queue_->error() || write_queue_->sent_bytes() > sent_bytes_before_call_;
 }
 
 net::Task<> InvokerConnection::run(std::shared_ptr<InvokerConnection> self, net::Address address) {
@@ -99,16 +99,16 @@
     stream_ = std::move(connected.stream);
     write_queue_ = std::make_shared<net::WriteQueue>(loop_, stream_);
     http::ReadBuffer read_buffer(stream_, read_buffer_bytes);
-    if (!alive_) {
-        stream_->close();  // the call that it was opened for was cancelled
+    if (!is_open_) {
+        stream_->close();  // the call was cancelled while connecting
     } else if (call_ && write_call()) {
-        while (alive_) {
+        while (is_open_) {
             const bool reusable = co_await read_response(read_buffer);
-            if (!reusable || !alive_) break;
+            if (!reusable || !is_open_) break;
             if (!call_) pool_.on_connection_free(self);
         }
     }
-    const bool was_idle = alive_ && !call_;
+    const bool was_idle = is_open_ && !call_;
     close();
     if (was_idle) ++pool_.counts_.closed_idle;
     if (const auto call = release_call())
@@ -119,12 +119,12 @@
 void InvokerConnection::on_connect_failed(const std::shared_ptr<InvokerConnection>& self, const net::Error& error) {
     const StopCause cause = ConnectionPool::cause_of(error);
     if (cause == StopCause::no_connection) ++pool_.counts_.unreachable;
-    alive_ = false;
+    is_open_ = false;
     if (const auto call = release_call()) pool_.finish(call, delivery::outcome_of(Progress::not_connected, cause));
     pool_.connection_closed(self);
 }
 
-// Reads one response and ends its call. False: the connection can't be used further.
+// Reads one response and finishes its call. Returns false if the connection can't be used for another call.
 net::Task<bool> InvokerConnection::read_response(http::ReadBuffer& read_buffer) {
     Parser parser;
     parser.header_limit(max_head_bytes);
@@ -135,13 +135,13 @@
         const ReadStatus status = co_await read_some(read_buffer, parser);
         if (status == ReadStatus::failed) co_return false;
         if (status == ReadStatus::ended_by_peer) break;
-        if (!is_streaming && is_large(parser)) {
+        if (!is_streaming && needs_streaming(parser)) {
             if (!begin_stream(parser)) co_return false;
             is_streaming = true;
         }
         if (is_streaming && !parser.get().body().empty()) {
-            const bool is_wanted = co_await forward_chunk(parser);
-            if (!is_wanted) co_return false;
+            const bool client_connected = co_await forward_chunk(parser);
+            if (!client_connected) co_return false;
         }
     } while (!parser.is_done());
     if (!call_) co_return false;
@@ -153,24 +153,25 @@
 net::Task<InvokerConnection::ReadStatus> InvokerConnection::read_some(http::ReadBuffer& read_buffer, Parser& parser) {
     net::Error error;
     if (read_buffer.size() == 0 || parser.got_some()) error = co_await read_buffer.read_more();
-    if (error == net::asio::error::eof) co_return end_at_eof(parser) ? ReadStatus::ended_by_peer : ReadStatus::failed;
-    if (error || !alive_) co_return ReadStatus::failed;
-    if (!call_) co_return ReadStatus::failed;  // bytes that belong to no call
+    if (error == net::asio::error::eof)
+        co_return completes_at_eof(parser) ? ReadStatus::ended_by_peer : ReadStatus::failed;
+    if (error || !is_open_) co_return ReadStatus::failed;
+    if (!call_) co_return ReadStatus::failed;  // unexpected bytes on an idle connection
     if (read_buffer.feed(parser)) co_return ReadStatus::failed;
     const bool is_informational = parser.is_header_done() && parser.get().result_int() / 100 == 1;
     co_return is_informational ? ReadStatus::failed : ReadStatus::incomplete;
 }
 
-// Whether the peer's end completes the response, as it does where no length was given.
-bool InvokerConnection::end_at_eof(Parser& parser) {
+// Returns whether the end of the connection completes the response, as it does for a response without a length.
+bool InvokerConnection::completes_at_eof(Parser& parser) {
     if (!parser.got_some() || !call_) return false;
     net::Error error;
     parser.put_eof(error);
     return !error && parser.is_done();
 }
 
-// Whether the response is one to an attempt that succeeded, and too large to be buffered.
-bool InvokerConnection::is_large(Parser& parser) const {
+// Returns whether the response is to a successful attempt and too large to be buffered.
+bool InvokerConnection::needs_streaming(Parser& parser) const {
     if (!parser.is_header_done() || parser.is_done() || call_->has_priority()) return false;
     const auto& message = parser.get();
     const AttemptOutcome outcome =
@@ -181,10 +182,10 @@
            (length && *length > pool_.config_.max_buffered_response);
 }
 
-// False: nobody wants the response, and the call has ended as cancelled.
+// Starts forwarding the response to the client. Returns false if the client has gone; the call is then cancelled.
 bool InvokerConnection::begin_stream(Parser& parser) {
     std::string forwarded;
-    protocol::read_own_fields(parser.get(), &forwarded);
+    protocol::read_protocol_fields(parser.get(), &forwarded);
     if (!call_->on_stream_begin(parser.get().result_int(), forwarded)) {
         const auto call = release_call();
         pool_.finish(call, AttemptOutcome::cancelled);
@@ -195,23 +196,23 @@
     return true;
 }
 
-// False: the receiver or the connection has gone.
+// Forwards the received part of the body. Returns false if the client has gone or this connection was closed.
 net::Task<bool> InvokerConnection::forward_chunk(Parser& parser) {
     call_->on_chunk(std::exchange(parser.get().body(), {}));
     const auto call = call_;
-    const bool is_wanted = co_await call->wait_writable();
-    co_return is_wanted&& alive_;
+    const bool client_connected = co_await call->wait_writable();
+    co_return client_connected&& is_open_;
 }
 
 void InvokerConnection::finish_call(Parser& parser) {
     CallResult result;
-    const auto own = protocol::read_own_fields(parser.get(), &result.forwarded_headers);
+    const auto fields = protocol::read_protocol_fields(parser.get(), &result.forwarded_headers);
     result.status = parser.get().result_int();
-    result.outcome = protocol::outcome_of(result.status, own.never_ran);
-    result.load_event = protocol::parse_load_event(own.load_event);
-    result.concurrent_requests = parse_count(own.concurrent_requests);
-    result.copies = parse_count(own.copies);
-    result.report = orca::parse(own.report);
+    result.outcome = protocol::outcome_of(result.status, fields.never_ran);
+    result.load_event = protocol::parse_load_event(fields.load_event);
+    result.concurrent_requests = parse_count(fields.concurrent_requests);
+    result.copies = parse_count(fields.copies);
+    result.report = orca::parse(fields.load_report);
     result.body = std::move(parser.get().body());
     pool_.finish(release_call(), std::move(result));
 }
--- a/src/web/protocol.hpp
+++ b/src/web/protocol.hpp
@@ -1,5 +1,5 @@
-/// plumkeel's own protocol over HTTP/1.1 (docs/protocol.md): names and values of its header fields beside the terms
-/// that the code uses, and what an invoker's response proves. Free of I/O.
+/// Header fields of plumkeel's protocol over HTTP/1.1 (docs/protocol.md), the conversion of their values, and the
+/// outcome of an attempt that an invoker's response stands for. Does no I/O.
 #pragma once
 
 #include <string_view>
@@ -10,7 +10,7 @@
 
 namespace plumkeel::protocol {
 
-/// Names of header fields.
+/// Names of the header fields in requests and responses.
 namespace field {
 constexpr std::string_view request_class = "plumkeel-use-case", tenant = "plumkeel-tenant",
                            remaining = "plumkeel-time-left", concurrency = "plumkeel-lanes", memory = "plumkeel-memory",
@@ -23,51 +23,51 @@
                            copies = "plumkeel-copies", retry_after_ms = "plumkeel-retry-after-ms";
 }
 
-/// The fields of this protocol in one message, as views into it; empty where a field is absent.
-struct OwnFields {
-    // Of a client's request. Times in ms, memory in MB.
+/// Values of the protocol's header fields in one message, as views into that message; empty where a field is absent.
+struct ProtocolFields {
+    // Fields of a client's request. Times are in ms, memory is in MB.
     std::string_view request_class, tenant, remaining, concurrency, memory, load_time, idempotency_key, client_retry;
-    // Of an invoker's response.
-    std::string_view load_event, concurrent_requests, never_ran, copies, report;
+    // Fields of an invoker's response.
+    std::string_view load_event, concurrent_requests, never_ran, copies, load_report;
 };
 
-/// The member for a header field, or null. Names are compared without regard to case.
-inline std::string_view* find_own_field(OwnFields& own, std::string_view name) {
-    static constexpr std::pair<std::string_view, std::string_view OwnFields::*> members[] = {
-        {field::request_class, &OwnFields::request_class},
-        {field::tenant, &OwnFields::tenant},
-        {field::remaining, &OwnFields::remaining},
-        {field::concurrency, &OwnFields::concurrency},
-        {field::memory, &OwnFields::memory},
-        {field::load_time, &OwnFields::load_time},
-        {field::idempotency_key, &OwnFields::idempotency_key},
-        {field::client_retry, &OwnFields::client_retry},
-        {field::load_event, &OwnFields::load_event},
-        {field::concurrent_requests, &OwnFields::concurrent_requests},
-        {field::never_ran, &OwnFields::never_ran},
-        {field::copies, &OwnFields::copies},
-        {orca::header_name, &OwnFields::report}};
-    for (const auto& [known, member] : members)
-        if (known.size() == name.size() && http::equals_ignoring_case(known, name)) return &(own.*member);
+/// Returns the member of `fields` for the header field `name`, or null for other fields. Ignores the case of `name`.
+inline std::string_view* find_protocol_field(ProtocolFields& fields, std::string_view name) {
+    static constexpr std::pair<std::string_view, std::string_view ProtocolFields::*> members[] = {
+        {field::request_class, &ProtocolFields::request_class},
+        {field::tenant, &ProtocolFields::tenant},
+        {field::remaining, &ProtocolFields::remaining},
+        {field::concurrency, &ProtocolFields::concurrency},
+        {field::memory, &ProtocolFields::memory},
+        {field::load_time, &ProtocolFields::load_time},
+        {field::idempotency_key, &ProtocolFields::idempotency_key},
+        {field::client_retry, &ProtocolFields::client_retry},
+        {field::load_event, &ProtocolFields::load_event},
+        {field::concurrent_requests, &ProtocolFields::concurrent_requests},
+        {field::never_ran, &ProtocolFields::never_ran},
+        {field::copies, &ProtocolFields::copies},
+        {orca::header_name, &ProtocolFields::load_report}};
+    for (const auto& [known_name, member] : members)
+        if (known_name.size() == name.size() && http::equals_ignoring_case(known_name, name)) return &(fields.*member);
     return nullptr;
 }
 
-/// Reads all fields in one pass. Of a field that appears twice the first one counts. With `forwarded`, the lines of the
-/// fields that are passed on to the other side are appended to it.
+/// Reads the protocol's header fields of a message; if a field appears twice, its first value counts. If `forwarded`
+/// is given, the header lines that the gateway passes on unchanged are appended to it.
 template <class Message>
-OwnFields read_own_fields(const Message& message, std::string* forwarded = nullptr) {
-    OwnFields own;
-    for (const auto& each : message) {
-        const std::string_view name = http::to_string_view(each.name_string());
-        std::string_view* member = find_own_field(own, name);
-        if (member && member->empty()) *member = http::to_string_view(each.value());
+ProtocolFields read_protocol_fields(const Message& message, std::string* forwarded = nullptr) {
+    ProtocolFields fields;
+    for (const auto& header : message) {
+        const std::string_view name = http::to_string_view(header.name_string());
+        std::string_view* member = find_protocol_field(fields, name);
+        if (member && member->empty()) *member = http::to_string_view(header.value());
         if (forwarded && !member && http::is_forwarded_header(name))
-            forwarded->append(name).append(": ").append(http::to_string_view(each.value())).append("\r\n");
+            forwarded->append(name).append(": ").append(http::to_string_view(header.value())).append("\r\n");
     }
-    return own;
+    return fields;
 }
 
-/// The value of field::outcome in a response to a client.
+/// Returns the value of the header field `plumkeel-outcome` in a response to a client.
 constexpr std::string_view outcome_name(RequestState state) {
     switch (state) {
         case RequestState::succeeded:
@@ -80,17 +80,18 @@
     }
 }
 
-/// From the value of field::load_event.
-constexpr LoadEvent parse_load_event(std::string_view word) {
-    if (word == "stood-loaded") return LoadEvent::was_loaded;
-    if (word == "began-load") return LoadEvent::started_load;
-    if (word == "joined-load") return LoadEvent::joined_load;
-    if (word == "load-broke") return LoadEvent::load_failed;
+/// Parses the value of the header field `plumkeel-note`; LoadEvent::none if it is absent or unknown.
+constexpr LoadEvent parse_load_event(std::string_view value) {
+    if (value == "stood-loaded") return LoadEvent::was_loaded;
+    if (value == "began-load") return LoadEvent::started_load;
+    if (value == "joined-load") return LoadEvent::joined_load;
+    if (value == "load-broke") return LoadEvent::load_failed;
     return LoadEvent::none;
 }
 
-/// What a complete response of an invoker says of its attempt. `never_ran`: the value of field::never_ran. Only that
-/// field proves that the attempt never ran: a bare 503 may come from a proxy in front of an invoker that ran it.
+/// Returns the outcome of an attempt from the invoker's complete response. `never_ran` is the value of the header field
+/// `plumkeel-never-ran`. Only that field proves that the function did not run: a status 503 alone may come from a proxy
+/// in front of an invoker that did run it.
 constexpr AttemptOutcome outcome_of(unsigned status, std::string_view never_ran) {
     if (never_ran == "turned-away" || never_ran == "draining") return AttemptOutcome::rejected;
     if (never_ran == "not-loaded") return AttemptOutcome::load_failed;
--- a/src/web/request_fields.cpp
+++ b/src/web/request_fields.cpp
@@ -20,7 +20,8 @@
     return RejectionReason::none;
 }
 
-// Nothing where the field is absent; `is_valid` becomes false where it is no whole number from 0 to `maximum`.
+// Parses a header value; empty if the header field is absent. Sets `is_valid` to false unless the value is a whole
+// number from 0 to `maximum`.
 std::optional<int> parse_number(std::string_view digits, int maximum, bool& is_valid) {
     if (digits.empty()) return {};
     const auto value = http::parse_number<int>(digits);
@@ -28,15 +29,15 @@
     return value;
 }
 
-RejectionReason parse_hints(const protocol::OwnFields& own, IncomingRequest& request) {
+RejectionReason parse_optional_fields(const protocol::ProtocolFields& fields, IncomingRequest& request) {
     bool is_valid = true;
-    if (const auto concurrency = parse_number(own.concurrency, max_concurrency, is_valid))
+    if (const auto concurrency = parse_number(fields.concurrency, max_concurrency, is_valid))
         request.concurrency = std::max(1, *concurrency);
-    request.memory = parse_number(own.memory, max_memory_mb, is_valid);
-    if (const auto load_time = parse_number(own.load_time, max_load_time_ms, is_valid))
+    request.memory = parse_number(fields.memory, max_memory_mb, is_valid);
+    if (const auto load_time = parse_number(fields.load_time, max_load_time_ms, is_valid))
         request.declared_load_time = std::chrono::milliseconds(*load_time);
-    is_valid = is_valid && (own.client_retry.empty() || own.client_retry == "0" || own.client_retry == "1");
-    request.is_client_retry = own.client_retry == "1";
+    is_valid = is_valid && (fields.client_retry.empty() || fields.client_retry == "0" || fields.client_retry == "1");
+    request.is_client_retry = fields.client_retry == "1";
     return is_valid ? RejectionReason::none : RejectionReason::bad_field;
 }
 
@@ -44,18 +45,18 @@
 
 RejectionReason parse_request(const RequestParser& parser, const GatewayConfig& config, const Admission& admission,
                               IncomingRequest& request) {
-    const protocol::OwnFields own = protocol::read_own_fields(parser.get(), &request.forwarded_headers);
+    const protocol::ProtocolFields fields = protocol::read_protocol_fields(parser.get(), &request.forwarded_headers);
     if (admission.check_name(request.function) != RejectionReason::none) return RejectionReason::bad_function;
-    const auto request_class = config.request_classes.find(own.request_class);
+    const auto request_class = config.request_classes.find(fields.request_class);
     if (request_class == config.request_classes.end()) return RejectionReason::no_such_request_class;
     request.request_class = &request_class->second;
-    request.tenant = own.tenant;
-    request.idempotency_key = own.idempotency_key;
+    request.tenant = fields.tenant;
+    request.idempotency_key = fields.idempotency_key;
     if (const auto reason = check_names(request, admission.limits()); reason != RejectionReason::none) return reason;
-    if (const auto reason = admission.parse_remaining(own.remaining, request.remaining);
+    if (const auto reason = admission.parse_remaining(fields.remaining, request.remaining);
         reason != RejectionReason::none)
         return reason;
-    return parse_hints(own, request);
+    return parse_optional_fields(fields, request);
 }
 
 }  // namespace plumkeel::web
--- a/src/web/request_fields.hpp
+++ b/src/web/request_fields.hpp
@@ -1,5 +1,5 @@
-/// The header fields by which a client describes a request over HTTP: their checks and their conversion to
-/// gateway::IncomingRequest. Free of I/O and clocks.
+/// Checks the header fields of a client's HTTP request and converts them to a gateway::IncomingRequest. Does no I/O and
+/// reads no clock.
 #pragma once
 
 #include "gateway/gateway.hpp"
@@ -9,7 +9,7 @@
 
 using RequestParser = http::beast_http::request_parser<http::beast_http::string_body>;
 
-/// Checks the fields of `parser`'s head and fills `request`, but for its body. `request.function` is set before.
+/// Checks the header fields and fills `request` except for its body. The caller has set `request.function`.
 RejectionReason parse_request(const RequestParser& parser, const GatewayConfig& config, const Admission& admission,
                               gateway::IncomingRequest& request);
 
--- a/src/web/server.cpp
+++ b/src/web/server.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int max_rejecting = 64;  // rejected connections that are kept open for a moment
+constexpr int max_rejecting_connections = 64;  // rejected connections kept open until their input ends
 constexpr Time reject_linger_time = 200ms;
 constexpr std::size_t discard_buffer_bytes = 1024;
 
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-Server::Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed, trace::RecordCallback recorded)
+Server::Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed,
+               trace::RecordCallback on_record)
     : loop_(loop),
       log_(log),
       gateway_(
@@ -40,7 +41,7 @@
               return std::make_unique<ConnectionPool>(loop_, gateway_.config().pool, address, counts,
                                                       gateway_.incarnation());
           },
-          std::move(recorded)),
+          std::move(on_record)),
       watcher_(loop, gateway_.config().endpoint_source, gateway_.incarnation(), log, seed,
                [this](const auto& changed, bool complete) { gateway_.update_endpoints(changed, complete); }) {
     gateway_.set_list_age_source([this] { return watcher_.query().confirmed_at(); });
@@ -53,24 +54,25 @@
     auto result = loop_.listen(*address);
     if (result.error) return result.error;
     listener_ = std::move(result.listener);
-    std::vector<gateway::Endpoint> fixed;
-    for (const StaticInvoker& each : gateway_.config().endpoint_source.fixed)
-        fixed.push_back({each.name, each.address, each.zone, each.type, true, each.capacity, each.cell, {}});
-    gateway_.update_endpoints(fixed, true);
+    std::vector<gateway::Endpoint> static_endpoints;
+    for (const StaticInvoker& invoker : gateway_.config().endpoint_source.fixed)
+        static_endpoints.push_back(
+            {invoker.name, invoker.address, invoker.zone, invoker.type, true, invoker.capacity, invoker.cell, {}});
+    gateway_.update_endpoints(static_endpoints, true);
     if (!gateway_.config().endpoint_source.consul.empty()) watcher_.start();
     gateway_.start();
-    loop_.spawn(accept());
+    loop_.spawn(accept_connections());
     return {};
 }
 
-net::Task<> Server::accept() {
+net::Task<> Server::accept_connections() {
     const auto listener = listener_;
     for (;;) {
         auto accepted = co_await listener->accept();
         if (accepted.error == net::asio::error::operation_aborted) co_return;
         if (accepted.error) {
-            // Nearly always for want of descriptors. The connection stays in the backlog, so accepting again at once
-            // would spin.
+            // The usual cause is a lack of file descriptors. The connection stays in the listen backlog, so accepting
+            // again without a pause would be a busy loop.
             log_.write(Log::Level::error, "accept_failed", {{"error", accepted.error.message()}});
             co_await loop_.sleep(gateway_.admission().accept_pause());
             continue;
@@ -79,27 +81,27 @@
         const RejectionReason reason = gateway_.admission().admit_connection();
         if (reason != RejectionReason::none) {
             gateway_.admission().count(reason);
-            loop_.spawn(reject(std::move(accepted.stream), reason));
+            loop_.spawn(reject_connection(std::move(accepted.stream), reason));
             continue;
         }
-        const auto connection = std::make_shared<Connection>(*this, ++connection_ids_, std::move(accepted.stream));
+        const auto connection = std::make_shared<Connection>(*this, ++last_connection_id_, std::move(accepted.stream));
         connections_[connection->id()] = connection;
         connection->start();
     }
 }
 
-// Tells a client that there is no room for its connection. Its input is read and discarded for a moment, since a close
-// with unread bytes resets the connection and may overtake the response; but only for a few at a time, so that a flood
-// of connections can't use up the descriptors this way.
-net::Task<> Server::reject(std::shared_ptr<net::Stream> stream, RejectionReason reason) {
+// Tells a client that its connection is not admitted, and closes it. Its input is read and discarded first, since
+// closing a socket with unread bytes sends a reset that may destroy the response. Only a limited number of connections
+// is kept open for this, so that a flood of connections can't use up the file descriptors.
+net::Task<> Server::reject_connection(std::shared_ptr<net::Stream> stream, RejectionReason reason) {
     const std::string head = rejection_head(reason);
     const net::asio::const_buffer buffer = net::asio::buffer(head);
     stream->write_now({&buffer, 1});
     stream->shutdown_send();
-    if (rejecting_ < max_rejecting) {
-        ++rejecting_;
+    if (rejecting_connections_ < max_rejecting_connections) {
+        ++rejecting_connections_;
         co_await discard_input(stream);
-        --rejecting_;
+        --rejecting_connections_;
     }
     stream->close();
 }
@@ -115,8 +117,8 @@
     loop_.cancel(timer);
 }
 
-void Server::close(std::function<void()> then) {
-    on_drained_ = std::move(then);
+void Server::close(std::function<void()> on_closed) {
+    on_closed_ = std::move(on_closed);
     gateway_.admission().close();
     if (listener_) listener_->close();
     const auto connections = connections_;
@@ -128,11 +130,11 @@
 }
 
 void Server::check_drained() {
-    if (!on_drained_ || !gateway_drained_) return;
-    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& each) { return each.second->is_busy(); }))
+    if (!on_closed_ || !gateway_drained_) return;
+    if (std::any_of(connections_.begin(), connections_.end(), [](const auto& item) { return item.second->is_busy(); }))
         return;
-    const auto then = std::exchange(on_drained_, nullptr);
-    loop_.call_at(loop_.now(), then);
+    const auto on_closed = std::exchange(on_closed_, nullptr);
+    loop_.call_at(loop_.now(), on_closed);
 }
 
 void Server::connection_closed(const std::shared_ptr<Connection>& connection) {
--- a/src/web/server.hpp
+++ b/src/web/server.hpp
@@ -1,5 +1,5 @@
-/// A controller that serves clients and invokers over HTTP: the gateway with its listener, the clients' connections
-/// and the watcher that keeps the list of invokers up to date.
+/// A controller that talks HTTP to clients and invokers: it owns the gateway, the listener, the client connections and
+/// the watcher that keeps the list of invokers up to date.
 #pragma once
 
 #include <map>
@@ -13,15 +13,15 @@
 
 class Server {
 public:
-    /// `recorded` receives every call of the scheduler and its result, for traces.
+    /// `on_record` receives each call of the scheduler with its result, for trace files.
     Server(net::EventLoop& loop, GatewayConfig config, Log& log, std::uint64_t seed,
-           trace::RecordCallback recorded = {});
+           trace::RecordCallback on_record = {});
     ~Server();
 
-    /// Listens and serves from now on; the error, if it can't listen.
+    /// Starts listening and serving. Returns an error if the address can't be listened on.
     net::Error open();
-    /// Accepts no more; calls `then` once every open request has its response and every response has been written.
-    void close(std::function<void()> then);
+    /// Stops accepting connections. Calls `on_closed` once all open requests have responses and those have been sent.
+    void close(std::function<void()> on_closed);
     net::Address address() const { return listener_->address(); }
     boost::json::object status() const { return gateway_.status(); }
     metrics::GatewayMetrics* metrics() { return gateway_.metrics(); }
@@ -34,8 +34,8 @@
     void connection_closed(const std::shared_ptr<Connection>& connection);
 
 private:
-    net::Task<> accept();
-    net::Task<> reject(std::shared_ptr<net::Stream> stream, RejectionReason reason);
+    net::Task<> accept_connections();
+    net::Task<> reject_connection(std::shared_ptr<net::Stream> stream, RejectionReason reason);
     net::Task<> discard_input(std::shared_ptr<net::Stream> stream);
     void check_drained();
 
@@ -44,11 +44,11 @@
     gateway::Gateway gateway_;
     consul::HealthWatcher watcher_;
     std::shared_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // by id, so in the order of their accept
-    std::uint64_t connection_ids_{};
-    int rejecting_{};  // rejected connections whose input is being discarded
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // by connection id
+    std::uint64_t last_connection_id_{};
+    int rejecting_connections_{};  // number of rejected connections whose input is being discarded
     bool gateway_drained_{};
-    std::function<void()> on_drained_;
+    std::function<void()> on_closed_;
 };
 
 }  // namespace plumkeel::web
