--- a/src/remote_write/durable_queue.cpp
+++ b/src/remote_write/durable_queue.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- opening
+// ---------------------------------------------------------------- opening and loading
 
 DurableQueue::DurableQueue(QueueConfig config, const std::vector<std::string>& receivers)
     : config_(std::move(config)), store_(std::make_unique<LmdbStore>(config_.folder, config_.max_bytes)) {
@@ -81,28 +81,28 @@
 DurableQueue::~DurableQueue() {
     try {
         if (damaged_) repair();
-    } catch (const QueueError&) {  // NOLINT(bugprone-empty-catch): a destructor can only give up
-        // The disk still fails: the next run may find a scrape whose append() failed.
+    } catch (const QueueError&) {  // NOLINT(bugprone-empty-catch): a destructor must not throw
+        // The disk still fails: the next run may find a scrape although its append() failed.
     }
     store_->sync_before_close();
 }
 
 // ---------------------------------------------------------------- failed writes
 
-template <class Work>
-void DurableQueue::write(Work work) {
+template <class Operation>
+void DurableQueue::write(Operation operation) {
     if (damaged_) repair();
     try {
-        work();
+        operation();
     } catch (const QueueError&) {
         damaged_ = true;
         throw;
     }
 }
 
-// After a failed sync the kernel may count pages as clean that never reached the disk, and LMDB refuses all work after
-// a failed write of its meta page. So the environment is opened anew, brought in line with what is known in memory,
-// and written whole into a new file.
+// Rebuilds the queue's file after a failed write or sync. After a failed sync the kernel may treat pages as clean that
+// never reached the disk, and after a failed write of its meta page LMDB refuses all operations. So the environment is
+// reopened, corrected to match the state in memory, and copied into a new file.
 void DurableQueue::repair() {
     store_->reopen();
     {
@@ -116,7 +116,7 @@
 }
 
 void DurableQueue::restore_known_state(LmdbTransaction& transaction) {
-    std::vector<std::string> unknown_keys;  // of scrapes whose append() failed, or that were released
+    std::vector<std::string> unknown_keys;  // keys of scrapes that were released or whose append() failed
     transaction.for_each(LmdbTable::entries, [&](std::string_view key_bytes, std::string_view) {
         const auto key = queue_format::decode_entry_key(key_bytes);
         if (!key || !entries_.contains(key->sequence)) unknown_keys.emplace_back(key_bytes);
@@ -135,7 +135,7 @@
 void DurableQueue::append(std::int64_t timestamp_ms, const std::vector<Shard>& shards) {
     std::vector<EncodedShard> encoded;
     Entry entry = make_entry(timestamp_ms, shards, encoded);
-    const std::uint64_t keep_from = first_to_keep(entry);
+    const std::uint64_t keep_from = first_sequence_to_keep(entry);
     write([&] {
         release_below(keep_from, ReleaseReason::limit_exceeded);
         write_entry(timestamp_ms, encoded);
@@ -158,11 +158,12 @@
     return entry;
 }
 
-// The first entry that stays within the limits of size and age once `added` is there too.
-std::uint64_t DurableQueue::first_to_keep(const Entry& added) const {
-    std::size_t total = bytes_ + added.bytes;
+// Returns the sequence number of the oldest entry that may stay when `new_entry` is appended, by the limits of size and
+// age.
+std::uint64_t DurableQueue::first_sequence_to_keep(const Entry& new_entry) const {
+    std::size_t total = bytes_ + new_entry.bytes;
     for (const auto& [sequence, entry] : entries_) {
-        if (total <= config_.max_bytes && entry.timestamp_ms + config_.max_age.count() >= added.timestamp_ms)
+        if (total <= config_.max_bytes && entry.timestamp_ms + config_.max_age.count() >= new_entry.timestamp_ms)
             return sequence;
         total -= entry.bytes;
     }
@@ -181,19 +182,19 @@
 // ---------------------------------------------------------------- reading and acknowledging
 
 DurableQueue::Batch DurableQueue::read(const std::string& receiver, int shard, std::size_t max_samples) {
-    const auto index = static_cast<std::size_t>(shard);
+    const auto shard_index = static_cast<std::size_t>(shard);
     Batch batch;
-    batch.next = positions_.at(receiver)[index];
-    // Entries known in memory can be read from a damaged file too: a disk that refuses writes does not stop sending.
+    batch.next = positions_.at(receiver)[shard_index];
+    // A file whose last write failed can still be read, so sending goes on while the disk refuses writes.
     if (damaged_ && !store_->can_read()) repair();
     LmdbTransaction transaction(*store_, LmdbAccess::read_only);
     for (auto it = entries_.lower_bound(batch.next); it != entries_.end(); ++it) {
         const auto& [sequence, entry] = *it;
-        const std::uint32_t samples = entry.samples[index];
+        const std::uint32_t samples = entry.samples[shard_index];
         if (batch.samples > 0 && batch.samples + samples > max_samples) break;
         batch.next = sequence + 1;
         if (samples == 0) continue;
-        const auto value = transaction.get(LmdbTable::entries, queue_format::encode_entry_key({sequence, index}));
+        const auto value = transaction.get(LmdbTable::entries, queue_format::encode_entry_key({sequence, shard_index}));
         const std::optional<std::string> bytes = value ? queue_format::decompress_entry(*value) : std::nullopt;
         if (!bytes) {
             dropped_samples_ += samples;
@@ -206,19 +207,20 @@
     return batch;
 }
 
-void DurableQueue::advance(const std::string& receiver, int shard, std::uint64_t next) {
-    const auto index = static_cast<std::size_t>(shard);
-    std::uint64_t& position = positions_.at(receiver)[index];
-    if (next <= position) return;
-    position = next;
+void DurableQueue::advance(const std::string& receiver, int shard, std::uint64_t next_position) {
+    const auto shard_index = static_cast<std::size_t>(shard);
+    std::uint64_t& position = positions_.at(receiver)[shard_index];
+    if (next_position <= position) return;
+    position = next_position;
     write([&] {
         LmdbTransaction transaction(*store_, LmdbAccess::read_write);
-        put_position(transaction, receiver, index, position);
+        put_position(transaction, receiver, shard_index, position);
         transaction.commit();
     });
     std::uint64_t acknowledged_by_all = next_sequence_;
     for (const auto& [name, positions] : positions_)
-        for (const std::uint64_t each : positions) acknowledged_by_all = std::min(acknowledged_by_all, each);
+        for (const std::uint64_t shard_position : positions)
+            acknowledged_by_all = std::min(acknowledged_by_all, shard_position);
     write([&] { release_below(acknowledged_by_all, ReleaseReason::acknowledged); });
 }
 
@@ -226,11 +228,11 @@
     if (entries_.empty() || entries_.begin()->first >= sequence) return;
     LmdbTransaction transaction(*store_, LmdbAccess::read_write);
     while (!entries_.empty() && entries_.begin()->first < sequence) {
-        const auto& [oldest, entry] = *entries_.begin();
+        const auto& [oldest_sequence, entry] = *entries_.begin();
         for (std::size_t shard = 0; shard < entry.samples.size(); ++shard) {
             if (entry.samples[shard] == 0) continue;
-            transaction.erase(LmdbTable::entries, queue_format::encode_entry_key({oldest, shard}));
-            if (reason == ReleaseReason::limit_exceeded) count_dropped(oldest, shard, entry.samples[shard]);
+            transaction.erase(LmdbTable::entries, queue_format::encode_entry_key({oldest_sequence, shard}));
+            if (reason == ReleaseReason::limit_exceeded) count_dropped(oldest_sequence, shard, entry.samples[shard]);
         }
         bytes_ -= entry.bytes;
         entries_.erase(entries_.begin());
@@ -240,7 +242,7 @@
     transaction.commit();
 }
 
-// Counts the samples once for each receiver that had not acknowledged them.
+// Adds `samples` to the dropped samples once for each receiver that has not acknowledged them.
 void DurableQueue::count_dropped(std::uint64_t sequence, std::size_t shard, std::uint32_t samples) {
     for (const auto& [receiver, positions] : positions_)
         if (positions[shard] <= sequence) dropped_samples_ += samples;
--- a/src/remote_write/export_event.hpp
+++ b/src/remote_write/export_event.hpp
@@ -1,4 +1,4 @@
-/// Changes in the state of remote write that an operator should know of.
+/// Changes in the state of remote write that are reported to the operator.
 #pragma once
 
 #include <functional>
@@ -9,17 +9,17 @@
 
 enum class ExportEvent {
     receiver_accepting,     ///< a receiver accepts samples again
-    receiver_unavailable,   ///< a receiver asks to retry (status 5xx or 429)
-    receiver_rejecting,     ///< a receiver rejects samples for good (another status); they are lost to it
-    receiver_unresponsive,  ///< no response, or no connection
-    queue_failed,           ///< the disk does not store the queue
-    queue_recovered,        ///< the disk stores the queue again
+    receiver_unavailable,   ///< a receiver responds with status 5xx or 429; the batch is sent again
+    receiver_rejecting,     ///< a receiver responds with another error status; the batch is not sent again
+    receiver_unresponsive,  ///< a receiver can't be connected to or does not respond
+    queue_failed,           ///< the queue can't be written to disk
+    queue_recovered,        ///< the queue can be written to disk again
 };
 
-/// The event's name in the log.
+/// Returns the name of the event in the log.
 std::string_view to_string(ExportEvent event);
 
-/// Invoked once for each change of state; `detail` is for a person to read.
+/// Invoked once for each change of state; `detail` is text for the operator.
 using ExportListener = std::function<void(ExportEvent event, const std::string& detail)>;
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/export_worker.cpp
+++ b/src/remote_write/export_worker.cpp
@@ -46,21 +46,21 @@
 
 net::Task<> ExportWorker::scrape_loop() {
     for (const auto& sender : senders_) sender->start();
-    notify_senders(0);  // the last run may have left samples in the queue
+    notify_senders(0);  // sends samples left in the queue by the previous run
     Time next_scrape = loop_.now();
     while (!stopping_) {
         next_scrape += config_.interval;
         const Time now = loop_.now();
-        next_scrape = std::max(next_scrape, now);  // scrapes missed during a stall are not made up for
+        next_scrape = std::max(next_scrape, now);  // skips scrapes that were due during a stall
         co_await loop_.sleep(next_scrape - now);
         if (!stopping_) scrape();
     }
 }
 
 void ExportWorker::scrape() {
-    std::vector<Sample> samples = flatten(collect_());
+    std::vector<Sample> samples = to_samples(collect_());
     append_own_metrics(samples);
-    const std::int64_t timestamp_ms = clock_.ms(loop_.wall_clock(), loop_.now());
+    const std::int64_t timestamp_ms = clock_.timestamp_ms(loop_.wall_clock(), loop_.now());
     append(timestamp_ms, encoder_.encode(samples, timestamp_ms));
     notify_senders(static_cast<double>(samples.size()) / std::chrono::duration<double>(config_.interval).count());
 }
@@ -68,7 +68,8 @@
 void ExportWorker::append(std::int64_t timestamp_ms, const std::vector<Shard>& shards) {
     try {
         queue_.append(timestamp_ms, shards);
-        if (std::exchange(queue_failed_, false)) listener_(ExportEvent::queue_recovered, "writes succeed again");
+        if (std::exchange(queue_failed_, false))
+            listener_(ExportEvent::queue_recovered, "the queue can be written to disk again");
     } catch (const QueueError& error) {
         for (const Shard& shard : shards) unqueued_samples_ += shard.samples;
         if (!std::exchange(queue_failed_, true)) listener_(ExportEvent::queue_failed, error.what());
@@ -80,20 +81,20 @@
 }
 
 void ExportWorker::append_own_metrics(std::vector<Sample>& samples) const {
-    const auto add = [&](const char* name, std::uint64_t value, const std::string& receiver = "") {
+    const auto append_sample = [&](const char* name, std::uint64_t value, const std::string& receiver = "") {
         Labels labels = {{"__name__", name}};
         if (!config_.controller.empty()) labels.emplace_back("controller", config_.controller);
         if (!receiver.empty()) labels.emplace_back("receiver", receiver);
         samples.push_back({std::move(labels), static_cast<double>(value)});
     };
-    add(metric_name::queue_bytes, queue_.bytes());
-    add(metric_name::dropped_samples, queue_.dropped_samples() + unqueued_samples_);
+    append_sample(metric_name::queue_bytes, queue_.bytes());
+    append_sample(metric_name::dropped_samples, queue_.dropped_samples() + unqueued_samples_);
     for (const auto& sender : senders_) {
-        const SenderCounters& counters = sender->counts();
-        add(metric_name::pending_samples, queue_.pending_samples(sender->name()), sender->name());
-        add(metric_name::accepted_samples, counters.accepted, sender->name());
-        add(metric_name::rejected_samples, counters.rejected, sender->name());
-        add(metric_name::send_failures, counters.failures, sender->name());
+        const SenderCounters& counters = sender->counters();
+        append_sample(metric_name::pending_samples, queue_.pending_samples(sender->name()), sender->name());
+        append_sample(metric_name::accepted_samples, counters.accepted, sender->name());
+        append_sample(metric_name::rejected_samples, counters.rejected, sender->name());
+        append_sample(metric_name::send_failures, counters.failures, sender->name());
     }
 }
 
@@ -103,7 +104,7 @@
 
 void ExportWorker::stop() {
     stopping_ = true;
-    const std::int64_t timestamp_ms = clock_.ms(loop_.wall_clock(), loop_.now());
+    const std::int64_t timestamp_ms = clock_.timestamp_ms(loop_.wall_clock(), loop_.now());
     append(timestamp_ms, encoder_.encode_end(timestamp_ms));
     notify_senders(0);
     stop_when_sent(loop_.now() + config_.shutdown_timeout);
--- a/src/remote_write/export_worker.hpp
+++ b/src/remote_write/export_worker.hpp
@@ -1,4 +1,4 @@
-/// What runs on the exporter's thread: scrapes, the queue and the senders. Private to the package.
+/// Scrapes the metrics, queues the samples and sends them; runs on the exporter's thread. Private to the package.
 #pragma once
 
 #include <memory>
@@ -15,9 +15,10 @@
 public:
     ExportWorker(ExporterConfig config, MetricCollector collect, ExportListener listener);
 
-    /// Runs until a stop is complete.
+    /// Runs the event loop; returns once a requested stop is complete.
     void run();
-    /// From any thread: ends all series, waits for pending samples up to the shutdown timeout, then stops.
+    /// Ends all series with staleness markers, waits until all samples are sent or the shutdown timeout has passed,
+    /// then makes run() return. May be called on any thread.
     void request_stop();
 
 private:
@@ -35,12 +36,12 @@
     const ExportListener listener_;
     DurableQueue queue_;
     SeriesEncoder encoder_;
-    std::uint64_t unqueued_samples_{};  // lost since the queue did not take them
+    std::uint64_t unqueued_samples_{};  // number of samples lost because append() failed
     bool stopping_{}, queue_failed_{};
     net::SocketEventLoop loop_;
     SampleClock clock_;
-    std::vector<std::unique_ptr<Sender>> senders_;  // the loop, which owns their coroutines, does not run any more
-                                                    // when they are destroyed
+    std::vector<std::unique_ptr<Sender>> senders_;  // destroyed before loop_, which no longer runs
+                                                    // their coroutines then
 };
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/exporter.hpp
+++ b/src/remote_write/exporter.hpp
@@ -1,4 +1,4 @@
-/// Exports the process' metrics to remote write receivers, from a thread of its own: it scrapes, queues and sends.
+/// Exports the metrics of this process to remote write receivers, on a separate thread.
 #pragma once
 
 #include <functional>
@@ -12,9 +12,9 @@
 namespace plumkeel::remote_write {
 
 struct ExporterConfig {
-    QueueConfig queue;                        ///< without a folder nothing is exported
-    Time interval = std::chrono::seconds(5);  ///< between two scrapes
-    /// How long the destructor waits for pending samples; the next run sends what is left.
+    QueueConfig queue;                        ///< if its folder is empty, nothing is exported
+    Time interval = std::chrono::seconds(5);  ///< time between two scrapes
+    /// How long the destructor waits until pending samples are sent; the next run sends the remaining ones.
     Time shutdown_timeout = std::chrono::seconds(2);
     std::vector<ReceiverConfig> receivers;
     std::string controller;  ///< label of the exporter's own metrics; empty: no such label
@@ -24,7 +24,7 @@
 
 class ExportWorker;
 
-/// Its functions never wait for the exporter's thread, but for the destructor.
+/// Owns the exporter's thread. Only the destructor waits for that thread.
 class Exporter {
 public:
     /// `collect` and `listener` are invoked on the exporter's thread. Throws QueueError where the queue can't be used.
--- a/src/remote_write/lmdb_store.hpp
+++ b/src/remote_write/lmdb_store.hpp
@@ -1,5 +1,4 @@
-/// The durable queue's LMDB environment: opening, transactions, and rewriting it after a failed write. Private to the
-/// package.
+/// The LMDB environment that stores the durable queue, and its transactions. Private to the package.
 #pragma once
 
 #include <lmdb.h>
@@ -20,19 +19,19 @@
 /// All functions throw QueueError unless they say otherwise.
 class LmdbStore {
 public:
-    /// Opens the environment, and creates it if it does not exist; the tables are opened by a transaction.
+    /// Opens the environment, and creates it if it does not exist. LmdbTransaction::open_tables() opens its tables.
     LmdbStore(std::string folder, std::size_t max_bytes);
     LmdbStore(const LmdbStore&) = delete;
 
     /// Whether a read transaction can begin. Never throws.
     bool can_read() const;
-    /// Flushes all that was committed to disk.
+    /// Flushes all committed transactions to disk.
     void sync();
-    /// Flushes what it can; never throws.
+    /// Like sync(), but ignores errors. Never throws.
     void sync_before_close();
     /// Closes the environment and opens it again, with its tables.
     void reopen();
-    /// Writes the whole environment into a new file, which is on disk when it replaces the old one, and closes it.
+    /// Copies the environment to a new file, syncs that, replaces the old file by it and closes the environment.
     void rewrite();
 
 private:
@@ -41,7 +40,7 @@
         void operator()(MDB_env* environment) const { mdb_env_close(environment); }
     };
     void open();
-    MDB_dbi handle(LmdbTable table) const { return table == LmdbTable::entries ? entries_ : positions_; }
+    MDB_dbi table_handle(LmdbTable table) const { return table == LmdbTable::entries ? entries_ : positions_; }
 
     const std::string folder_;
     const std::size_t max_bytes_;
@@ -49,25 +48,26 @@
     MDB_dbi entries_{}, positions_{};
 };
 
-/// Aborted on destruction unless it was committed. Functions throw QueueError unless they say otherwise.
+/// A transaction that is aborted on destruction unless it was committed. All functions throw QueueError unless they say
+/// otherwise.
 class LmdbTransaction {
 public:
     LmdbTransaction(LmdbStore& store, LmdbAccess access);
 
-    /// Must be the first that is done in an environment just opened. The tables stay open once it is committed.
+    /// Must be called before any other operation on a newly opened environment. The tables stay open after commit().
     void open_tables(bool create);
     void put(LmdbTable table, std::string_view key, std::string_view value);
     /// A missing key is not an error. Never throws.
     void erase(LmdbTable table, std::string_view key);
-    /// Valid until the transaction ends; empty where the key is missing.
+    /// Returns the value, valid until the transaction ends; empty if the key is missing.
     std::optional<std::string_view> get(LmdbTable table, std::string_view key);
-    /// Invokes `callback(key, value)` for each item by key, up to the first that can't be read.
+    /// Invokes `callback(key, value)` for all items in the order of keys; stops at an item that can't be read.
     template <class Callback>
     void for_each(LmdbTable table, Callback callback);
     void commit();
 
 private:
-    struct Abort {
+    struct AbortTransaction {
         void operator()(MDB_txn* transaction) const { mdb_txn_abort(transaction); }
     };
     struct CloseCursor {
@@ -77,7 +77,7 @@
     Cursor open_cursor(LmdbTable table);
 
     LmdbStore& store_;
-    std::unique_ptr<MDB_txn, Abort> transaction_;
+    std::unique_ptr<MDB_txn, AbortTransaction> transaction_;
 };
 
 template <class Callback>
--- a/src/remote_write/queue_error.hpp
+++ b/src/remote_write/queue_error.hpp
@@ -1,11 +1,11 @@
-/// The error of the durable queue.
+/// The exception type of the durable queue.
 #pragma once
 
 #include <stdexcept>
 
 namespace plumkeel::remote_write {
 
-/// The queue's files can't be read or written; what() names the operation or the file, and the cause.
+/// Thrown if the queue's files can't be read or written. what() names the failed operation or the file, and the cause.
 struct QueueError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/src/remote_write/queue_format.cpp
+++ b/src/remote_write/queue_format.cpp
@@ -10,10 +10,11 @@
 constexpr std::size_t number_bytes = 8;
 constexpr std::size_t entry_key_bytes = number_bytes + 1;
 constexpr std::size_t entry_header_bytes = 3 * number_bytes;
-constexpr std::size_t max_uncompressed_bytes = std::size_t{256} * 1024 * 1024;  // a header that claims more is damaged
+constexpr std::size_t max_uncompressed_bytes =
+    std::size_t{256} * 1024 * 1024;  // an entry with a larger size in its header is damaged
 constexpr int compression_level = 1;
 
-// `bytes` must be long enough.
+// Reads 8 bytes, big endian. `bytes` must have at least 8 bytes after `offset`.
 std::uint64_t read_number(std::string_view bytes, std::size_t offset) {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < number_bytes; ++i) value = value << 8 | static_cast<unsigned char>(bytes[offset + i]);
@@ -21,9 +22,10 @@
 }
 
 std::string compress(const std::string& bytes) {
-    std::string frame(ZSTD_compressBound(bytes.size()), '\0');
-    frame.resize(ZSTD_compress(frame.data(), frame.size(), bytes.data(), bytes.size(), compression_level));
-    return frame;
+    std::string compressed(ZSTD_compressBound(bytes.size()), '\0');
+    compressed.resize(
+        ZSTD_compress(compressed.data(), compressed.size(), bytes.data(), bytes.size(), compression_level));
+    return compressed;
 }
 
 }  // namespace
@@ -64,8 +66,8 @@
     const std::optional<EntryHeader> header = decode_entry_header(entry);
     if (!header || header->uncompressed_bytes > max_uncompressed_bytes) return {};
     std::string bytes(header->uncompressed_bytes, '\0');
-    const std::string_view frame = entry.substr(entry_header_bytes);
-    if (ZSTD_decompress(bytes.data(), bytes.size(), frame.data(), frame.size()) != bytes.size()) return {};
+    const std::string_view compressed = entry.substr(entry_header_bytes);
+    if (ZSTD_decompress(bytes.data(), bytes.size(), compressed.data(), compressed.size()) != bytes.size()) return {};
     return bytes;
 }
 
--- a/src/remote_write/queue_format.hpp
+++ b/src/remote_write/queue_format.hpp
@@ -1,10 +1,10 @@
 /// Stored format of the durable queue: keys and values of its two LMDB tables. Private to the package.
 ///
-/// Table `entries`: a scrape's samples of one shard. The key is the scrape's sequence number (8 bytes, big endian) and
-/// the shard (1 byte); the value is a header of three numbers and a zstd frame.
-/// Table `places` (the receivers' positions): under `receiver NUL shard` the sequence number of the first scrape that
-/// the receiver has not acknowledged; under the keys of `metadata_key` the queue's own numbers. A number is 8 bytes,
-/// big endian.
+/// Table `entries`: the samples of one scrape in one shard. The key is the scrape's sequence number (8 bytes, big
+/// endian) and the shard (1 byte); the value is a header of three numbers (EntryHeader) and a zstd frame.
+/// Table `places`: the key `receiver NUL shard` maps to the sequence number of the first scrape that the receiver has
+/// not acknowledged; the keys of `metadata_key` map to numbers that concern the whole queue. A number is 8 bytes, big
+/// endian.
 #pragma once
 
 #include <cstddef>
@@ -30,7 +30,7 @@
 }  // namespace metadata_key
 
 std::string encode_number(std::uint64_t value);
-/// Empty where `bytes` is not a number.
+/// Empty if `bytes` is not 8 bytes long.
 std::optional<std::uint64_t> decode_number(std::string_view bytes);
 
 struct EntryKey {
@@ -47,7 +47,7 @@
 };
 std::string encode_entry(std::int64_t timestamp_ms, const Shard& shard);
 std::optional<EntryHeader> decode_entry_header(std::string_view entry);
-/// The shard's bytes; empty where the entry is damaged.
+/// Returns the serialized samples of an entry; empty if the entry is damaged.
 std::optional<std::string> decompress_entry(std::string_view entry);
 
 struct PositionKey {
@@ -55,7 +55,7 @@
     std::size_t shard{};
 };
 std::string encode_position_key(const std::string& receiver, std::size_t shard);
-/// Empty for a key of metadata.
+/// Empty if `bytes` is one of the keys of `metadata_key`.
 std::optional<PositionKey> decode_position_key(std::string_view bytes);
 
 }  // namespace plumkeel::remote_write::queue_format
--- a/src/remote_write/sample.cpp
+++ b/src/remote_write/sample.cpp
@@ -10,22 +10,23 @@
 namespace plumkeel::remote_write {
 namespace {
 
-constexpr std::uint64_t stale_marker_bits = 0x7ff0000000000002;  // StaleNaN of Prometheus' model/value package
+constexpr std::uint64_t stale_marker_bits = 0x7ff0000000000002;  // StaleNaN in Prometheus' package model/value
 
 Labels make_labels(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels) {
-    Labels result = {{"__name__", name}};
+    Labels sorted_labels = {{"__name__", name}};
     for (const auto& label : labels)
-        if (!label.value.empty()) result.emplace_back(label.name, label.value);  // an empty label equals a missing one
-    std::ranges::sort(result);
-    return result;
+        if (!label.value.empty())
+            sorted_labels.emplace_back(label.name, label.value);  // in Prometheus an empty label equals a missing one
+    std::ranges::sort(sorted_labels);
+    return sorted_labels;
 }
 
 Labels make_bucket_labels(const std::string& name, const std::vector<prometheus::ClientMetric::Label>& labels,
                           double upper_bound) {
-    Labels result = make_labels(name, labels);
-    result.emplace_back("le", std::isinf(upper_bound) ? "+Inf" : fmt::format("{:g}", upper_bound));
-    std::ranges::sort(result);
-    return result;
+    Labels sorted_labels = make_labels(name, labels);
+    sorted_labels.emplace_back("le", std::isinf(upper_bound) ? "+Inf" : fmt::format("{:g}", upper_bound));
+    std::ranges::sort(sorted_labels);
+    return sorted_labels;
 }
 
 void append_histogram(std::vector<Sample>& samples, const std::string& name, const prometheus::ClientMetric& metric) {
@@ -39,7 +40,7 @@
 
 }  // namespace
 
-std::vector<Sample> flatten(const std::vector<prometheus::MetricFamily>& families) {
+std::vector<Sample> to_samples(const std::vector<prometheus::MetricFamily>& families) {
     std::vector<Sample> samples;
     for (const auto& family : families)
         for (const auto& metric : family.metric) {
--- a/src/remote_write/sample.hpp
+++ b/src/remote_write/sample.hpp
@@ -1,4 +1,4 @@
-/// Samples of time series, and how the metrics of a registry become samples.
+/// Samples of time series, and the conversion of Prometheus metrics to samples.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -9,7 +9,7 @@
 
 namespace plumkeel::remote_write {
 
-/// Label names and values of a series, sorted by name; `__name__` is among them.
+/// Label names and values of a series, sorted by name. The label `__name__` holds the name of the metric.
 using Labels = std::vector<std::pair<std::string, std::string>>;
 
 struct Sample {
@@ -17,10 +17,11 @@
     double value{};
 };
 
-/// One sample for each counter and gauge; a histogram becomes its buckets, its sum and its count.
-std::vector<Sample> flatten(const std::vector<prometheus::MetricFamily>& families);
+/// Converts metrics to samples: one for each counter and gauge; for a histogram one for each bucket, its sum and its
+/// count.
+std::vector<Sample> to_samples(const std::vector<prometheus::MetricFamily>& families);
 
-/// Prometheus' staleness marker: a NaN with a bit pattern of its own, which says that a series has ended.
+/// Prometheus' staleness marker: a NaN with a reserved bit pattern, which tells a receiver that a series has ended.
 double stale_marker();
 bool is_stale_marker(double value);
 
--- a/src/remote_write/send_controller.cpp
+++ b/src/remote_write/send_controller.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Time min_token_wait = std::chrono::milliseconds(1);
-constexpr int max_retry_after_ratio = 10;  // a Retry-After header counts up to this multiple of the longest backoff
-constexpr double min_jitter = 0.5;         // a backoff is drawn from 0.5 up to 1.5 of its nominal length
+constexpr int max_retry_after_ratio = 10;  // limits Retry-After to this multiple of max_backoff
+constexpr double min_jitter_factor = 0.5;  // a backoff is multiplied by a random factor from 0.5 to 1.5
 
 double to_seconds(Time duration) {
     return static_cast<double>(duration.count()) / 1e6;
@@ -25,16 +25,17 @@
       batch_limit_(static_cast<double>(config.min_batch)),
       tokens_(static_cast<double>(config.max_batch)) {}
 
-SendController::Permit SendController::request(Time now, double inflow) {
+SendController::Permit SendController::request_permit(Time now, double inflow) {
     if (now < backoff_until_) return {0, backoff_until_};
     if (batches_in_flight_ >= concurrency()) return {0, Time::max()};
     const double rate = std::max(config_.min_rate, config_.catch_up_ratio * inflow);
-    // The bucket holds the tokens of one second or of one full batch, whichever is more.
+    // The token bucket holds the tokens of one second or of one full batch, whichever is more.
     const double bucket_size = std::max(rate, static_cast<double>(config_.max_batch));
     tokens_ = std::min(bucket_size, tokens_ + rate * to_seconds(now - tokens_refilled_at_));
     tokens_refilled_at_ = now;
-    const double required = std::min(batch_limit_, static_cast<double>(config_.min_batch));
-    if (tokens_ < required) return {0, now + std::max(from_seconds((required - tokens_) / rate), min_token_wait)};
+    const double required_tokens = std::min(batch_limit_, static_cast<double>(config_.min_batch));
+    if (tokens_ < required_tokens)
+        return {0, now + std::max(from_seconds((required_tokens - tokens_) / rate), min_token_wait)};
     return {static_cast<std::size_t>(std::min(batch_limit_, tokens_)), {}};
 }
 
@@ -62,16 +63,16 @@
 }
 
 void SendController::record_failure(Time now, std::optional<Time> retry_after) {
-    // Batches sent before the backoff began say nothing new when they fail within it.
+    // A batch that was in flight when the backoff began must not extend it by failing.
     if (now < backoff_until_ && !retry_after) return;
     ++consecutive_failures_;
     concurrency_ = 1;
     batch_limit_ = static_cast<double>(config_.min_batch);
     tokens_ = std::min(tokens_, batch_limit_);
     backoff_ = backoff_ == Time{} ? config_.initial_backoff : std::min(config_.max_backoff, backoff_ * 2);
-    const Time jittered = from_seconds(to_seconds(backoff_) * (min_jitter + random_.next()));
-    const Time requested = std::min(retry_after.value_or(Time{}), config_.max_backoff * max_retry_after_ratio);
-    backoff_until_ = std::max(backoff_until_, now + std::max(jittered, requested));
+    const Time jittered_backoff = from_seconds(to_seconds(backoff_) * (min_jitter_factor + random_.next()));
+    const Time requested_delay = std::min(retry_after.value_or(Time{}), config_.max_backoff * max_retry_after_ratio);
+    backoff_until_ = std::max(backoff_until_, now + std::max(jittered_backoff, requested_delay));
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/sender.cpp
+++ b/src/remote_write/sender.cpp
@@ -15,13 +15,13 @@
 constexpr Time min_sleep{1};
 constexpr unsigned too_many_requests = 429;
 
-SendResult classify(unsigned status) {
+SendResult result_for_status(unsigned status) {
     if (status / 100 == 2) return SendResult::accepted;
     if (status / 100 == 5 || status == too_many_requests) return SendResult::retryable;
     return SendResult::rejected;
 }
 
-ExportEvent to_event(SendResult result) {
+ExportEvent event_for(SendResult result) {
     switch (result) {
         case SendResult::accepted:
             return ExportEvent::receiver_accepting;
@@ -58,14 +58,14 @@
 
 net::Task<> Sender::run_shard(int shard) {
     for (;;) {
-        const SendController::Permit permit = send_controller_.request(loop_.now(), inflow_);
+        const SendController::Permit permit = send_controller_.request_permit(loop_.now(), inflow_);
         if (permit.samples == 0 && permit.retry_at != Time::max()) {
             co_await loop_.sleep(std::max(permit.retry_at - loop_.now(), min_sleep));
             continue;
         }
         DurableQueue::Batch batch;
         if (permit.samples > 0) batch = next_batch(shard, permit.samples);
-        if (batch.samples == 0) {  // nothing is pending, or enough other shards are sending
+        if (batch.samples == 0) {  // no samples are pending, or the limit of batches in flight is reached
             co_await samples_available_.wait();
             continue;
         }
@@ -90,7 +90,7 @@
             counters_.accepted += batch.samples;
             advance(shard, batch.next);
             break;
-        case SendResult::rejected:  // a retry would be rejected too, and delay all samples behind it
+        case SendResult::rejected:  // a retry would be rejected again, and delay the samples after it
             counters_.rejected += batch.samples;
             advance(shard, batch.next);
             break;
@@ -105,7 +105,7 @@
 DurableQueue::Batch Sender::next_batch(int shard, std::size_t max_samples) {
     try {
         DurableQueue::Batch batch = queue_.read(config_.name, shard, max_samples);
-        // Scrapes without samples of this shard need its acknowledgement too before the queue releases them.
+        // The queue releases a scrape only after all shards have advanced past it, also those without samples.
         if (batch.samples == 0) advance(shard, batch.next);
         return batch;
     } catch (const QueueError& error) {
@@ -114,8 +114,8 @@
     }
 }
 
-// A full or broken disk may refuse to store a position. The queue goes by it until the process ends; after a restart
-// some samples are then sent again, unchanged.
+// Acknowledges samples. If the disk can't store the position, it is in effect until the process ends; after a restart
+// the samples are sent again.
 void Sender::advance(int shard, std::uint64_t position) {
     try {
         queue_.advance(config_.name, shard, position);
@@ -147,29 +147,29 @@
     snappy::Compress(batch.bytes.data(), batch.bytes.size(), &body);
     counters_.wire_bytes += body.size();
     std::string head = request_head(body.size());
-    // The configuration has been checked; an address that is not valid only fails to connect.
+    // The configuration was validated before; with an invalid address, connecting fails.
     net::Address address = net::Address::parse(config_.address).value_or(net::Address{});
-    const auto exchanged = co_await http::exchange(loop_, std::move(address), std::move(head), std::move(body),
-                                                   config_.timeout, max_response_bytes);
-    if (exchanged.error) {
-        report(SendResult::unknown, exchanged.error.message());
+    const auto exchange_result = co_await http::exchange(loop_, std::move(address), std::move(head), std::move(body),
+                                                         config_.timeout, max_response_bytes);
+    if (exchange_result.error) {
+        report(SendResult::unknown, exchange_result.error.message());
         co_return SendResult::unknown;
     }
-    const auto& response = exchanged.response;
+    const auto& response = exchange_result.response;
     const unsigned status = response.result_int();
     if (const auto seconds = http::parse_number<std::uint32_t>(http::field(response, "Retry-After")))
         retry_after = std::chrono::seconds(*seconds);
-    const SendResult result = classify(status);
-    report(result, fmt::format("{} {}", status, response.body().substr(0, max_reported_response_bytes)));
+    const SendResult result = result_for_status(status);
+    report(result, fmt::format("HTTP status {}: {}", status, response.body().substr(0, max_reported_response_bytes)));
     co_return result;
 }
 
-// The same failure is reported once, however often it repeats.
+// Reports a result to the listener. A failure with the same detail as the last one is not reported again.
 void Sender::report(SendResult result, const std::string& detail) {
     const std::string failure = result == SendResult::accepted ? "" : detail;
     if (failure == last_failure_) return;
     last_failure_ = failure;
-    listener_(to_event(result), config_.name + (detail.empty() ? "" : ": " + detail));
+    listener_(event_for(result), config_.name + (detail.empty() ? "" : ": " + detail));
 }
 
 }  // namespace plumkeel::remote_write
--- a/src/remote_write/sender.hpp
+++ b/src/remote_write/sender.hpp
@@ -1,6 +1,6 @@
-/// Sends the queue's samples to one receiver by the remote write protocol 1.0.
+/// Sends samples from the queue to one receiver by the Prometheus remote write protocol 1.0.
 ///
-/// One coroutine for each shard, with at most one batch of the shard in flight, so that every series arrives in order.
+/// Each shard has a coroutine and at most one batch in flight, so that the samples of a series arrive in order.
 /// SendController decides when a batch is sent and how large it is.
 #pragma once
 
@@ -17,31 +17,31 @@
 namespace plumkeel::remote_write {
 
 struct ReceiverConfig {
-    std::string name;  ///< the queue keeps the receiver's positions under it
+    std::string name;  ///< the queue stores the receiver's positions under this name
     std::string address, path = "/api/v1/write";
-    std::string bearer;                       ///< token of the Authorization header; empty: no such header
-    Time timeout = std::chrono::seconds(10);  ///< for a whole request and its response
+    std::string bearer;                       ///< bearer token of the Authorization header; empty: no such header
+    Time timeout = std::chrono::seconds(10);  ///< from connecting to the complete response
     SendControlConfig send_control;
 };
 
 struct SenderCounters {
-    std::uint64_t accepted{}, rejected{};  ///< samples
-    std::uint64_t resent{};                ///< samples of batches that failed and are sent again
-    std::uint64_t batches{};               ///< sent, whatever the result
-    std::uint64_t failures{};              ///< batches that were not accepted but may be sent again
-    std::uint64_t wire_bytes{};            ///< compressed bodies sent
+    std::uint64_t accepted{}, rejected{};  ///< numbers of samples
+    std::uint64_t resent{};                ///< samples in batches that failed and are sent again
+    std::uint64_t batches{};               ///< batches sent, with any result
+    std::uint64_t failures{};              ///< batches that failed and are sent again
+    std::uint64_t wire_bytes{};            ///< size of the compressed request bodies sent
 };
 
-/// Its coroutines refer to it and end with the event loop: destroy it only when the loop runs no more.
+/// Its coroutines refer to this object until the event loop stops, so it must be destroyed after that.
 class Sender {
 public:
     Sender(net::EventLoop& loop, ReceiverConfig config, DurableQueue& queue, int shards, std::uint64_t seed,
            ExportListener listener);
 
     void start();
-    /// Samples were appended to the queue; `inflow` is the rate of new samples per second.
+    /// To be called after samples were appended to the queue; `inflow` is the rate of new samples per second.
     void notify(double inflow);
-    const SenderCounters& counts() const { return counters_; }
+    const SenderCounters& counters() const { return counters_; }
     const std::string& name() const { return config_.name; }
 
 private:
@@ -64,7 +64,7 @@
     net::Notification samples_available_;
     double inflow_{};
     SenderCounters counters_;
-    std::string last_failure_;  // as reported; empty while the receiver accepts
+    std::string last_failure_;  // detail of the last reported failure; empty while the receiver accepts
     bool queue_failed_{};
 };
 
--- a/tests/durable_queue_faults_test.cpp
+++ b/tests/durable_queue_faults_test.cpp
@@ -1,6 +1,6 @@
-/// The durable queue on a disk that fails: writes and syncs that end with EIO or ENOSPC, now and then or for a while.
-/// What append() accepted is there for its receiver, in order, now and after a restart; what it refused is not. The
-/// system calls of this program itself fail, through the library it is linked with.
+/// Tests DurableQueue on a disk whose writes and syncs fail with EIO or ENOSPC: a receiver must get the scrapes that
+/// append() accepted, in order and also after a restart, and none that append() refused. The fault library linked into
+/// this test makes its system calls fail.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -18,80 +18,82 @@
 
 class DurableQueueFaultsTest : public testing::Test {
 protected:
-    DurableQueueFaultsTest() : plan(testing::TempDir() + "/spool_plan." + std::to_string(::getpid())) {
+    DurableQueueFaultsTest() : fault_plan(testing::TempDir() + "/spool_plan." + std::to_string(::getpid())) {
         config.folder = testing::TempDir() + "/spool_faults." + std::to_string(::getpid());
         config.shards = 2;
-        faults::plumkeel_use_fault_plan(&plan.plan());
+        faults::plumkeel_use_fault_plan(&fault_plan.plan());
     }
     ~DurableQueueFaultsTest() override {
         faults::plumkeel_use_fault_plan(nullptr);
         std::filesystem::remove_all(config.folder);
     }
-    // The bytes of scrape `n` in `shard`, each of another length.
-    static std::string bytes_of(int n, int shard) {
-        return "scrape " + std::to_string(n) + " shard " + std::to_string(shard) +
-               std::string(static_cast<std::size_t>(n % 17) * 40, '.') + "\n";
+    // Returns the content of scrape `scrape_number` in `shard`. The lengths of different scrapes differ.
+    static std::string scrape_bytes(int scrape_number, int shard) {
+        return "scrape " + std::to_string(scrape_number) + " shard " + std::to_string(shard) +
+               std::string(static_cast<std::size_t>(scrape_number % 17) * 40, '.') + "\n";
     }
-    // Returns whether the queue accepted it. Every third scrape has no samples in its second shard.
-    bool append(DurableQueue& queue, int n) {
-        std::vector<Shard> shards{{bytes_of(n, 0), 1}, {bytes_of(n, 1), 1}};
-        if (n % 3 == 0) shards[1] = {};
+    // Appends scrape `scrape_number`; returns whether the queue accepted it. Every third scrape has no samples in the
+    // second shard.
+    bool append(DurableQueue& queue, int scrape_number) {
+        std::vector<Shard> shards{{scrape_bytes(scrape_number, 0), 1}, {scrape_bytes(scrape_number, 1), 1}};
+        if (scrape_number % 3 == 0) shards[1] = {};
         try {
-            queue.append(1000 * n, shards);
+            queue.append(1000 * scrape_number, shards);
         } catch (const QueueError&) {
             return false;
         }
         for (int shard = 0; shard < 2; ++shard)
-            if (shards[static_cast<std::size_t>(shard)].samples) appended[shard] += bytes_of(n, shard);
+            if (shards[static_cast<std::size_t>(shard)].samples)
+                appended_bytes[shard] += scrape_bytes(scrape_number, shard);
         return true;
     }
-    void expect_appended(DurableQueue& queue) {
+    void expect_appended_bytes(DurableQueue& queue) {
         for (int shard = 0; shard < 2; ++shard)
-            EXPECT_EQ(queue.read("a", shard, 100'000).bytes, appended[shard]) << "shard " << shard;
+            EXPECT_EQ(queue.read("a", shard, 100'000).bytes, appended_bytes[shard]) << "shard " << shard;
     }
 
     QueueConfig config;
-    faults::PlanFile plan;
-    std::string appended[2];
+    faults::PlanFile fault_plan;
+    std::string appended_bytes[2];
 };
 
-// The disk fails for one scrape and recovers: so does the queue, without anything of that scrape.
+// The disk fails while one scrape is appended. The queue must accept later scrapes and not contain that one.
 TEST_F(DurableQueueFaultsTest, RecoversWhenTheDiskRecovers) {
-    for (const auto& [call, error] :
+    for (const auto& [failing_call, error] :
          std::vector<std::pair<Call, int>>{{Call::sync, EIO}, {Call::write_file, EIO}, {Call::write_file, ENOSPC}}) {
-        appended[0] = appended[1] = "";
+        appended_bytes[0] = appended_bytes[1] = "";
         std::filesystem::remove_all(config.folder);
         {
             DurableQueue queue(config, {"a"});
             EXPECT_TRUE(append(queue, 1));
-            plan.fail(call, 1'000'000, {error});
+            fault_plan.fail(failing_call, 1'000'000, {error});
             EXPECT_FALSE(append(queue, 2));
-            plan.heal();
+            fault_plan.heal();
             EXPECT_TRUE(append(queue, 3));
             EXPECT_TRUE(append(queue, 4));
-            expect_appended(queue);
+            expect_appended_bytes(queue);
         }
         DurableQueue reopened(config, {"a"});
-        expect_appended(reopened);
+        expect_appended_bytes(reopened);
     }
 }
 
-// The disk fails now and then, at any of the writes and syncs of a scrape, over many restarts.
+// Random writes and syncs fail during many runs of the queue. Guards against lost or partly stored scrapes.
 TEST_F(DurableQueueFaultsTest, KeepsAppendedScrapesWhicheverCallFails) {
     Pcg random(7);
-    int n = 0, refused = 0;
+    int scrape_number = 0, refused_scrapes = 0;
     for (int run = 0; run < 40; ++run) {
         DurableQueue queue(config, {"a"});
-        plan.fail(Call::sync, 60'000, {EIO});
-        plan.fail(Call::write_file, 60'000, {EIO, ENOSPC});
-        for (int i = 0; i < 20; ++i) refused += !append(queue, ++n);
-        plan.heal();
-        expect_appended(queue);
+        fault_plan.fail(Call::sync, 60'000, {EIO});
+        fault_plan.fail(Call::write_file, 60'000, {EIO, ENOSPC});
+        for (int i = 0; i < 20; ++i) refused_scrapes += !append(queue, ++scrape_number);
+        fault_plan.heal();
+        expect_appended_bytes(queue);
     }
-    EXPECT_GT(refused, 20);
-    EXPECT_LT(refused, 600);
+    EXPECT_GT(refused_scrapes, 20);
+    EXPECT_LT(refused_scrapes, 600);
     DurableQueue reopened(config, {"a"});
-    expect_appended(reopened);
+    expect_appended_bytes(reopened);
 }
 
 }  // namespace
--- a/tests/durable_queue_fixture.hpp
+++ b/tests/durable_queue_fixture.hpp
@@ -1,4 +1,4 @@
-/// Shared by the tests of remote write: samples, and a queue's folder that is removed after each test.
+/// Fixture of the tests of remote write: creates samples, and removes the queue's folder after each test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 
 namespace plumkeel::remote_write {
 
-inline Sample sample(const std::string& name, int number, double value) {
-    return {{{"__name__", name}, {"n", std::to_string(number)}}, value};
+inline Sample make_sample(const std::string& name, int label_value, double value) {
+    return {{{"__name__", name}, {"n", std::to_string(label_value)}}, value};
 }
 
 class DurableQueueTest : public testing::Test {
@@ -25,10 +25,11 @@
         config.shards = 2;
     }
     ~DurableQueueTest() override { std::filesystem::remove_all(config.folder); }
-    static std::vector<Shard> encode_scrape(SeriesEncoder& encoder, int series, std::int64_t at, double value) {
+    static std::vector<Shard> encode_scrape(SeriesEncoder& encoder, int series_count, std::int64_t timestamp_ms,
+                                            double value) {
         std::vector<Sample> samples;
-        for (int i = 0; i < series; ++i) samples.push_back(sample("m", i, value));
-        return encoder.encode(samples, at);
+        for (int i = 0; i < series_count; ++i) samples.push_back(make_sample("m", i, value));
+        return encoder.encode(samples, timestamp_ms);
     }
     QueueConfig config;
 };
--- a/tests/durable_queue_test.cpp
+++ b/tests/durable_queue_test.cpp
@@ -1,4 +1,4 @@
-/// The durable queue: order, limits, restarts and kills.
+/// Tests that DurableQueue keeps the order of samples and its limits, also after a restart or SIGKILL of the process.
 #include "remote_write/durable_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -16,21 +16,21 @@
 
 TEST_F(DurableQueueTest, EntriesAndPositionsSurviveARestart) {
     SeriesEncoder encoder(2);
-    DurableQueue::Batch before;
+    DurableQueue::Batch batch_before_restart;
     {
         DurableQueue queue(config, {"a", "b"});
         for (int i = 0; i < 10; ++i) queue.append(1000 * i, encode_scrape(encoder, 20, 1000 * i, i));
-        before = queue.read("a", 0, 25);
-        EXPECT_GT(before.samples, 0u);
-        EXPECT_LE(before.samples, 25u);
-        queue.advance("a", 0, before.next);
+        batch_before_restart = queue.read("a", 0, 25);
+        EXPECT_GT(batch_before_restart.samples, 0u);
+        EXPECT_LE(batch_before_restart.samples, 25u);
+        queue.advance("a", 0, batch_before_restart.next);
     }
     DurableQueue queue(config, {"a", "b"});
     EXPECT_EQ(queue.next_sequence(), 10u);
-    EXPECT_EQ(queue.pending_samples("a"), 200u - before.samples);
+    EXPECT_EQ(queue.pending_samples("a"), 200u - batch_before_restart.samples);
     EXPECT_EQ(queue.pending_samples("b"), 200u);
-    EXPECT_EQ(queue.read("b", 0, 25).bytes, before.bytes);
-    EXPECT_NE(queue.read("a", 0, 25).bytes, before.bytes);
+    EXPECT_EQ(queue.read("b", 0, 25).bytes, batch_before_restart.bytes);
+    EXPECT_NE(queue.read("a", 0, 25).bytes, batch_before_restart.bytes);
 }
 
 TEST_F(DurableQueueTest, EntriesAreReleasedOnceAllReceiversAcknowledged) {
@@ -87,11 +87,11 @@
     EXPECT_EQ(DurableQueue(three_shards, {"a"}).newest_timestamp_ms(), 1000);
 }
 
-// Killed ten times at arbitrary moments: every scrape that append() reported as stored is there.
+// Kills the appending process ten times at random moments. Guards against losing scrapes after append() has returned.
 TEST_F(DurableQueueTest, AppendedScrapesSurviveSigkill) {
     std::uint64_t random_state = 77;
     std::int64_t first_ms = 0;
-    for (int round = 0; round < 10; ++round) {
+    for (int run = 0; run < 10; ++run) {
         int pipe_ends[2];
         ASSERT_EQ(::pipe(pipe_ends), 0);
         const pid_t child = ::fork();
@@ -100,25 +100,27 @@
             SeriesEncoder encoder(2);
             for (std::int64_t i = 1;; ++i) {
                 queue.append(first_ms + i, encode_scrape(encoder, 10, first_ms + i, 1));
-                const std::uint64_t end = queue.next_sequence();
-                if (::write(pipe_ends[1], &end, sizeof end) != sizeof end) _exit(1);
+                const std::uint64_t child_sequence = queue.next_sequence();
+                if (::write(pipe_ends[1], &child_sequence, sizeof child_sequence) != sizeof child_sequence) _exit(1);
                 if (i % 7 == 0) queue.advance("a", 0, queue.read("a", 0, 15).next);
             }
         }
         ::close(pipe_ends[1]);
         random_state = random_state * 6364136223846793005ULL + 1;
-        std::uint64_t reported = 0, end = 0;
-        for (auto n = 5 + (random_state >> 40) % 40; n > 0; --n) {
-            ASSERT_EQ(::read(pipe_ends[0], &end, sizeof end), static_cast<ssize_t>(sizeof end));
-            reported = end;
+        std::uint64_t reported_sequence = 0, child_sequence = 0;
+        for (auto remaining_reports = 5 + (random_state >> 40) % 40; remaining_reports > 0; --remaining_reports) {
+            ASSERT_EQ(::read(pipe_ends[0], &child_sequence, sizeof child_sequence),
+                      static_cast<ssize_t>(sizeof child_sequence));
+            reported_sequence = child_sequence;
         }
         ::kill(child, SIGKILL);
-        while (::read(pipe_ends[0], &end, sizeof end) == sizeof end) reported = end;
+        while (::read(pipe_ends[0], &child_sequence, sizeof child_sequence) == sizeof child_sequence)
+            reported_sequence = child_sequence;
         ::close(pipe_ends[0]);
         ::waitpid(child, nullptr, 0);
         DurableQueue queue(config, {"a"});
-        EXPECT_GE(queue.next_sequence(), reported);
-        EXPECT_LE(queue.next_sequence(), reported + 1);
+        EXPECT_GE(queue.next_sequence(), reported_sequence);
+        EXPECT_LE(queue.next_sequence(), reported_sequence + 1);
         first_ms += 1000;
     }
 }
