--- a/src/metrics/attempt_metrics.cpp
+++ b/src/metrics/attempt_metrics.cpp
@@ -16,18 +16,18 @@
         by_load_event_[static_cast<std::size_t>(event)] = &families.loads.Add({{label_name::load_event, label(event)}});
 }
 
-void AttemptMetrics::record(const AttemptEnd& end) {
-    by_outcome_[static_cast<std::size_t>(end.outcome)]->Increment();
-    const bool succeeded = end.outcome == AttemptOutcome::succeeded;
-    if (end.starts_load && !succeeded) unfinished_loads_.Increment();
+void AttemptMetrics::record(const CompletedAttempt& attempt) {
+    by_outcome_[static_cast<std::size_t>(attempt.outcome)]->Increment();
+    const bool succeeded = attempt.outcome == AttemptOutcome::succeeded;
+    if (attempt.starts_load && !succeeded) unfinished_loads_.Increment();
     if (!succeeded) return;
-    by_load_event_[static_cast<std::size_t>(end.load_event)]->Increment();
-    const bool loaded = end.load_event == LoadEvent::started_load;
-    if (end.expected_warm && loaded) warm_mispredictions_.Increment();
+    by_load_event_[static_cast<std::size_t>(attempt.load_event)]->Increment();
+    const bool loaded = attempt.load_event == LoadEvent::started_load;
+    if (attempt.expected_warm && loaded) warm_mispredictions_.Increment();
     if (loaded)
-        load_duration_.Observe(to_seconds(end.duration));
-    else if (end.expected_warm)
-        warm_duration_.Observe(to_seconds(end.duration));
+        load_duration_.Observe(to_seconds(attempt.duration));
+    else if (attempt.expected_warm)
+        warm_duration_.Observe(to_seconds(attempt.duration));
 }
 
 }  // namespace plumkeel::metrics
--- a/src/metrics/attempt_metrics.hpp
+++ b/src/metrics/attempt_metrics.hpp
@@ -1,4 +1,4 @@
-/// Metrics of completed attempts: outcomes, loads of functions, durations.
+/// Metrics of completed attempts: outcomes, loads of functions and durations.
 #pragma once
 
 #include <array>
@@ -8,11 +8,11 @@
 
 namespace plumkeel::metrics {
 
-struct AttemptEnd {
+struct CompletedAttempt {
     AttemptOutcome outcome{};
-    LoadEvent load_event{};  ///< what the invoker reports of the function
-    bool expected_warm{};    ///< the invoker was estimated to have the function loaded
-    bool starts_load{};      ///< the attempt was to load the function
+    LoadEvent load_event{};  ///< the invoker's report of whether the function was loaded
+    bool expected_warm{};    ///< the function was expected to be loaded at the invoker
+    bool starts_load{};      ///< the attempt was expected to load the function
     Time duration{};
 };
 
@@ -20,7 +20,7 @@
 public:
     explicit AttemptMetrics(MetricFamilies& families);
 
-    void record(const AttemptEnd& end);
+    void record(const CompletedAttempt& attempt);
 
 private:
     std::array<Counter*, attempt_outcomes.size()> by_outcome_{};
--- a/src/metrics/gateway_metrics.cpp
+++ b/src/metrics/gateway_metrics.cpp
@@ -10,13 +10,13 @@
       requests_(families_, config_),
       attempts_(families_),
       snapshot_metrics_(families_),
-      received_(families_.received.Add({})),
+      received_requests_(families_.received_requests.Add({})),
       client_retries_(families_.client_retries.Add({})),
       health_checks_(families_.health_checks.Add({})),
       preloads_(families_.preloads.Add({})) {}
 
 void GatewayMetrics::request_received(bool is_client_retry) {
-    received_.Increment();
+    received_requests_.Increment();
     if (is_client_retry) client_retries_.Increment();
 }
 
--- a/src/metrics/gateway_metrics.hpp
+++ b/src/metrics/gateway_metrics.hpp
@@ -1,7 +1,7 @@
-/// The gateway's own metrics, in a prometheus-cpp registry.
+/// The gateway's metrics, kept in a prometheus-cpp registry.
 ///
-/// All functions but collect() are called on the gateway's thread; none reads a clock. MetricsConfig bounds the number
-/// of series.
+/// All functions except collect() must be called on the gateway's thread. MetricsConfig limits the number of series.
+/// Reads no clock.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -22,17 +22,17 @@
     GatewayMetrics(MetricsConfig config, const std::string& controller);
 
     void request_received(bool is_client_retry);
-    void request_ended(const RequestEnd& end) { requests_.record(end); }
-    void attempt_ended(const AttemptEnd& end) { attempts_.record(end); }
+    void request_ended(const CompletedRequest& request) { requests_.record(request); }
+    void attempt_ended(const CompletedAttempt& attempt) { attempts_.record(attempt); }
     void health_check_sent() { health_checks_.Increment(); }
     void preload_sent() { preloads_.Increment(); }
     void set_snapshot(const MetricSnapshot& snapshot) { snapshot_metrics_.set(snapshot); }
-    /// Updates which tenants and functions have series of their own; to be called every few seconds.
+    /// Updates which tenants and functions have separate series; to be called every few seconds.
     void update_reported_names() { requests_.update_reported_names(); }
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in Prometheus' text format.
     std::string exposition() const;
-    /// From any thread.
+    /// Returns all metrics; may be called on any thread.
     std::vector<prometheus::MetricFamily> collect() const { return registry_.Collect(); }
     const MetricsConfig& config() const { return config_; }
 
@@ -43,7 +43,7 @@
     RequestMetrics requests_;
     AttemptMetrics attempts_;
     SnapshotMetrics snapshot_metrics_;
-    Counter &received_, &client_retries_, &health_checks_, &preloads_;
+    Counter &received_requests_, &client_retries_, &health_checks_, &preloads_;
 };
 
 }  // namespace plumkeel::metrics
--- a/src/metrics/heavy_hitters.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -5,10 +5,10 @@
 namespace plumkeel::metrics {
 namespace {
 
-constexpr double decay_factor = 0.8;            // of all counts, at each review
-constexpr double replacement_ratio = 1.3;       // by which a new name must exceed the reported name that it replaces
-constexpr double min_reported_count = 3;        // lower bound of a reported name's count
-constexpr std::size_t replacement_divisor = 8;  // a review replaces at most one in so many reported names
+constexpr double decay_factor = 0.8;       // applied to all counts at each update of the reported names
+constexpr double replacement_ratio = 1.3;  // a new name must be this much more frequent than the name that it replaces
+constexpr double min_reported_count = 3;   // least count of a name that becomes reported
+constexpr std::size_t replacement_divisor = 8;  // an update replaces at most an eighth of the reported names
 
 }  // namespace
 
@@ -26,19 +26,20 @@
     return it->second.reported;
 }
 
-// A linear search, but only a flood of new names makes it frequent. Among equal counts the first by name is replaced,
-// so that the order of hashing has no effect.
+// Removes the name with the lowest count and returns the initial count of the name that replaces it. The linear search
+// is rare unless there is a flood of new names. Among equal counts the first by name is removed, so that the result
+// does not depend on the order of the hash table.
 HeavyHitters::Count HeavyHitters::replace_least_frequent() {
-    const auto least = std::ranges::min_element(counts_, [](const auto& a, const auto& b) {
+    const auto least_frequent = std::ranges::min_element(counts_, [](const auto& a, const auto& b) {
         return a.second.count < b.second.count || (a.second.count == b.second.count && a.first < b.first);
     });
     Count count;
-    count.count = count.error = least->second.count;
-    counts_.erase(least);
+    count.count = count.error = least_frequent->second.count;
+    counts_.erase(least_frequent);
     return count;
 }
 
-HeavyHitters::Ranking HeavyHitters::rank(bool reported) const {
+HeavyHitters::Ranking HeavyHitters::rank_names(bool reported) const {
     Ranking ranking;
     for (const auto& [name, count] : counts_)
         if (is_reported(name) == reported) ranking.emplace_back(count.lower_bound(), name);
@@ -51,28 +52,30 @@
     return ranking;
 }
 
-HeavyHitters::Turnover HeavyHitters::update_reported_names() {
-    const Ranking candidates = rank(false);
-    Ranking current = rank(true);
-    std::size_t replacements = std::max<std::size_t>(1, max_reported_ / replacement_divisor);
-    Turnover turnover;
+HeavyHitters::Changes HeavyHitters::update_reported_names() {
+    const Ranking candidates = rank_names(false);
+    Ranking reported_ranking = rank_names(true);
+    std::size_t remaining_replacements = std::max<std::size_t>(1, max_reported_ / replacement_divisor);
+    Changes changes;
     for (const auto& [count, name] : candidates) {
         if (count < min_reported_count) break;
         if (reported_.size() >= max_reported_) {
-            if (replacements == 0 || current.empty() || count < replacement_ratio * current.back().first) break;
-            --replacements;
-            turnover.removed.emplace_back(current.back().second);
-            current.pop_back();
-            reported_.erase(turnover.removed.back());
+            if (remaining_replacements == 0 || reported_ranking.empty() ||
+                count < replacement_ratio * reported_ranking.back().first)
+                break;
+            --remaining_replacements;
+            changes.removed.emplace_back(reported_ranking.back().second);
+            reported_ranking.pop_back();
+            reported_.erase(changes.removed.back());
         }
         reported_.emplace(name);
-        turnover.added.emplace_back(name);
+        changes.added.emplace_back(name);
     }
-    decay();
-    return turnover;
+    decay_counts();
+    return changes;
 }
 
-void HeavyHitters::decay() {
+void HeavyHitters::decay_counts() {
     for (auto& [name, count] : counts_) {
         count.count *= decay_factor;
         count.error *= decay_factor;
--- a/src/metrics/metric_families.hpp
+++ b/src/metrics/metric_families.hpp
@@ -18,15 +18,15 @@
 using GaugeFamily = prometheus::Family<Gauge>;
 using HistogramFamily = prometheus::Family<Histogram>;
 
-/// Counters and histograms, and the gauge of invokers. The registry exposes families in the order of registration,
-/// which is the order of the members.
+/// Registers counters, histograms and the gauge of invokers. The registry exposes families in the order of
+/// registration, which is the order of the members.
 class MetricFamilies {
 public:
-    /// Every metric has a label with the name of the controller.
+    /// `controller` is the value of the label `controller`, which all metrics have.
     MetricFamilies(prometheus::Registry& registry, const std::string& controller);
     MetricFamilies(const MetricFamilies&) = delete;
 
-    /// Registers one more gauge; `name` without the prefix that all metrics have.
+    /// Registers another gauge. `name` is given without the prefix `plumkeel_`.
     GaugeFamily& add_gauge(const std::string& name, const char* help);
 
 private:
@@ -38,7 +38,7 @@
 
 public:
     CounterFamily &requests, &function_requests, &failures, &attempts, &loads, &rejections, &invariant_violations;
-    CounterFamily &received, &client_retries, &collections, &health_checks, &preloads, &warm_mispredictions,
+    CounterFamily &received_requests, &client_retries, &gauge_updates, &health_checks, &preloads, &warm_mispredictions,
         &unfinished_loads, &dropped_trace_records, &dropped_log_lines, &failed_connects;
     HistogramFamily &request_duration, &queue_time, &attempts_per_request;
     HistogramFamily &attempt_duration, &load_duration;
--- a/src/metrics/metric_labels.cpp
+++ b/src/metrics/metric_labels.cpp
@@ -3,14 +3,14 @@
 namespace plumkeel::metrics {
 namespace {
 
-constexpr const char* other = "other";
+constexpr const char* unknown_label = "other";
 
 }  // namespace
 
-RequestOutcome request_outcome(RequestState state, bool late) {
+RequestOutcome request_outcome(RequestState state, bool exceeded_target) {
     switch (state) {
         case RequestState::succeeded:
-            return late ? RequestOutcome::succeeded_late : RequestOutcome::succeeded;
+            return exceeded_target ? RequestOutcome::succeeded_late : RequestOutcome::succeeded;
         case RequestState::rejected:
             return RequestOutcome::rejected;
         case RequestState::failed:
@@ -33,7 +33,7 @@
         case RequestOutcome::cancelled:
             return "abandoned";
     }
-    return other;
+    return unknown_label;
 }
 
 const char* label(AttemptOutcome outcome) {
@@ -57,7 +57,7 @@
         case AttemptOutcome::cancelled:
             return "called_off";
     }
-    return other;
+    return unknown_label;
 }
 
 const char* label(LoadEvent event) {
@@ -73,7 +73,7 @@
         case LoadEvent::load_failed:
             return "broken";
     }
-    return other;
+    return unknown_label;
 }
 
 const char* label(DecisionReason reason) {
@@ -93,7 +93,7 @@
         case DecisionReason::may_have_run:
             return "may_have_run";
         default:
-            return other;
+            return unknown_label;
     }
 }
 
--- a/src/metrics/metric_labels.hpp
+++ b/src/metrics/metric_labels.hpp
@@ -1,7 +1,7 @@
-/// Names and values of the metrics' labels.
+/// Names and values of the labels of metrics.
 ///
-/// Dashboards, alert rules and stored series depend on these strings, so they stay as they are; the enumerators carry
-/// the terms that the code uses.
+/// Dashboards, alert rules and stored series depend on these strings, so they must not change. Some of them differ from
+/// the names of the enumerators for that reason.
 #pragma once
 
 #include <array>
@@ -25,13 +25,13 @@
 constexpr const char* invariant = "invariant";
 }  // namespace label_name
 
-/// How a request ended, as its client sees it.
+/// The outcome of a request as seen by its client.
 enum class RequestOutcome { succeeded, succeeded_late, rejected, failed, cancelled };
 inline constexpr std::array request_outcomes = {RequestOutcome::succeeded, RequestOutcome::succeeded_late,
                                                 RequestOutcome::rejected, RequestOutcome::failed,
                                                 RequestOutcome::cancelled};
 
-RequestOutcome request_outcome(RequestState state, bool late);
+RequestOutcome request_outcome(RequestState state, bool exceeded_target);
 
 inline constexpr std::array attempt_outcomes = {
     AttemptOutcome::succeeded,   AttemptOutcome::failed,          AttemptOutcome::rejected,
@@ -41,10 +41,11 @@
 inline constexpr std::array load_events = {LoadEvent::none, LoadEvent::was_loaded, LoadEvent::started_load,
                                            LoadEvent::joined_load, LoadEvent::load_failed};
 
+/// The label value of an outcome or a load event.
 const char* label(RequestOutcome outcome);
 const char* label(AttemptOutcome outcome);
 const char* label(LoadEvent event);
-/// Why the gateway rejected or failed a request.
+/// The label value of the reason why the gateway rejected or failed a request.
 const char* label(DecisionReason reason);
 
 }  // namespace plumkeel::metrics
--- a/src/metrics/metrics_config.hpp
+++ b/src/metrics/metrics_config.hpp
@@ -7,9 +7,10 @@
 namespace plumkeel::metrics {
 
 struct MetricsConfig {
-    /// Tenants and functions with series of their own; all others count under HeavyHitters::others.
+    /// Limits of the numbers of tenants and functions with separate series; all others share the label value
+    /// HeavyHitters::others.
     std::size_t max_tenants = 20, max_functions = 50;
-    std::chrono::microseconds interval = std::chrono::seconds(1);  ///< between two updates of the gauges
+    std::chrono::microseconds interval = std::chrono::seconds(1);  ///< time between two updates of the gauges
 };
 
 }  // namespace plumkeel::metrics
--- a/src/metrics/request_metrics.cpp
+++ b/src/metrics/request_metrics.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 const Histogram::BucketBoundaries attempt_count_buckets = {0, 1, 2, 3, 4, 6};
-constexpr std::size_t counted_names_ratio = 10;  // names counted for each name reported
+constexpr std::size_t counted_names_ratio = 10;  // number of names that are counted for each name that is reported
 
 }  // namespace
 
@@ -27,16 +27,17 @@
       queue_time_(families.queue_time, duration_buckets()),
       attempts_per_request_(families.attempts_per_request, attempt_count_buckets) {}
 
-void RequestMetrics::record(const RequestEnd& end) {
-    const bool reported_tenant = end.tenant.empty() || tenants_.add(end.tenant);
-    const std::string_view tenant = reported_tenant ? end.tenant : HeavyHitters::others;
-    outcome_counter(end.request_class, tenant, request_outcome(end.state, end.late)).Increment();
-    function_counter(functions_.add(end.function) ? end.function : HeavyHitters::others).Increment();
-    queue_time_.observe(end.request_class, to_seconds(end.waited));
-    attempts_per_request_.observe(end.request_class, static_cast<double>(end.attempts));
-    if (end.state == RequestState::succeeded) request_duration_.observe(end.request_class, to_seconds(end.duration));
-    if (end.state == RequestState::rejected || end.state == RequestState::failed)
-        failure_counter(end.reason).Increment();
+void RequestMetrics::record(const CompletedRequest& request) {
+    const bool reported_tenant = request.tenant.empty() || tenants_.add(request.tenant);
+    const std::string_view tenant = reported_tenant ? request.tenant : HeavyHitters::others;
+    outcome_counter(request.request_class, tenant, request_outcome(request.state, request.late)).Increment();
+    function_counter(functions_.add(request.function) ? request.function : HeavyHitters::others).Increment();
+    queue_time_.observe(request.request_class, to_seconds(request.queue_time));
+    attempts_per_request_.observe(request.request_class, static_cast<double>(request.attempts));
+    if (request.state == RequestState::succeeded)
+        request_duration_.observe(request.request_class, to_seconds(request.duration));
+    if (request.state == RequestState::rejected || request.state == RequestState::failed)
+        failure_counter(request.reason).Increment();
 }
 
 Counter& RequestMetrics::outcome_counter(std::string_view request_class, std::string_view tenant,
@@ -51,7 +52,8 @@
     return *it->second[static_cast<std::size_t>(outcome)];
 }
 
-// All outcomes at once, from 0: where a series begins with its first event, no rate contains that event.
+// Adds the counters of all outcomes with the value 0. A counter that is added together with its first event would start
+// at 1, and Prometheus' rate() would miss that event.
 RequestMetrics::OutcomeCounters RequestMetrics::add_outcome_counters(std::string_view request_class,
                                                                      std::string_view tenant) {
     OutcomeCounters counters{};
--- a/src/metrics/request_metrics.hpp
+++ b/src/metrics/request_metrics.hpp
@@ -13,17 +13,17 @@
 
 namespace plumkeel::metrics {
 
-struct RequestEnd {
+struct CompletedRequest {
     std::string_view request_class, tenant, function;
     RequestState state{};
     DecisionReason reason{};
-    bool late{};             ///< it succeeded after its latency target
+    bool late{};             ///< the request succeeded, but after its latency target
     Time duration{};         ///< from request to response
-    Time waited{};           ///< until its first attempt, or until its end
-    std::size_t attempts{};  ///< that were sent
+    Time queue_time{};       ///< from the request to its first attempt, or to its end if there was none
+    std::size_t attempts{};  ///< number of attempts that were sent
 };
 
-/// A histogram for each request class, created with the first observation.
+/// A histogram for each request class, created when the class has its first observation.
 class HistogramByClass {
 public:
     HistogramByClass(HistogramFamily& family, const Histogram::BucketBoundaries& buckets)
@@ -40,8 +40,8 @@
 public:
     RequestMetrics(MetricFamilies& families, const MetricsConfig& config);
 
-    void record(const RequestEnd& end);
-    /// Updates which tenants and functions have series of their own, and removes the series of the others.
+    void record(const CompletedRequest& request);
+    /// Updates which tenants and functions have separate series, and removes the series of the others.
     void update_reported_names();
 
 private:
@@ -57,7 +57,7 @@
     HeavyHitters tenants_, functions_;
     std::map<std::string, CountersByClass, std::less<>> counters_by_tenant_;
     std::map<std::string, Counter*, std::less<>> counters_by_function_;
-    std::map<std::string_view, Counter*> counters_by_reason_;  // by label
+    std::map<std::string_view, Counter*> counters_by_reason_;  // by label value
     HistogramByClass request_duration_, queue_time_, attempts_per_request_;
 };
 
--- a/tests/gateway_metrics_test.cpp
+++ b/tests/gateway_metrics_test.cpp
@@ -1,4 +1,4 @@
-/// Values and number of the gateway's series.
+/// Tests the values and the number of the gateway's series.
 #include "metrics/gateway_metrics.hpp"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 namespace {
 
 std::size_t series_count(const GatewayMetrics& metrics, const std::string& family) {
-    for (const auto& collected : metrics.collect())
-        if (collected.name == family) return collected.metric.size();
+    for (const auto& collected_family : metrics.collect())
+        if (collected_family.name == family) return collected_family.metric.size();
     return 0;
 }
 
--- a/tests/heavy_hitters_test.cpp
+++ b/tests/heavy_hitters_test.cpp
@@ -1,4 +1,4 @@
-/// Which names get series of their own.
+/// Tests which names HeavyHitters selects for separate series.
 #include "metrics/heavy_hitters.hpp"
 
 #include <gtest/gtest.h>
@@ -9,44 +9,45 @@
 namespace {
 
 TEST(HeavyHitters, ReportsTheMostFrequentNamesOfASkewedStream) {
-    HeavyHitters sketch(5, 50);
+    HeavyHitters heavy_hitters(5, 50);
     std::uint64_t random_state = 3;
-    const auto next = [&] {
+    const auto next_random = [&] {
         return (random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL) >> 33;
     };
     for (int round = 0; round < 10; ++round) {
         for (int i = 0; i < 2000; ++i) {
-            const auto n = next() % 100;
-            sketch.add(n < 80 ? "heavy" + std::to_string(n % 5) : "light" + std::to_string(next() % 10'000));
+            const auto random_number = next_random() % 100;
+            heavy_hitters.add(random_number < 80 ? "heavy" + std::to_string(random_number % 5)
+                                                 : "light" + std::to_string(next_random() % 10'000));
         }
-        sketch.update_reported_names();
+        heavy_hitters.update_reported_names();
     }
-    for (int i = 0; i < 5; ++i) EXPECT_TRUE(sketch.is_reported("heavy" + std::to_string(i))) << i;
+    for (int i = 0; i < 5; ++i) EXPECT_TRUE(heavy_hitters.is_reported("heavy" + std::to_string(i))) << i;
 }
 
 TEST(HeavyHitters, NeverReportsNamesUsedOnce) {
-    HeavyHitters sketch(3, 30);
+    HeavyHitters heavy_hitters(3, 30);
     for (int round = 0; round < 20; ++round) {
-        for (int i = 0; i < 500; ++i) EXPECT_FALSE(sketch.add("once" + std::to_string(round * 500 + i)));
-        EXPECT_TRUE(sketch.update_reported_names().added.empty());
+        for (int i = 0; i < 500; ++i) EXPECT_FALSE(heavy_hitters.add("once" + std::to_string(round * 500 + i)));
+        EXPECT_TRUE(heavy_hitters.update_reported_names().added.empty());
     }
 }
 
-// Another frequent name every second for an hour: reported names change only in reviews, a few in each.
+// Every second another name is frequent. Guards against replacing many reported names in one update.
 TEST(HeavyHitters, ReplacesAFewNamesAtATimeUnderChangingLoad) {
-    HeavyHitters sketch(16, 160);
-    std::size_t changes = 0;
+    HeavyHitters heavy_hitters(16, 160);
+    std::size_t added_names = 0;
     for (int second = 0; second < 3600; ++second) {
-        for (int i = 0; i < 50; ++i) sketch.add("frequent" + std::to_string(second));
-        for (int i = 0; i < 20; ++i) sketch.add("steady");
+        for (int i = 0; i < 50; ++i) heavy_hitters.add("frequent" + std::to_string(second));
+        for (int i = 0; i < 20; ++i) heavy_hitters.add("steady");
         if (second % 5 == 4) {
-            const auto turnover = sketch.update_reported_names();
-            EXPECT_LE(turnover.removed.size(), 2u);
-            changes += turnover.added.size();
+            const auto changes = heavy_hitters.update_reported_names();
+            EXPECT_LE(changes.removed.size(), 2u);
+            added_names += changes.added.size();
         }
     }
-    EXPECT_TRUE(sketch.is_reported("steady"));
-    EXPECT_LE(changes, 16u + 720u * 2);
+    EXPECT_TRUE(heavy_hitters.is_reported("steady"));
+    EXPECT_LE(added_names, 16u + 720u * 2);
 }
 
 }  // namespace
