--- a/soak/client_state.cpp
+++ b/soak/client_state.cpp
@@ -82,8 +82,8 @@
 Request ClientState::new_request() {
     Request request;
     request.id = ++last_id_;
-    request.controller = options_.number;
-    request.controller_run = options_.controller_run;
+    request.controller_number = options_.number;
+    request.controller_run_index = options_.controller_run;
     return request;
 }
 
--- a/soak/controller_set.cpp
+++ b/soak/controller_set.cpp
@@ -177,9 +177,9 @@
     controller.state = Controller::State::ending;
     const bool terminated = run.termination_requested_us != never && ending.exited && ending.code == 0;
     if (run.killed || terminated) return;
-    run.crash = describe_end(run, ending);
+    run.crash_reason = describe_end(run, ending);
     controller.clients->controller_killed();
-    context_.log(fmt::format("controller {} {}", controller.number, run.crash));
+    context_.log(fmt::format("controller {} {}", controller.number, run.crash_reason));
 }
 
 void ControllerSet::clear_faults() {
@@ -204,7 +204,7 @@
     std::map<std::string, std::uint64_t> failed_calls;
     for (Controller& controller : controllers_) {
         ControllerRun& run = current_run(controller);
-        if (run.ended_us == never && run.termination_requested_us != never) run.crash = "did not end";
+        if (run.ended_us == never && run.termination_requested_us != never) run.crash_reason = "did not end";
         count_invariant_violations(controller);
         for (const auto& [name, call] : calls) failed_calls[name] += controller.faults->rule(call).failed;
     }
@@ -212,7 +212,7 @@
 }
 
 void ControllerSet::count_invariant_violations(const Controller& controller) {
-    std::uint64_t& violated = context_.history.invariants_violated;
+    std::uint64_t& violated = context_.history.invariant_violations;
     std::ifstream log(log_file(controller));
     for (std::string line; std::getline(log, line);) {
         if (line.find(invariant_event) == std::string::npos) continue;
--- a/soak/events.cpp
+++ b/soak/events.cpp
@@ -17,18 +17,18 @@
 
 EventFile::EventFile(const std::string& path)
     : descriptor_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {
-    if (descriptor_ < 0) throw std::runtime_error(path + ": cannot be written");
+    if (descriptor_ < 0) throw std::runtime_error(path + ": cannot open the event file for writing");
 }
 
 EventFile::~EventFile() {
     ::close(descriptor_);
 }
 
-void EventFile::write(EventType type, std::uint64_t request, std::uint32_t invoker, std::int32_t value,
+void EventFile::write(EventType type, std::uint64_t request_id, std::uint32_t invoker_number, std::int32_t value,
                       std::uint32_t flags) {
-    const Event event{now_us(), request, type, invoker, value, flags};
+    const Event event{now_us(), request_id, type, invoker_number, value, flags};
     if (::write(descriptor_, &event, sizeof event) != sizeof event)
-        throw std::runtime_error("events cannot be written");
+        throw std::runtime_error("cannot write an event to the event file");
 }
 
 std::vector<Event> read_events(const std::string& path) {
--- a/soak/judge.cpp
+++ b/soak/judge.cpp
@@ -7,8 +7,8 @@
 namespace plumkeel::soak {
 namespace {
 
-// stop_sending_within of the controllers' settings, and 50 ms in sockets.
-constexpr std::int64_t drain_limit_us = 2050 * ms;
+// The setting stop_sending_within of the controllers (2000 ms), and 50 ms for the transfer of an attempt.
+constexpr std::int64_t max_attempt_delay_after_drain_us = 2050 * us_per_ms;
 
 }  // namespace
 
@@ -22,24 +22,27 @@
 void check_drains(const JudgeContext& context) {
     for (const Event& event : context.history.events) {
         if (!is_timed_attempt(event)) continue;
-        const auto invoker = context.history.invokers.find(event.invoker);
+        const auto invoker = context.history.invokers.find(event.invoker_number);
         if (invoker == context.history.invokers.end() || invoker->second.drained_us == never) continue;
-        const std::int64_t late_us = event.time_us - invoker->second.drained_us;
-        if (late_us > drain_limit_us + process_slack_us)
-            context.report(Rule::drain, event.request,
-                           fmt::format("sent to invoker {} {} ms after it drained", event.invoker, late_us / ms));
+        const std::int64_t since_drained_us = event.time_us - invoker->second.drained_us;
+        if (since_drained_us > max_attempt_delay_after_drain_us + socket_read_slack_us)
+            context.report(Rule::drain, event.request_id,
+                           fmt::format("attempt was sent to invoker {} {} ms after its drain", event.invoker_number,
+                                       since_drained_us / us_per_ms));
     }
 }
 
 void check_controllers(const JudgeContext& context) {
     for (const auto& [number, runs] : context.history.controllers)
         for (const ControllerRun& run : runs) {
-            if (!run.crash.empty()) context.report(Rule::crash, 0, fmt::format("controller {}: {}", number, run.crash));
+            if (!run.crash_reason.empty())
+                context.report(Rule::crash, 0, fmt::format("controller {}: {}", number, run.crash_reason));
             if (!run.ready && !run.killed)
-                context.report(Rule::crash, 0, fmt::format("controller {} was never ready", number));
+                context.report(Rule::crash, 0, fmt::format("controller {} never became ready", number));
         }
-    if (context.history.invariants_violated)
-        context.report(Rule::invariant, 0, fmt::format("{} violations logged", context.history.invariants_violated));
+    if (context.history.invariant_violations)
+        context.report(Rule::invariant, 0,
+                       fmt::format("controllers logged {} invariant violations", context.history.invariant_violations));
 }
 
 Verdict judge(const RunHistory& history) {
--- a/soak/judge_slow_start.cpp
+++ b/soak/judge_slow_start.cpp
@@ -14,7 +14,7 @@
 std::map<std::uint32_t, AttemptTimes> attempts_by_invoker(const RunHistory& history) {
     std::map<std::uint32_t, AttemptTimes> attempts;
     for (const Event& event : history.events)
-        if (is_timed_attempt(event)) attempts[event.invoker].push_back(event.time_us);
+        if (is_timed_attempt(event)) attempts[event.invoker_number].push_back(event.time_us);
     for (auto& [number, times] : attempts) std::sort(times.begin(), times.end());
     return attempts;
 }
@@ -23,34 +23,35 @@
     return invoker.started_us != 0;
 }
 
-std::size_t most_in_window(const AttemptTimes& times, std::int64_t window_us, std::int64_t until_us) {
-    std::size_t most = 0;
-    for (std::size_t first = 0, last = 0; last < times.size() && times[last] < until_us; ++last) {
-        while (times[first] + window_us < times[last]) ++first;
-        most = std::max(most, last - first + 1);
+std::size_t max_attempts_in_window(const AttemptTimes& times, std::int64_t window_us, std::int64_t until_us) {
+    std::size_t max_attempts = 0;
+    for (std::size_t window_begin = 0, window_end = 0; window_end < times.size() && times[window_end] < until_us;
+         ++window_end) {
+        while (times[window_begin] + window_us < times[window_end]) ++window_begin;
+        max_attempts = std::max(max_attempts, window_end - window_begin + 1);
     }
-    return most;
+    return max_attempts;
 }
 
-// What a warm invoker is seen to bear, in attempts a microsecond: the most that any of them was sent in a window before
-// it drained. All of them are alike.
+// Estimates the capacity of a warm invoker in attempts per microsecond: the highest rate of attempts that a warm
+// invoker received in one window before its drain. All invokers of a run have the same capacity.
 double warm_capacity(const RunHistory& history, const std::map<std::uint32_t, AttemptTimes>& attempts) {
     const std::int64_t window_us = history.slow_start.window_us;
-    std::size_t most = 0;
+    std::size_t max_attempts = 0;
     for (const auto& [number, times] : attempts) {
         const auto invoker = history.invokers.find(number);
         if (invoker == history.invokers.end() || has_started_in_run(invoker->second)) continue;
-        most = std::max(most, most_in_window(times, window_us, invoker->second.drained_us));
+        max_attempts = std::max(max_attempts, max_attempts_in_window(times, window_us, invoker->second.drained_us));
     }
-    return static_cast<double>(most) / static_cast<double>(window_us);
+    return static_cast<double>(max_attempts) / static_cast<double>(window_us);
 }
 
-// The attempts in a window that an invoker of that age bears: the multiple of its present capacity, and the deviation
-// that chance gives it.
-double bearable_attempts(const SlowStartRule& rule, double capacity, std::int64_t age_us) {
-    const double risen = static_cast<double>(age_us) / static_cast<double>(rule.duration_us);
-    const double share = std::min(1.0, rule.cold_share + (1 - rule.cold_share) * risen);
-    const double expected = rule.rate_multiple * share * capacity * static_cast<double>(rule.window_us);
+// Returns how many attempts an invoker of this age may receive in one window: `rate_multiple` times its capacity at
+// that age, plus two or three standard deviations for random variation.
+double allowed_attempts(const SlowStartRule& rule, double capacity, std::int64_t age_us) {
+    const double elapsed_share = static_cast<double>(age_us) / static_cast<double>(rule.duration_us);
+    const double capacity_share = std::min(1.0, rule.cold_share + (1 - rule.cold_share) * elapsed_share);
+    const double expected = rule.rate_multiple * capacity_share * capacity * static_cast<double>(rule.window_us);
     return expected < 30 ? expected + 3 * std::sqrt(expected) + 3 : expected + 2 * std::sqrt(expected) + 2;
 }
 
@@ -64,19 +65,20 @@
         if (age_us < 0 || age_us > rule.duration_us) continue;
         window.push_back(time_us);
         while (window.front() + rule.window_us < time_us) window.pop_front();
-        const double bearable = bearable_attempts(rule, capacity, age_us);
-        const double load = static_cast<double>(window.size()) / bearable;
-        if (load > 1 && peak <= 1)
+        const double allowed = allowed_attempts(rule, capacity, age_us);
+        const double load_ratio = static_cast<double>(window.size()) / allowed;
+        if (load_ratio > 1 && peak <= 1)
             context.report(Rule::slow_start, 0,
-                           fmt::format("invoker {} got {} attempts in a window {} ms after its start; it bears {:.1f}",
-                                       invoker.number, window.size(), age_us / ms, bearable));
-        peak = std::max(peak, load);
+                           fmt::format("invoker {} received {} attempts in a window that ended {} ms after its start; "
+                                       "at most {:.1f} are allowed",
+                                       invoker.number, window.size(), age_us / us_per_ms, allowed));
+        peak = std::max(peak, load_ratio);
     }
 }
 
 }  // namespace
 
-// What all controllers together sent a starting invoker, in any window.
+// Counts the attempts that all controllers together sent to each starting invoker in any window.
 void check_slow_starts(const JudgeContext& context) {
     const auto attempts = attempts_by_invoker(context.history);
     if (attempts.empty()) return;
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -39,7 +39,7 @@
     const Verdict& verdict = result.verdict;
     for (std::size_t i = 0; i < verdict.violations.size() && i < printed_violations; ++i) {
         const Violation& violation = verdict.violations[i];
-        std::cout << fmt::format("violation: {} request {:016x}: {}\n", rule_name(violation.rule), violation.request,
+        std::cout << fmt::format("violation: {} request {:016x}: {}\n", rule_name(violation.rule), violation.request_id,
                                  violation.description);
     }
     std::string faults, calls;
--- a/soak/run_history.hpp
+++ b/soak/run_history.hpp
@@ -1,5 +1,5 @@
-/// What a soak run knows of its requests and its processes when it is judged. Times are microseconds of the machine's
-/// monotonic clock.
+/// The recorded history of a soak run, which is the judge's input. Times are microseconds of the machine's monotonic
+/// clock.
 #pragma once
 
 #include <cstdint>
@@ -11,50 +11,53 @@
 
 namespace plumkeel::soak {
 
-/// As the controllers' settings name them.
+/// The request classes that the controllers' settings define.
 enum class RequestClass {
     preview,  ///< idempotent
-    tagged,   ///< deduplicated by its key
+    tagged,   ///< deduplicated by its idempotency key
     ledger,   ///< runs at most once
 };
+/// Time of an event that didn't happen.
 constexpr std::int64_t never = INT64_MAX;
 
-/// One request and what became of it, as its client saw it.
+/// A request and its outcome, as recorded by its client.
 struct Request {
     std::uint64_t id{};
     RequestClass request_class{};
-    std::uint32_t controller{}, controller_run{};
-    std::int64_t sent_us{};  // its last byte was handed to the kernel
+    std::uint32_t controller_number{}, controller_run_index{};
+    std::int64_t sent_us{};  // when it was queued for writing to the socket
     int budget_ms{};
-    std::int64_t abandoned_us = never;        // its client closed the connection or cancelled it
-    std::int64_t answered_us = never;         // the end of its first answer
-    std::int64_t connection_lost_us = never;  // its connection ended before an answer
+    std::int64_t abandoned_us = never;        // when the client cancelled it or closed its connection
+    std::int64_t answered_us = never;         // when the first answer was complete
+    std::int64_t connection_lost_us = never;  // when its connection was lost before an answer
     int answers{}, status{};
-    bool answer_valid = true;  // its answer could be read, and a body was made for it
-    bool resent{};             // it was sent as its idle connection was closed
-    bool lost_with_process{};  // its controller was killed
+    bool answer_valid = true;  // the answer was well-formed and its body belongs to this request
+    bool resent{};             // sent again because its connection was lost right after sending
+    bool lost_with_process{};  // its controller was killed or crashed, or the request was never sent
 };
 
-/// A time in which a process was stopped.
+/// A period in which a process was stopped or stalled.
 struct Pause {
     std::int64_t from_us{}, to_us{};
 };
 
-/// A controller from one start to its end.
+/// One process of a controller, from its start to its end.
 struct ControllerRun {
     std::int64_t started_us{}, termination_requested_us = never, ended_us = never;
     bool killed{}, ready{};
-    std::string crash;  // how it ended by itself; empty: it did not
+    std::string crash_reason;  // how the controller crashed; empty: it didn't crash
     std::vector<Pause> pauses;
 };
 
-/// An invoker from its start on. One that replaces another has a number of its own.
+/// The lifetime of an invoker. An invoker that replaces another one has a new number.
 struct InvokerHistory {
     std::uint32_t number{};
-    std::int64_t started_us{};        // 0: before the run
-    std::int64_t drained_us = never;  // discovery said so, and every controller had received it or counts as if
+    std::int64_t started_us{};        // 0: running since the start of the run, counts as warm
+    std::int64_t drained_us = never;  // when controllers should know that it drains or was removed
 };
 
+/// Limits the attempts sent to an invoker in any window of `window_us` after its start. The allowed share of its
+/// capacity rises from `cold_share` to 1 within `duration_us` and may be exceeded by the factor `rate_multiple`.
 struct SlowStartRule {
     double cold_share{}, rate_multiple{};
     std::int64_t duration_us{}, window_us{};
@@ -64,10 +67,10 @@
     std::vector<Request> requests;
     std::map<std::uint32_t, std::vector<ControllerRun>> controllers;
     std::map<std::uint32_t, InvokerHistory> invokers;
-    std::vector<Event> events;  // of all proxies and invokers, in any order
+    std::vector<Event> events;  // recorded by all proxies and invokers, unordered
     SlowStartRule slow_start;
-    std::vector<Pause> client_pauses;     // of the process of the clients: what it saw then it saw late
-    std::uint64_t invariants_violated{};  // by the controllers' own logs
+    std::vector<Pause> client_pauses;      // when the clients' process was stalled and recorded answers late
+    std::uint64_t invariant_violations{};  // count of violations in the logs of the controllers
 };
 
 }  // namespace plumkeel::soak
