--- a/soak/client_state.hpp
+++ b/soak/client_state.hpp
@@ -1,4 +1,4 @@
-/// What the coroutines of Clients share.
+/// State and coroutines behind the class Clients.
 #pragma once
 
 #include <functional>
@@ -22,25 +22,27 @@
 
     void start(std::function<void()> on_ready);
     void stop_sending() { stopped_ = true; }
-    void controller_killed() { stopped_ = controller_killed_ = true; }
+    void handle_controller_killed() { stopped_ = controller_killed_ = true; }
 
-    enum class Reading { until_closed, none };
-    /// A faulty client's connection: it sends `bytes`, and reads until it is closed, or not at all for a while.
-    void send_faulty(std::string bytes, Reading reading);
-    void send_malformed();
+    enum class ReadMode { until_closed, none };
+    /// Sends `bytes` on a new connection. With `ReadMode::until_closed` it then reads until the controller closes the
+    /// connection; with `ReadMode::none` it reads nothing and closes the connection after some seconds.
+    void open_faulty_connection(std::string bytes, ReadMode read_mode);
+    /// Sends a valid request followed by malformed bytes, on a new connection.
+    void send_malformed_record();
 
 private:
     struct Connection {
         std::shared_ptr<net::Stream> stream;
         std::shared_ptr<net::WriteQueue> write_queue;
-        std::map<int, std::size_t> pending;       // places of requests, by their number on this connection
-        std::map<int, std::string> partial_text;  // of their answers
+        std::map<int, std::size_t> pending;       // indexes into requests_, by FastCGI request ID
+        std::map<int, std::string> partial_text;  // answers received so far, by FastCGI request ID
         net::Time last_used{};
-        int next_number = 1;
-        bool exclusive{};  // for one request, whose client closes it
+        int next_fastcgi_id = 1;
+        bool exclusive{};  // carries one request; abandoning the request closes the connection
         bool ended{};
     };
-    struct RequestBody {
+    struct RequestContent {
         std::string function, body;
     };
     using ConnectionPointer = std::shared_ptr<Connection>;
@@ -48,31 +50,32 @@
     net::Task<> run(std::function<void()> on_ready);
     net::Task<bool> is_healthy();
     net::Task<> send_requests();
-    void send_drawn_request();
-    std::size_t add_request(Request request, RequestBody body);
+    void send_random_request();
+    std::size_t add_request(Request request, RequestContent content);
     Request new_request();
-    std::string request_message(std::size_t place, int number) const;
-    net::Task<> send(std::size_t place, bool exclusive, std::optional<net::Time> abandon_after);
+    std::string request_message(std::size_t request_index, int fastcgi_id) const;
+    net::Task<> send(std::size_t request_index, bool exclusive, std::optional<net::Time> abandon_after);
     net::Task<ConnectionPointer> open_connection(bool exclusive);
     ConnectionPointer reusable_connection() const;
-    void abandon(std::size_t place, const ConnectionPointer& connection, int number);
+    void abandon(std::size_t request_index, const ConnectionPointer& connection, int fastcgi_id);
     net::Task<> read(ConnectionPointer connection);
     net::Task<> close_when_idle(ConnectionPointer connection);
     void handle_records(std::string& buffer, Connection& connection);
-    void handle_answer(Connection& connection, int number);
+    void handle_answer(Connection& connection, int fastcgi_id);
     void handle_lost_connection(const ConnectionPointer& connection);
     void end(const ConnectionPointer& connection);
-    net::Task<> run_faulty(std::string bytes, Reading reading);
-    net::Task<> run_malformed();
+    net::Task<> run_faulty_connection(std::string bytes, ReadMode read_mode);
+    net::Task<> run_malformed_client();
 
     net::EventLoop& loop_;
     const ClientOptions options_;
     std::vector<Request>& requests_;
     Pcg random_;
-    std::uint64_t last_id_;
+    std::uint64_t last_request_id_;
     std::vector<ConnectionPointer> connections_;
-    std::map<std::size_t, RequestBody> bodies_;                       // by place of the request
-    std::map<std::pair<Connection*, int>, std::size_t> answered_by_;  // requests answered, for what comes again
+    std::map<std::size_t, RequestContent> contents_;  // functions and bodies of requests, by index into requests_
+    std::map<std::pair<Connection*, int>, std::size_t>
+        answered_requests_;  // indexes into requests_, by connection and FastCGI request ID
     bool stopped_{}, controller_killed_{};
 };
 
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -6,8 +6,8 @@
 namespace plumkeel::soak {
 namespace {
 
-constexpr int incomplete_requests = 32, unread_requests = 400, unread_numbers = 20;
-constexpr std::size_t incomplete_body = 15'000, missing_bytes = 8;
+constexpr int incomplete_requests_per_connection = 32, unread_requests_per_connection = 400, unread_fastcgi_ids = 20;
+constexpr std::size_t incomplete_body_bytes = 15'000, omitted_bytes = 8;
 
 }  // namespace
 
@@ -26,36 +26,37 @@
     state_->stop_sending();
 }
 
-void Clients::controller_killed() {
-    state_->controller_killed();
+void Clients::handle_controller_killed() {
+    state_->handle_controller_killed();
 }
 
 void Clients::send_incomplete_requests(int connections) {
-    std::string incomplete;
-    for (int number = 1; number <= incomplete_requests; ++number) {
-        const std::string whole =
-            bytes::message(number, {{"SCRIPT_NAME", "/invoke/preview"}}, std::string(incomplete_body, 'h'));
-        incomplete += whole.substr(0, whole.size() - missing_bytes);
+    std::string incomplete_messages;
+    for (int fastcgi_id = 1; fastcgi_id <= incomplete_requests_per_connection; ++fastcgi_id) {
+        const std::string complete_message =
+            bytes::message(fastcgi_id, {{"SCRIPT_NAME", "/invoke/preview"}}, std::string(incomplete_body_bytes, 'h'));
+        incomplete_messages += complete_message.substr(0, complete_message.size() - omitted_bytes);
     }
-    for (int i = 0; i < connections; ++i) state_->send_faulty(incomplete, ClientState::Reading::until_closed);
+    for (int i = 0; i < connections; ++i)
+        state_->open_faulty_connection(incomplete_messages, ClientState::ReadMode::until_closed);
 }
 
-// Half of them say nothing, the others nothing after one request.
+// Half of the connections send nothing; the others send one health request and then nothing.
 void Clients::open_idle_connections(int connections) {
     for (int i = 0; i < connections; ++i)
-        state_->send_faulty(i % 2 ? "" : bytes::message(1, {{"SCRIPT_NAME", "/_health"}}),
-                            ClientState::Reading::until_closed);
+        state_->open_faulty_connection(i % 2 ? "" : bytes::message(1, {{"SCRIPT_NAME", "/_health"}}),
+                                       ClientState::ReadMode::until_closed);
 }
 
 void Clients::send_without_reading(int connections) {
     std::string requests;
-    for (int i = 0; i < unread_requests; ++i)
-        requests += bytes::message(1 + i % unread_numbers, {{"SCRIPT_NAME", "/invoke/nothing"}});
-    for (int i = 0; i < connections; ++i) state_->send_faulty(requests, ClientState::Reading::none);
+    for (int i = 0; i < unread_requests_per_connection; ++i)
+        requests += bytes::message(1 + i % unread_fastcgi_ids, {{"SCRIPT_NAME", "/invoke/nothing"}});
+    for (int i = 0; i < connections; ++i) state_->open_faulty_connection(requests, ClientState::ReadMode::none);
 }
 
 void Clients::send_malformed_bytes_after_request() {
-    state_->send_malformed();
+    state_->send_malformed_record();
 }
 
 }  // namespace plumkeel::soak
--- a/soak/clients.hpp
+++ b/soak/clients.hpp
@@ -1,5 +1,5 @@
-/// The clients of one controller in a soak run: a web server's connections that carry many requests, and faulty clients
-/// beside them. What becomes of each request is written in the run's history.
+/// The clients of one controller in a soak run: connections that carry many FastCGI requests each, as a web server
+/// opens them, and connections that misuse the protocol. The outcome of each request is recorded in a list of requests.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,39 @@
 
 struct ClientOptions {
     net::Address controller;
-    std::uint32_t number{}, controller_run{};
+    std::uint32_t controller_number{}, controller_run_index{};
     double requests_per_second = 12;
-    std::size_t connections = 4;
+    std::size_t connections = 4;  // number to open before requests share a busy connection
     std::uint64_t seed{};
-    std::uint64_t first_id{};  // of its requests, which count up from there
+    std::uint64_t request_id_base{};  // requests get the IDs after this one
 };
 
 class ClientState;
 
 class Clients {
 public:
-    /// Appends requests to `requests`, which must outlive this, as must `loop`.
+    /// Appends each request to `requests`. `loop` and `requests` must outlive this object.
     Clients(net::EventLoop& loop, ClientOptions options, std::vector<Request>& requests);
     ~Clients();
     Clients(const Clients&) = delete;
     Clients& operator=(const Clients&) = delete;
 
-    /// Asks until the controller says that it is healthy, calls `on_ready` once and starts to send.
+    /// Polls the controller's health endpoint until it reports healthy, then calls `on_ready` and starts sending
+    /// requests.
     void start(std::function<void()> on_ready);
-    /// Sends no more requests; pending ones are awaited.
+    /// Sends no new requests; still receives the answers of pending requests.
     void stop_sending();
-    /// The controller was killed: what is pending was lost with it.
-    void controller_killed();
+    /// Sends no new requests and marks requests whose connections are lost from now on as lost with the process.
+    void handle_controller_killed();
 
-    // Faulty clients, each on connections of its own.
+    // Faulty clients: each call opens new connections.
     void send_incomplete_requests(int connections);
     void open_idle_connections(int connections);
     void send_malformed_bytes_after_request();
     void send_without_reading(int connections);
 
 private:
-    std::shared_ptr<ClientState> state_;  // shared with the coroutines, which outlive this
+    std::shared_ptr<ClientState> state_;  // shared with coroutines that outlive this object
 };
 
 }  // namespace plumkeel::soak
--- a/soak/control.cpp
+++ b/soak/control.cpp
@@ -16,7 +16,7 @@
     if (descriptor >= 0 && (mode == Mode::open || ::ftruncate(descriptor, sizeof(ControlPage)) == 0))
         memory = ::mmap(nullptr, sizeof(ControlPage), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
     if (descriptor >= 0) ::close(descriptor);
-    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": cannot be mapped");
+    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": cannot open the control file or map it into memory");
     page_ = mode == Mode::create ? new (memory) ControlPage : static_cast<ControlPage*>(memory);
 }
 
--- a/soak/control.hpp
+++ b/soak/control.hpp
@@ -1,5 +1,5 @@
-/// How a soak run switches faults of its invokers and proxies while they run: a page of memory that the processes share
-/// through a file, with a part for each invoker.
+/// A memory-mapped file by which the soak run switches faults in the processes of its invokers and proxies. It has one
+/// InvokerControl per invoker.
 #pragma once
 
 #include <atomic>
@@ -10,21 +10,23 @@
 
 constexpr std::size_t max_invokers = 64;
 
-/// Of the network between the controllers and an invoker.
+/// State of the network between the controllers and one invoker, applied by the invoker's proxy.
 enum class NetworkState : std::uint32_t {
     up,
-    partitioned,  ///< bytes of both directions are held back and arrive late
-    unread,       ///< the proxy reads nothing from controllers: their sockets fill
-    refusing,     ///< new connections are reset
+    partitioned,  ///< the proxy holds back the bytes of both directions until the state changes
+    unread,       ///< the proxy reads nothing from controllers, so their send buffers fill
+    refusing,     ///< the proxy resets new connections
 };
 
-/// Rates are in millionths of the invoker's responses.
+/// Faults of one invoker and of its proxy. Fields that end in `per_million` are probabilities
+/// for each attempt or answer.
 struct InvokerControl {
     std::atomic<NetworkState> network{NetworkState::up};
-    std::atomic<std::uint32_t> delay_ms{};          // of bytes towards the invoker
-    std::atomic<std::uint32_t> reset_count{};       // incremented: the proxy resets all connections of the invoker
-    std::atomic<std::uint32_t> idle_close_count{};  // incremented: it closes those on which no attempt is in flight
-    std::atomic<std::uint32_t> failing{}, rejecting{}, duplicating{}, unanswered{};
+    std::atomic<std::uint32_t> to_invoker_delay_ms{};  // added by the proxy to bytes sent to the invoker
+    std::atomic<std::uint32_t> reset_count{};  // incremented to make the proxy reset all connections of the invoker
+    std::atomic<std::uint32_t> idle_close_count{};  // incremented to make the proxy close all idle connections
+    std::atomic<std::uint32_t> failures_per_million{}, rejections_per_million{}, duplicates_per_million{},
+        drops_per_million{};
     std::atomic<std::uint32_t> run_time_percent{100};
 };
 
--- a/soak/controller_config.cpp
+++ b/soak/controller_config.cpp
@@ -15,7 +15,7 @@
         config.descriptor_limit, config.known_endpoints_json);
 }
 
-// Whether controllers may cancel and hedge depends on the seed.
+// The seed selects whether controllers may cancel (may_cancel) and hedge (second_copies).
 std::string settings_json(const RunContext& context) {
     const SlowStartRule& slow_start = context.history.slow_start;
     const std::uint64_t seed = context.options.seed;
--- a/soak/controller_config.hpp
+++ b/soak/controller_config.hpp
@@ -1,4 +1,4 @@
-/// The settings file of a controller in a soak run.
+/// Writes the settings file of a controller in a soak run.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
     std::string known_endpoints_json;
 };
 
-/// Replaces `file` at once.
+/// Replaces `file` atomically.
 void write_controller_config(const std::string& file, const ControllerConfig& config, const RunContext& context);
 
 }  // namespace plumkeel::soak
--- a/soak/controller_set.hpp
+++ b/soak/controller_set.hpp
@@ -1,4 +1,4 @@
-/// The controllers of a soak run with their clients: processes that are started again when they have ended.
+/// The controller processes of a soak run and their clients. A controller that has ended is restarted.
 #pragma once
 
 #include <cstdint>
@@ -21,20 +21,20 @@
     struct Controller {
         std::uint32_t number{};
         net::Address address;
-        std::unique_ptr<faults::PlanFile> faults;
+        std::unique_ptr<faults::PlanFile> fault_plan;
         std::unique_ptr<faults::Process> process;
         std::unique_ptr<Clients> clients;
         enum class State { starting, up, ending } state{};
-        int run = -1;  // counts its starts
+        int run_index = -1;  // index of the current run in RunHistory::controllers; -1 before the first start
         bool paused{};
         std::int64_t paused_at_us{};
     };
 
     ControllerSet(RunContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-    /// Throws std::exception where a process can't be started.
+    /// Starts all controllers. Throws std::exception if a process can't be started.
     void start_all();
-    /// Looks for processes that have ended and has them started again; calls itself again.
+    /// Restarts controllers whose processes have ended, and schedules the next poll.
     void poll();
 
     Controller& random_controller() { return controllers_[context_.random_index(controllers_.size())]; }
@@ -44,14 +44,14 @@
     void kill(Controller& controller);
     void terminate(Controller& controller);
     void pause(Controller& controller, net::Time duration);
-    /// Lets the settings name the other discovery service from now on.
-    void switch_discovery() { discovery_ = 1 - discovery_; }
-    /// Has all read their settings again.
+    /// Selects the other discovery service for settings files that are written later.
+    void switch_discovery() { discovery_service_index_ = 1 - discovery_service_index_; }
+    /// Rewrites the settings files and makes all running controllers read them again.
     void reload_all();
 
     void clear_faults();
     void terminate_all();
-    /// At the end of the run: completes the history. Returns the counts of system calls that failed, by name.
+    /// Completes the history at the end of the run. Returns how often each kind of system call was made to fail.
     std::map<std::string, std::uint64_t> finish();
 
 private:
@@ -72,9 +72,10 @@
     RunContext& context_;
     Fleet& fleet_;
     std::deque<Controller> controllers_;
-    std::vector<std::unique_ptr<Clients>> former_clients_;  // still waiting for answers
+    std::vector<std::unique_ptr<Clients>>
+        former_clients_;  // clients of controllers that have ended; may still get answers
     std::uint64_t restarts_{};
-    std::uint32_t discovery_{};
+    std::uint32_t discovery_service_index_{};
     std::int64_t poll_due_us_{};
 };
 
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -12,25 +12,25 @@
 using net::Time;
 
 constexpr Time shortest_fault = 200ms, longest_fault = 2500ms;
-constexpr std::uint32_t shortened_transfers = 300'000;  // of a million calls
+constexpr std::uint32_t short_transfers_per_million = 300'000;
 constexpr Time idle_close_interval = 100ms;
 
 }  // namespace
 
 const std::vector<FaultSchedule::Fault>& FaultSchedule::all_faults() {
     static const std::vector<Fault> faults = {
-        {"pause", &FaultSchedule::pause_some},
-        {"term", &FaultSchedule::terminate_one},
-        {"kill", &FaultSchedule::kill_one},
-        {"reload", &FaultSchedule::reload_all},
+        {"pause", &FaultSchedule::pause_some_controllers},
+        {"term", &FaultSchedule::terminate_one_controller},
+        {"kill", &FaultSchedule::kill_one_controller},
+        {"reload", &FaultSchedule::reload_all_controllers},
         {"wall", &FaultSchedule::step_wall_clock},
         {"calls", &FaultSchedule::fail_system_calls},
         {"short", &FaultSchedule::shorten_transfers},
-        {"replace", &FaultSchedule::replace_one},
-        {"release", &FaultSchedule::replace_third},
+        {"replace", &FaultSchedule::replace_one_invoker},
+        {"release", &FaultSchedule::replace_third_of_invokers},
         {"hang", &FaultSchedule::pause_invoker},
         {"cut", &FaultSchedule::partition_network},
-        {"unread", &FaultSchedule::leave_unread},
+        {"unread", &FaultSchedule::stop_reading_from_controllers},
         {"refuse", &FaultSchedule::refuse_connections},
         {"resets", &FaultSchedule::reset_connections},
         {"idle-ends", &FaultSchedule::close_idle_connections},
@@ -41,9 +41,9 @@
         {"discovery", &FaultSchedule::stop_discovery},
         {"bad-clients", &FaultSchedule::start_faulty_clients},
         {"silent", &FaultSchedule::drop_answers},
-        {"freeze", &FaultSchedule::pause_all},
+        {"freeze", &FaultSchedule::pause_all_controllers},
         {"unread-answers", &FaultSchedule::leave_answers_unread},
-        {"term-all", &FaultSchedule::terminate_all},
+        {"term-all", &FaultSchedule::terminate_all_controllers},
     };
     return faults;
 }
@@ -59,53 +59,54 @@
     const RunOptions& options = context_.options;
     std::vector<Fault> enabled;
     for (const Fault& fault : all_faults())
-        if (options.only.empty() || options.only.count(fault.name)) enabled.push_back(fault);
+        if (options.only_faults.empty() || options.only_faults.count(fault.name)) enabled.push_back(fault);
     const Fault& fault = enabled[context_.random_index(enabled.size())];
     const Time duration = context_.random_time(shortest_fault, longest_fault);
     ++counts_[fault.name];
-    context_.log(fmt::format("{} for {} ms", fault.name, duration / 1ms));
+    context_.log(fmt::format("fault {}: duration {} ms", fault.name, duration / 1ms));
     (this->*fault.start)(duration);
-    context_.after(
-        context_.random_time(std::chrono::milliseconds(options.gap_ms / 4), std::chrono::milliseconds(options.gap_ms)),
-        [this] { start_next(); });
+    context_.call_after(context_.random_time(std::chrono::milliseconds(options.max_fault_gap_ms / 4),
+                                             std::chrono::milliseconds(options.max_fault_gap_ms)),
+                        [this] { start_next(); });
 }
 
-// The loops over a random count draw it anew in each round.
-void FaultSchedule::pause_some(Time duration) {
+// Pauses 1 to 3 controllers: the loop condition draws a new random number in each iteration.
+void FaultSchedule::pause_some_controllers(Time duration) {
     for (std::size_t i = 0; i < 1 + context_.random_index(3); ++i)
         controllers_.pause(controllers_.random_controller(), duration);
 }
 
-void FaultSchedule::pause_all(Time duration) {
+void FaultSchedule::pause_all_controllers(Time duration) {
     for (Controller& controller : controllers_.controllers()) controllers_.pause(controller, duration);
 }
 
-void FaultSchedule::terminate_all(Time) {
-    int place = 0;
+void FaultSchedule::terminate_all_controllers(Time) {
+    int order = 0;
     for (Controller& controller : controllers_.controllers())
-        context_.after(place++ * context_.random_time(20ms, 300ms),
-                       [this, &controller] { controllers_.terminate(controller); });
+        context_.call_after(order++ * context_.random_time(20ms, 300ms),
+                            [this, &controller] { controllers_.terminate(controller); });
 }
 
-// Sometimes another signal comes while it ends.
-void FaultSchedule::terminate_one(Time) {
+// With a probability of 30%, sends SIGHUP or a second SIGTERM while the controller terminates.
+void FaultSchedule::terminate_one_controller(Time) {
     Controller& controller = controllers_.random_controller();
     controllers_.terminate(controller);
     if (context_.random.next() >= 0.3) return;
-    context_.after(context_.random_time(0ms, 900ms), [this, &controller, run = controller.run] {
-        if (controller.run == run) controller.process->signal(context_.random.next() < 0.5 ? SIGHUP : SIGTERM);
+    context_.call_after(context_.random_time(0ms, 900ms), [this, &controller, run_index = controller.run_index] {
+        if (controller.run_index == run_index)
+            controller.process->signal(context_.random.next() < 0.5 ? SIGHUP : SIGTERM);
     });
 }
 
-void FaultSchedule::kill_one(Time) {
+void FaultSchedule::kill_one_controller(Time) {
     controllers_.kill(controllers_.random_controller());
 }
 
-void FaultSchedule::reload_all(Time) {
+void FaultSchedule::reload_all_controllers(Time) {
     controllers_.switch_discovery();
     const int reloads = 1 + static_cast<int>(context_.random_index(3));
     for (int i = 0; i < reloads; ++i)
-        context_.after(i * context_.random_time(1ms, 60ms), [this, i] {
+        context_.call_after(i * context_.random_time(1ms, 60ms), [this, i] {
             if (i % 2) controllers_.switch_discovery();
             controllers_.reload_all();
         });
@@ -115,26 +116,27 @@
     const std::int64_t steps_us[] = {3'600'000'000, -3'600'000'000, 7'000'000, -7'000'000};
     const std::int64_t step_us = steps_us[context_.random_index(std::size(steps_us))];
     for (Controller& controller : controllers_.controllers())
-        if (context_.random.next() < 0.5) controller.faults->plan().wall_ahead_us += step_us;
+        if (context_.random.next() < 0.5) controller.fault_plan->plan().wall_ahead_us += step_us;
 }
 
 void FaultSchedule::fail_system_calls(Time duration) {
     Controller& controller = controllers_.random_controller();
-    const auto rate = static_cast<std::uint32_t>(10'000 + context_.random.next() * 90'000);  // of a million calls
-    faults::PlanFile& plan = *controller.faults;
-    plan.fail(Call::accept, rate, {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR, EPROTO});
-    plan.fail(Call::connect, rate, {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EINTR, ECONNREFUSED});
-    plan.fail(Call::send, rate, {EINTR, ENOBUFS, ENOMEM});
-    plan.fail(Call::receive, rate, {EINTR, ENOMEM});
-    plan.fail(Call::wait, rate, {EINTR});
-    context_.after(duration, [&plan] { plan.heal(); });
+    const auto rate_per_million = static_cast<std::uint32_t>(10'000 + context_.random.next() * 90'000);
+    faults::PlanFile& plan = *controller.fault_plan;
+    plan.fail(Call::accept, rate_per_million, {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR, EPROTO});
+    plan.fail(Call::connect, rate_per_million,
+              {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EINTR, ECONNREFUSED});
+    plan.fail(Call::send, rate_per_million, {EINTR, ENOBUFS, ENOMEM});
+    plan.fail(Call::receive, rate_per_million, {EINTR, ENOMEM});
+    plan.fail(Call::wait, rate_per_million, {EINTR});
+    context_.call_after(duration, [&plan] { plan.heal(); });
 }
 
 void FaultSchedule::shorten_transfers(Time duration) {
-    faults::PlanFile& plan = *controllers_.random_controller().faults;
-    plan.cut_short(Call::send, shortened_transfers);
-    plan.cut_short(Call::receive, shortened_transfers);
-    context_.after(duration, [&plan] { plan.heal(); });
+    faults::PlanFile& plan = *controllers_.random_controller().fault_plan;
+    plan.cut_short(Call::send, short_transfers_per_million);
+    plan.cut_short(Call::receive, short_transfers_per_million);
+    context_.call_after(duration, [&plan] { plan.heal(); });
 }
 
 void FaultSchedule::start_faulty_clients(Time) {
@@ -150,15 +152,15 @@
     if (controller.state == Controller::State::up) controller.clients->send_without_reading(6);
 }
 
-void FaultSchedule::replace_one(Time) {
+void FaultSchedule::replace_one_invoker(Time) {
     auto* const invoker = fleet_.random_invoker();
     if (invoker) fleet_.replace(*invoker, context_.random.next() < 0.5 ? Fleet::Removal::kill : Fleet::Removal::drain);
 }
 
-void FaultSchedule::replace_third(Time) {
+void FaultSchedule::replace_third_of_invokers(Time) {
     const std::size_t replaced = fleet_.active_invokers() / 3;
     for (std::size_t i = 0; i < replaced; ++i)
-        context_.after(context_.random_time(0ms, 1500ms), [this] { replace_one({}); });
+        context_.call_after(context_.random_time(0ms, 1500ms), [this] { replace_one_invoker({}); });
 }
 
 void FaultSchedule::pause_invoker(Time duration) {
@@ -170,7 +172,7 @@
         if (auto* const invoker = fleet_.random_invoker()) {
             InvokerControl& control = fleet_.control(*invoker);
             control.network = state;
-            context_.after(duration, [&control] { control.network = NetworkState::up; });
+            context_.call_after(duration, [&control] { control.network = NetworkState::up; });
         }
 }
 
@@ -178,7 +180,7 @@
     set_network(NetworkState::partitioned, duration, 1 + context_.random_index(4));
 }
 
-void FaultSchedule::leave_unread(Time duration) {
+void FaultSchedule::stop_reading_from_controllers(Time duration) {
     set_network(NetworkState::unread, duration, 1 + context_.random_index(2));
 }
 
@@ -192,40 +194,40 @@
 }
 
 void FaultSchedule::close_idle_connections(Time duration) {
-    for (Time at{}; at < duration; at += idle_close_interval)
-        context_.after(at, [this] {
+    for (Time delay{}; delay < duration; delay += idle_close_interval)
+        context_.call_after(delay, [this] {
             for (const auto& invoker : fleet_.invokers()) ++fleet_.control(*invoker).idle_close_count;
         });
 }
 
-void FaultSchedule::set_for_some(std::atomic<std::uint32_t> InvokerControl::*field, std::uint32_t value,
-                                 std::uint32_t normal, Time duration) {
+void FaultSchedule::set_for_random_invokers(std::atomic<std::uint32_t> InvokerControl::*field, std::uint32_t value,
+                                            std::uint32_t normal_value, Time duration) {
     for (std::size_t i = 0; i < 1 + context_.random_index(3); ++i)
         if (auto* const invoker = fleet_.random_invoker()) {
             InvokerControl& control = fleet_.control(*invoker);
             control.*field = value;
-            context_.after(duration, [&control, field, normal] { control.*field = normal; });
+            context_.call_after(duration, [&control, field, normal_value] { control.*field = normal_value; });
         }
 }
 
 void FaultSchedule::fail_runs(Time duration) {
-    set_for_some(&InvokerControl::failing, 600'000, 0, duration);
+    set_for_random_invokers(&InvokerControl::failures_per_million, 600'000, 0, duration);
 }
 
 void FaultSchedule::duplicate_answers(Time duration) {
-    set_for_some(&InvokerControl::duplicating, 800'000, 0, duration);
+    set_for_random_invokers(&InvokerControl::duplicates_per_million, 800'000, 0, duration);
 }
 
 void FaultSchedule::reject_runs(Time duration) {
-    set_for_some(&InvokerControl::rejecting, 500'000, 0, duration);
+    set_for_random_invokers(&InvokerControl::rejections_per_million, 500'000, 0, duration);
 }
 
 void FaultSchedule::drop_answers(Time duration) {
-    set_for_some(&InvokerControl::unanswered, 500'000, 0, duration);
+    set_for_random_invokers(&InvokerControl::drops_per_million, 500'000, 0, duration);
 }
 
 void FaultSchedule::slow_runs(Time duration) {
-    set_for_some(&InvokerControl::run_time_percent, 800, 100, duration);
+    set_for_random_invokers(&InvokerControl::run_time_percent, 800, 100, duration);
 }
 
 void FaultSchedule::stop_discovery(Time duration) {
--- a/soak/fault_schedule.hpp
+++ b/soak/fault_schedule.hpp
@@ -1,4 +1,4 @@
-/// The faults of a soak run, drawn from its seed: one starts while earlier ones go on.
+/// Starts faults of random kinds at random times during a soak run. Faults may overlap.
 #pragma once
 
 #include <atomic>
@@ -17,9 +17,9 @@
     FaultSchedule(RunContext& context, Fleet& fleet, ControllerSet& controllers)
         : context_(context), fleet_(fleet), controllers_(controllers) {}
 
-    /// Starts one and schedules the next.
+    /// Starts one random fault and schedules the next call of this function.
     void start_next();
-    /// How often each one was started, by name.
+    /// Returns how often each fault was started, by its name.
     const std::map<std::string, int>& counts() const { return counts_; }
     static std::vector<std::string> names();
 
@@ -31,25 +31,25 @@
     };
     static const std::vector<Fault>& all_faults();
 
-    // Of controllers.
-    void pause_some(net::Time duration);
-    void pause_all(net::Time duration);
-    void terminate_one(net::Time);
-    void terminate_all(net::Time);
-    void kill_one(net::Time);
-    void reload_all(net::Time);
+    // Faults of controllers.
+    void pause_some_controllers(net::Time duration);
+    void pause_all_controllers(net::Time duration);
+    void terminate_one_controller(net::Time);
+    void terminate_all_controllers(net::Time);
+    void kill_one_controller(net::Time);
+    void reload_all_controllers(net::Time);
     void step_wall_clock(net::Time);
     void fail_system_calls(net::Time duration);
     void shorten_transfers(net::Time duration);
-    // Of clients.
+    // Faults of clients.
     void start_faulty_clients(net::Time);
     void leave_answers_unread(net::Time);
-    // Of invokers, their network and discovery.
-    void replace_one(net::Time);
-    void replace_third(net::Time);
+    // Faults of invokers, of the network to them, and of discovery.
+    void replace_one_invoker(net::Time);
+    void replace_third_of_invokers(net::Time);
     void pause_invoker(net::Time duration);
     void partition_network(net::Time duration);
-    void leave_unread(net::Time duration);
+    void stop_reading_from_controllers(net::Time duration);
     void refuse_connections(net::Time duration);
     void reset_connections(net::Time);
     void close_idle_connections(net::Time duration);
@@ -61,8 +61,8 @@
     void stop_discovery(net::Time duration);
 
     void set_network(NetworkState state, net::Time duration, std::size_t invokers);
-    void set_for_some(std::atomic<std::uint32_t> InvokerControl::*field, std::uint32_t value, std::uint32_t normal,
-                      net::Time duration);
+    void set_for_random_invokers(std::atomic<std::uint32_t> InvokerControl::*field, std::uint32_t value,
+                                 std::uint32_t normal_value, net::Time duration);
 
     RunContext& context_;
     Fleet& fleet_;
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -13,12 +13,13 @@
 using net::Time;
 
 constexpr std::uint16_t discovery_port = 2379, proxy_port = 7001, invoker_port = 8001;
-constexpr std::uint32_t discovery_services = 2;
-constexpr std::int64_t discovery_grace_us = 4'000'000;  // what is announced while it is down is received by then
-constexpr Time discovery_rest = 3s;                     // between two outages
-constexpr Time drain_time = 3s, stop_delay = 2500ms;    // until it is unlisted, and then until it is stopped
+constexpr std::uint32_t discovery_service_count = 2;
+constexpr std::int64_t discovery_outage_allowance_us =
+    4'000'000;  // time until controllers receive an announcement made during an outage
+constexpr Time min_time_between_outages = 3s;
+constexpr Time drain_duration = 3s, stop_delay = 2500ms;  // stop_delay starts when the invoker is unlisted
 
-// States of a discovery row.
+// State of an invoker in a discovery row, as encoded on the wire.
 constexpr int state_up = 0, state_draining = 1, state_removed = 2;
 
 std::int64_t unix_ms() {
@@ -29,7 +30,7 @@
 }  // namespace
 
 net::Address Fleet::discovery_address(std::uint32_t number) {
-    return {run_host(HostGroup::discovery, number), discovery_port};
+    return {loopback_host(HostGroup::discovery, number), discovery_port};
 }
 
 void Fleet::start() {
@@ -44,29 +45,30 @@
     start_discovery();
 }
 
-// Numbers of replacing invokers count up: each proxy listens for all that may come before its part.
+// Each proxy listens for every invoker number assigned to it, including numbers of invokers that start later.
 void Fleet::start_proxies() {
     for (std::uint32_t proxy = 0; proxy < context_.options.proxies; ++proxy) {
-        std::vector<std::string> command{context_.options.self,
+        std::vector<std::string> command{context_.options.soak_program,
                                          "proxy",
                                          "--record",
                                          context_.path(fmt::format("proxy-{}.events", proxy)),
                                          "--control",
                                          context_.control.path()};
         for (std::uint32_t number = proxy; number < max_invokers; number += context_.options.proxies)
-            command.insert(command.end(),
-                           {"--route", fmt::format("{}:{}={}:{}={}", run_host(HostGroup::proxies, number), proxy_port,
-                                                   run_host(HostGroup::invokers, number), invoker_port, number)});
+            command.insert(
+                command.end(),
+                {"--route", fmt::format("{}:{}={}:{}={}", loopback_host(HostGroup::proxies, number), proxy_port,
+                                        loopback_host(HostGroup::invokers, number), invoker_port, number)});
         proxies_.push_back(std::make_unique<Process>(std::move(command), std::map<std::string, std::string>{},
                                                      context_.path(fmt::format("proxy-{}.log", proxy))));
     }
 }
 
 void Fleet::start_discovery() {
-    for (std::uint32_t number = 0; number < discovery_services; ++number) {
-        discovery_.push_back(std::make_unique<scale::DiscoveryStub>(context_.loop, discovery_address(number)));
-        if (const net::Error error = discovery_.back()->open())
-            throw std::runtime_error("discovery: " + error.message());
+    for (std::uint32_t number = 0; number < discovery_service_count; ++number) {
+        discovery_services_.push_back(std::make_unique<scale::DiscoveryStub>(context_.loop, discovery_address(number)));
+        if (const net::Error error = discovery_services_.back()->open())
+            throw std::runtime_error("discovery service cannot listen: " + error.message());
     }
 }
 
@@ -79,24 +81,26 @@
     for (std::size_t number = 0; number < max_invokers; ++number) {
         InvokerControl& control = context_.control.invoker(number);
         control.network = NetworkState::up;
-        control.failing = control.rejecting = control.duplicating = control.unanswered = 0;
+        control.failures_per_million = control.rejections_per_million = control.duplicates_per_million =
+            control.drops_per_million = 0;
     }
 }
 
 void Fleet::launch(InvokerProcess& invoker) {
     const std::uint32_t number = invoker.number;
-    const std::vector<std::string> command{context_.options.self,
-                                           "invoker",
-                                           "--listen",
-                                           fmt::format("{}:{}", run_host(HostGroup::invokers, number), invoker_port),
-                                           "--record",
-                                           context_.path(fmt::format("invoker-{}.events", number)),
-                                           "--control",
-                                           context_.control.path(),
-                                           "--number",
-                                           std::to_string(number),
-                                           "--seed",
-                                           std::to_string(context_.options.seed + number)};
+    const std::vector<std::string> command{
+        context_.options.soak_program,
+        "invoker",
+        "--listen",
+        fmt::format("{}:{}", loopback_host(HostGroup::invokers, number), invoker_port),
+        "--record",
+        context_.path(fmt::format("invoker-{}.events", number)),
+        "--control",
+        context_.control.path(),
+        "--number",
+        std::to_string(number),
+        "--seed",
+        std::to_string(context_.options.seed + number)};
     invoker.process = std::make_unique<Process>(command, std::map<std::string, std::string>{},
                                                 context_.path(fmt::format("invoker-{}.log", number)));
 }
@@ -109,23 +113,23 @@
 }
 
 std::size_t Fleet::active_invokers() const {
-    return static_cast<std::size_t>(std::count_if(invokers_.begin(), invokers_.end(),
-                                                  [](const auto& each) { return each->listed && !each->draining; }));
+    return static_cast<std::size_t>(std::count_if(
+        invokers_.begin(), invokers_.end(), [](const auto& invoker) { return invoker->listed && !invoker->draining; }));
 }
 
 bytes::Row Fleet::discovery_row(const InvokerProcess& invoker, int state) const {
-    return {invoker.number + 1, run_host(HostGroup::proxies, invoker.number), proxy_port, state,
+    return {invoker.number + 1, loopback_host(HostGroup::proxies, invoker.number), proxy_port, state,
             static_cast<std::uint64_t>(invoker.started_unix_ms)};
 }
 
 void Fleet::announce(const bytes::Row& row) {
     const std::string payload = bytes::row(row);
-    for (const auto& service : discovery_) last_event_ = service->publish(payload);
+    for (const auto& service : discovery_services_) last_event_revision_ = service->publish(payload);
 }
 
-// When every controller has received what is announced now, or counts as if.
-std::int64_t Fleet::announced_us() const {
-    return discovery_down_ ? now_us() + discovery_grace_us : now_us();
+// The time by which controllers are expected to have received an announcement that is published now.
+std::int64_t Fleet::announcement_received_us() const {
+    return discovery_down_ ? now_us() + discovery_outage_allowance_us : now_us();
 }
 
 std::string Fleet::known_endpoints_json() const {
@@ -134,11 +138,11 @@
         if (!invoker->listed) continue;
         targets += fmt::format(
             R"({}{{"uid":"s-{:08x}","endpoint":"{}:{}","az":"a","model":"k","pod_group":0,"state":"{}","capacity_hint":5,"boot_ms":{}}})",
-            targets.empty() ? "" : ",", invoker->number + 1, run_host(HostGroup::proxies, invoker->number), proxy_port,
-            invoker->draining ? "draining" : "up", invoker->started_unix_ms);
+            targets.empty() ? "" : ",", invoker->number + 1, loopback_host(HostGroup::proxies, invoker->number),
+            proxy_port, invoker->draining ? "draining" : "up", invoker->started_unix_ms);
     }
     return fmt::format(R"({{"rev":{0},"notices":[{{"rev":{0},"pool":{{"rev":{0},"all":true,"targets":[{1}]}}}}]}})",
-                       last_event_, targets);
+                       last_event_revision_, targets);
 }
 
 void Fleet::replace(InvokerProcess& invoker, Removal removal) {
@@ -148,20 +152,20 @@
         unlist(invoker);
     } else {
         invoker.draining = true;
-        context_.history.invokers[invoker.number].drained_us = announced_us();
+        context_.history.invokers[invoker.number].drained_us = announcement_received_us();
         announce(discovery_row(invoker, state_draining));
-        context_.after(drain_time, [this, &invoker] {
+        context_.call_after(drain_duration, [this, &invoker] {
             unlist(invoker);
-            context_.after(stop_delay, [&invoker] { invoker.process.reset(); });
+            context_.call_after(stop_delay, [&invoker] { invoker.process.reset(); });
         });
     }
-    context_.after(context_.random_time(100ms, 700ms), [this] { add_invoker(); });
+    context_.call_after(context_.random_time(100ms, 700ms), [this] { add_invoker(); });
 }
 
 void Fleet::unlist(InvokerProcess& invoker) {
     if (!std::exchange(invoker.listed, false)) return;
     std::int64_t& drained_us = context_.history.invokers[invoker.number].drained_us;
-    drained_us = std::min(drained_us, announced_us());
+    drained_us = std::min(drained_us, announcement_received_us());
     announce(discovery_row(invoker, state_removed));
 }
 
@@ -180,22 +184,24 @@
     if (invoker.paused || !invoker.process) return;
     invoker.paused = true;
     invoker.process->signal(SIGSTOP);
-    context_.after(duration, [&invoker] {
+    context_.call_after(duration, [&invoker] {
         invoker.paused = false;
         if (invoker.process) invoker.process->signal(SIGCONT);
     });
 }
 
-// A controller that reconnects between two outages must have the time to catch up: otherwise the grace does not hold.
+// Leaves a minimum time between two outages, so that controllers can reconnect and receive the announcements they
+// missed.
 void Fleet::interrupt_discovery(Time duration) {
-    if (discovery_down_ || context_.loop.now() < discovery_restored_at_ + discovery_rest) return;
+    if (discovery_down_ || context_.loop.now() < discovery_restored_at_ + min_time_between_outages) return;
     discovery_down_ = true;
-    for (const auto& service : discovery_) service->close();
-    context_.after(duration, [this] {
+    for (const auto& service : discovery_services_) service->close();
+    context_.call_after(duration, [this] {
         discovery_down_ = false;
         discovery_restored_at_ = context_.loop.now();
-        for (const auto& service : discovery_)
-            if (const net::Error error = service->open()) context_.log("discovery: " + error.message());
+        for (const auto& service : discovery_services_)
+            if (const net::Error error = service->open())
+                context_.log("discovery service cannot listen: " + error.message());
     });
 }
 
--- a/soak/fleet.hpp
+++ b/soak/fleet.hpp
@@ -1,4 +1,5 @@
-/// The invokers of a soak run with the proxies before them, and the discovery that lists them.
+/// The invoker processes of a soak run, the proxies between controllers and invokers, and the discovery services that
+/// list the invokers.
 #pragma once
 
 #include <map>
@@ -19,31 +20,31 @@
         std::uint32_t number{};
         std::unique_ptr<faults::Process> process;
         bool listed{}, draining{}, paused{};
-        std::int64_t started_unix_ms{};  // 0: long ago
+        std::int64_t started_unix_ms{};  // 0: started with the run and counts as warm
     };
 
     explicit Fleet(RunContext& context) : context_(context) {}
 
-    /// Throws std::exception where a process can't be started.
+    /// Starts invokers, proxies and discovery. Throws std::exception if one of them can't be started.
     void start();
     void stop();
-    /// Ends the network's and the invokers' faults.
+    /// Ends the faults of the network and of the invokers' answers.
     void clear_faults();
 
-    /// One that is listed and does not drain, by a random draw; null where there is none.
+    /// Returns a random invoker that is listed and isn't draining, or null if there is none.
     InvokerProcess* random_invoker();
     std::size_t active_invokers() const;
     InvokerControl& control(const InvokerProcess& invoker) { return context_.control.invoker(invoker.number); }
     const std::vector<std::unique_ptr<InvokerProcess>>& invokers() const { return invokers_; }
 
     enum class Removal { drain, kill };
-    /// Takes an invoker out and starts a new one in its place.
+    /// Drains or kills an invoker and starts a new one after a short delay.
     void replace(InvokerProcess& invoker, Removal removal);
     void pause(InvokerProcess& invoker, net::Time duration);
-    /// Ends discovery for a while, unless it is down or came back just before.
+    /// Stops the discovery services for `duration`, unless they are stopped or were restarted a short time ago.
     void interrupt_discovery(net::Time duration);
 
-    /// The list as the controllers' settings give it (the key "known").
+    /// Returns the listed invokers in the JSON format of the key "known" in the controllers' settings.
     std::string known_endpoints_json() const;
     static net::Address discovery_address(std::uint32_t number);
 
@@ -55,13 +56,13 @@
     void unlist(InvokerProcess& invoker);
     bytes::Row discovery_row(const InvokerProcess& invoker, int state) const;
     void announce(const bytes::Row& row);
-    std::int64_t announced_us() const;
+    std::int64_t announcement_received_us() const;
 
     RunContext& context_;
-    std::vector<std::unique_ptr<InvokerProcess>> invokers_;  // by number
+    std::vector<std::unique_ptr<InvokerProcess>> invokers_;  // indexed by InvokerProcess::number
     std::vector<std::unique_ptr<faults::Process>> proxies_;
-    std::vector<std::unique_ptr<scale::DiscoveryStub>> discovery_;
-    std::uint64_t last_event_ = 1;
+    std::vector<std::unique_ptr<scale::DiscoveryStub>> discovery_services_;
+    std::uint64_t last_event_revision_ = 1;
     net::Time discovery_restored_at_{};
     bool discovery_down_{};
 };
--- a/soak/invoker.hpp
+++ b/soak/invoker.hpp
@@ -1,5 +1,5 @@
-/// An invoker of a soak run, in a process of its own: loads functions on demand, runs for a while, and misbehaves as
-/// its InvokerControl says. Its answers name the request that they were made for.
+/// The invoker process of a soak run. It loads functions on demand, takes a random time for each attempt, and injects
+/// the faults that its InvokerControl switches on. Each answer's body contains the ID of the request.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,9 @@
 namespace plumkeel::soak {
 
 struct InvokerOptions {
-    std::string listen;   // host:port
-    std::string record;   // file of events
-    std::string control;  // file of the control page
+    std::string listen;        // host:port
+    std::string event_path;    // path of the event file
+    std::string control_path;  // path of the ControlFile
     std::uint32_t number{};
     std::uint64_t seed{};
 };
@@ -38,7 +38,7 @@
     struct Connection {
         std::shared_ptr<net::Stream> stream;
         std::shared_ptr<net::WriteQueue> write_queue;
-        std::map<std::string, std::shared_ptr<Run>> runs;  // by id
+        std::map<std::string, std::shared_ptr<Run>> runs;  // by attempt ID
     };
 
     net::Task<> accept();
@@ -46,10 +46,10 @@
     void handle(const Message& message, const std::shared_ptr<Connection>& connection);
     net::Task<> run_attempt(Message message, std::string id, std::shared_ptr<Connection> connection);
     void load(const std::string& function);
-    net::Time draw_run_time(bool with_load);
-    bool happens(const std::atomic<std::uint32_t>& rate);
-    void answer(const std::shared_ptr<Connection>& connection, const std::string& id, const std::string& result,
-                const std::string& fields, const std::string& body);
+    net::Time draw_run_time(bool includes_load_time);
+    bool happens(const std::atomic<std::uint32_t>& rate_per_million);
+    void send_answer(const std::shared_ptr<Connection>& connection, const std::string& id, const std::string& result,
+                     const std::string& fields, const std::string& body);
 
     const InvokerOptions options_;
     net::SocketEventLoop loop_;
@@ -57,11 +57,11 @@
     ControlFile control_;
     Pcg random_;
     std::shared_ptr<net::Listener> listener_;
-    std::size_t running_{};
-    std::set<std::string> loaded_;
+    std::size_t running_count_{};
+    std::set<std::string> loaded_functions_;
 };
 
-/// Runs until it is killed; returns an exit status where it can't start.
+/// Runs an invoker until the process is killed; returns exit status 1 if it can't listen.
 int run_invoker(const InvokerOptions& options);
 
 }  // namespace plumkeel::soak
--- a/soak/invoker_messages.hpp
+++ b/soak/invoker_messages.hpp
@@ -1,5 +1,5 @@
-/// Messages between controllers and invokers, taken out of a stream of bytes: a line, and the body whose length is its
-/// last word. Free of I/O.
+/// Parses messages between controllers and invokers from a stream of bytes. A message is a line of words; in some
+/// types, the last word is the length of a body that follows the line. Does no I/O.
 #pragma once
 
 #include <charconv>
@@ -11,12 +11,12 @@
 
 namespace plumkeel::soak {
 
-// First words of a controller's messages.
+// The first word of a controller's message is its type.
 constexpr std::string_view run_message = "RUN", cancel_message = "STOP", load_message = "INFO", ping_message = "NOOP";
 
 struct Message {
     std::vector<std::string> words;
-    std::string bytes;  // the whole of it, as it came
+    std::string bytes;  // the message as received, with line ends and body
 };
 
 inline std::vector<std::string> split_words(std::string_view line) {
@@ -29,8 +29,8 @@
     return words;
 }
 
-/// Takes the first message off the front of `buffer` once it is complete. `has_body` says of a message's words whether
-/// the last of them is a length.
+/// Removes the first message from `buffer` and returns it; returns nothing while the message is incomplete. `has_body`
+/// is called with the words of the line and returns whether the last word is the length of a body.
 template <class HasBody>
 std::optional<Message> take_message(std::string& buffer, HasBody has_body) {
     const auto line_end = buffer.find("\r\n");
@@ -49,24 +49,24 @@
     return message;
 }
 
-/// The next complete message of a controller.
+/// Takes the next complete message of a controller; only run messages have a body.
 inline std::optional<Message> take_controller_message(std::string& buffer) {
     return take_message(buffer, [](const std::vector<std::string>& words) { return words.front() == run_message; });
 }
 
-/// The client's id in a message's id; 0 where it has none.
+/// Returns the client's request ID that is encoded in a message's ID, or 0 if the ID isn't a hexadecimal number.
 inline std::uint64_t request_id(const std::string& id) {
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(id.data(), id.data() + id.size(), value, 16);
     return error == std::errc{} && end == id.data() + id.size() ? value : 0;
 }
 
-/// The number behind `prefix`, such as "name=", among a message's fields; -1 where it has none.
+/// Returns the number that follows `prefix` (such as "name=") in a message's fields, or -1 if the prefix isn't found.
 inline int number_field(std::string_view fields, std::string_view prefix) {
-    const auto at = fields.find(prefix);
+    const auto prefix_position = fields.find(prefix);
     int value = -1;
-    if (at != std::string_view::npos)
-        std::from_chars(fields.data() + at + prefix.size(), fields.data() + fields.size(), value);
+    if (prefix_position != std::string_view::npos)
+        std::from_chars(fields.data() + prefix_position + prefix.size(), fields.data() + fields.size(), value);
     return value;
 }
 
--- a/soak/run.cpp
+++ b/soak/run.cpp
@@ -14,36 +14,37 @@
 using namespace std::chrono_literals;
 using net::Time;
 
-constexpr Time first_fault = 1500ms;
-constexpr Time termination_delay = 4s;  // from the last fault: until the controllers have recovered
-constexpr Time end_delay = 10s;         // from the last fault: until the last answers have come
-constexpr SlowStartRule slow_start{0.16, 2.0, 6'000'000, 2'000'000};
+constexpr Time first_fault_delay = 1500ms;
+constexpr Time termination_delay_after_faults = 4s;  // time for controllers to recover after the end of faults
+constexpr Time end_delay_after_faults = 10s;         // time for the last answers after the end of faults
+// The duration and the window are in microseconds.
+constexpr SlowStartRule slow_start_rule{0.16, 2.0, 6'000'000, 2'000'000};
 
 class SoakRun {
 public:
     explicit SoakRun(const RunOptions& options)
         : context_(options), fleet_(context_), controllers_(context_, fleet_), faults_(context_, fleet_, controllers_) {
-        context_.history.slow_start = slow_start;
+        context_.history.slow_start = slow_start_rule;
     }
 
     RunResult run() {
         fleet_.start();
         controllers_.start_all();
-        context_.after(first_fault, [this] { faults_.start_next(); });
-        context_.after(std::chrono::seconds(context_.options.seconds), [this] { wind_down(); });
+        context_.call_after(first_fault_delay, [this] { faults_.start_next(); });
+        context_.call_after(std::chrono::seconds(context_.options.fault_seconds), [this] { wind_down(); });
         controllers_.poll();
         context_.loop.run();
         return result();
     }
 
 private:
-    // Faults end, requests get their last answers, and the controllers are terminated.
+    // Ends all faults, and schedules the termination of the controllers and the end of the run.
     void wind_down() {
         context_.winding_down = true;
         fleet_.clear_faults();
         controllers_.clear_faults();
-        context_.after(termination_delay, [this] { controllers_.terminate_all(); });
-        context_.after(end_delay, [this] { context_.loop.stop(); });
+        context_.call_after(termination_delay_after_faults, [this] { controllers_.terminate_all(); });
+        context_.call_after(end_delay_after_faults, [this] { context_.loop.stop(); });
     }
 
     RunResult result() {
@@ -54,10 +55,11 @@
             if (entry.path().extension() == ".events")
                 for (const Event& event : read_events(entry.path())) context_.history.events.push_back(event);
         result.verdict = judge(context_.history);
-        result.faults = faults_.counts();
+        result.fault_counts = faults_.counts();
         result.restarts = controllers_.restarts();
         for (const Pause& pause : context_.history.client_pauses)
-            result.longest_pause_ms = std::max(result.longest_pause_ms, (pause.to_us - pause.from_us) / 1000);
+            result.longest_client_pause_ms =
+                std::max(result.longest_client_pause_ms, (pause.to_us - pause.from_us) / 1000);
         return result;
     }
 
--- a/soak/run.hpp
+++ b/soak/run.hpp
@@ -1,5 +1,5 @@
-/// A soak run: controllers, invokers and proxies as real processes on loopback, clients and discovery in this one, and
-/// faults that overlap, drawn from a seed; at its end its history is judged.
+/// A soak run: controllers, invokers and proxies run as processes on loopback addresses; clients and discovery services
+/// run in the calling process. Faults are drawn from a seed, and the recorded history is judged at the end.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +15,26 @@
 struct RunOptions {
     std::uint64_t seed = 1;
     std::uint32_t controllers = 8, invokers = 16, proxies = 4;
-    int seconds = 20;
-    int gap_ms = 900;                 // at the most between the starts of two faults
-    double requests_per_second = 12;  // to each controller
-    std::string folder;               // emptied first; holds logs and events
-    std::string self;                 // this program, which is the invokers and proxies too
-    std::string program;              // plumkeel
-    std::string preload;              // the library of failing system calls
-    std::set<std::string> only;       // faults; empty: all
+    int fault_seconds = 20;             // time from the start of the run until faults end
+    int max_fault_gap_ms = 900;         // longest time between the starts of two faults
+    double requests_per_second = 12;    // sent to each controller
+    std::string folder;                 // for logs, settings and events; deleted and created again by run()
+    std::string soak_program;           // path of plumkeel-soak, which also runs as invoker and proxy
+    std::string controller_program;     // path of plumkeel, which runs as controller
+    std::string fault_preload_library;  // path of the library that makes system calls of controllers fail
+    std::set<std::string> only_faults;  // names of the faults to start; empty: all faults
     bool quiet{};
 };
 
 struct RunResult {
     Verdict verdict;
-    std::map<std::string, int> faults;  // how often each one came
+    std::map<std::string, int> fault_counts;  // how often each fault was started, by name
     std::map<std::string, std::uint64_t> failed_calls;
     std::uint64_t restarts{};
-    std::int64_t longest_pause_ms{};  // of this process
+    std::int64_t longest_client_pause_ms{};  // longest time for which the calling process was stalled
 };
 
-RunResult run(const RunOptions& options);  // throws std::exception where a process can't be started
+/// Does one soak run. Throws std::exception if a process can't be started.
+RunResult run(const RunOptions& options);
 
 }  // namespace plumkeel::soak
