--- a/soak/client_state.cpp
+++ b/soak/client_state.cpp
@@ -137,8 +137,9 @@
         if (pending < max_pending_per_connection && (!least_loaded || pending < least_loaded->pending.size()))
             least_loaded = connection;
     }
-    return least_loaded && (least_loaded->pending.empty() || open_connections >= options_.connections) ? least_loaded
-                                                                                                       : nullptr;
+    return least_loaded && (least_loaded->pending.empty() || open_connections >= options_.connection_count)
+               ? least_loaded
+               : nullptr;
 }
 
 Task<ClientState::ConnectionPointer> ClientState::open_connection(bool exclusive) {
@@ -176,7 +177,8 @@
 }
 
 void ClientState::abandon(std::size_t request_index, const ConnectionPointer& connection, int fastcgi_id) {
-    if (requests_[request_index].answers > 0 || connection->ended || !connection->pending.count(fastcgi_id)) return;
+    if (requests_[request_index].answer_count > 0 || connection->ended || !connection->pending.count(fastcgi_id))
+        return;
     requests_[request_index].abandoned_us = now_us();
     if (connection->exclusive)
         end(connection);
@@ -224,27 +226,27 @@
 
 void ClientState::handle_answer(Connection& connection, int fastcgi_id) {
     const auto pending = connection.pending.find(fastcgi_id);
-    const std::string text = std::exchange(connection.partial_text[fastcgi_id], {});
+    const std::string answer_text = std::exchange(connection.partial_text[fastcgi_id], {});
     connection.partial_text.erase(fastcgi_id);
     if (pending == connection.pending.end()) {
         if (const auto earlier_answer = answered_requests_.find({&connection, fastcgi_id});
             earlier_answer != answered_requests_.end())
-            ++requests_[earlier_answer->second].answers;
+            ++requests_[earlier_answer->second].answer_count;
         return;
     }
     Request& request = requests_[pending->second];
     answered_requests_[{&connection, fastcgi_id}] = pending->second;
     connection.pending.erase(pending);
     connection.last_used = loop_.now();
-    if (request.abandoned_us != never && text.empty()) return;  // an empty answer confirms the cancellation
-    ++request.answers;
+    if (request.abandoned_us != never && answer_text.empty()) return;  // an empty answer confirms the cancellation
+    ++request.answer_count;
     request.answered_us = now_us();
-    const auto head_end = text.find("\r\n\r\n");
-    request.answer_valid = text.starts_with("Status: ") && head_end != std::string::npos;
+    const auto head_end = answer_text.find("\r\n\r\n");
+    request.answer_valid = answer_text.starts_with("Status: ") && head_end != std::string::npos;
     if (!request.answer_valid) return;
-    request.status = std::atoi(text.c_str() + std::string_view("Status: ").size());
+    request.status = std::atoi(answer_text.c_str() + std::string_view("Status: ").size());
     if (request.status == 200)
-        request.answer_valid = text.substr(head_end + 4) == "made for " + bytes::hex16(request.id);
+        request.answer_valid = answer_text.substr(head_end + 4) == "made for " + bytes::hex16(request.id);
 }
 
 // Called when reading from the connection fails before this client has closed it.
@@ -253,7 +255,7 @@
     end(connection);
     for (const auto& [fastcgi_id, request_index] : pending) {
         Request& request = requests_[request_index];
-        if (request.answers > 0 || request.abandoned_us != never) continue;
+        if (request.answer_count > 0 || request.abandoned_us != never) continue;
         const bool may_resend =
             !request.resent && now_us() - request.sent_us < resend_window / 1us && pending.size() == 1;
         if (controller_killed_) {
--- a/soak/clients.hpp
+++ b/soak/clients.hpp
@@ -16,7 +16,7 @@
     net::Address controller;
     std::uint32_t controller_number{}, controller_run_index{};
     double requests_per_second = 12;
-    std::size_t connections = 4;  // number to open before requests share a busy connection
+    std::size_t connection_count = 4;  // number to open before requests share a busy connection
     std::uint64_t seed{};
     std::uint64_t request_id_base{};  // requests get the IDs after this one
 };
@@ -40,10 +40,10 @@
     void handle_controller_killed();
 
     // Faulty clients: each call opens new connections.
-    void send_incomplete_requests(int connections);
-    void open_idle_connections(int connections);
+    void send_incomplete_requests(int connection_count);
+    void open_idle_connections(int connection_count);
     void send_malformed_bytes_after_request();
-    void send_without_reading(int connections);
+    void send_without_reading(int connection_count);
 
 private:
     std::shared_ptr<ClientState> state_;  // shared with coroutines that outlive this object
--- a/soak/control.hpp
+++ b/soak/control.hpp
@@ -13,9 +13,9 @@
 /// State of the network between the controllers and one invoker, applied by the invoker's proxy.
 enum class NetworkState : std::uint32_t {
     up,
-    partitioned,  ///< the proxy holds back the bytes of both directions until the state changes
-    unread,       ///< the proxy reads nothing from controllers, so their send buffers fill
-    refusing,     ///< the proxy resets new connections
+    partitioned,      ///< the proxy holds back the bytes of both directions until the state changes
+    reading_stopped,  ///< the proxy reads nothing from controllers, so their send buffers fill
+    refusing,         ///< the proxy resets new connections
 };
 
 /// Faults of one invoker and of its proxy. Fields that end in `per_million` are probabilities
--- a/soak/controller_config.cpp
+++ b/soak/controller_config.cpp
@@ -11,7 +11,7 @@
 std::string header_json(const ControllerConfig& config, std::uint64_t seed) {
     return fmt::format(
         R"({{"name":"c{}","listen":"{}","seed":"{:x}","board":"{}","limits":{{"cores":1.0,"memory_mb":48,"sockets":{}}},"known":{},)",
-        config.number, config.address.to_string(), seed * 100 + config.number + 1, config.discovery.to_string(),
+        config.number, config.address.to_string(), seed * 100 + config.number + 1, config.discovery_address.to_string(),
         config.descriptor_limit, config.known_endpoints_json);
 }
 
@@ -29,7 +29,7 @@
  "family_info":{{"if_cold":"load","linger_idle":5000.0,"may_order":false,"says_company":true,"answer_within":4000.0}},
  "limits":{{"may_cancel":{},"probes":true,"second_copies":{},"retry_after":true,"send_cap":5,"max_retry_after":2000.0,
   "connect_timeout":250.0,"conn_idle":10000.0,"streams_per_conn":32}}}}}})",
-        context.options.controllers, static_cast<double>(slow_start.duration_us) / 1000, slow_start.cold_share,
+        context.options.controller_count, static_cast<double>(slow_start.duration_us) / 1000, slow_start.cold_share,
         slow_start.rate_multiple, static_cast<double>(slow_start.window_us) / 1000, seed % 5 != 0, seed % 2 == 0);
 }
 
--- a/soak/controller_config.hpp
+++ b/soak/controller_config.hpp
@@ -11,7 +11,7 @@
 
 struct ControllerConfig {
     std::uint32_t number{};
-    net::Address address, discovery;
+    net::Address address, discovery_address;
     int descriptor_limit{};
     std::string known_endpoints_json;
 };
--- a/soak/controller_set.cpp
+++ b/soak/controller_set.cpp
@@ -48,7 +48,7 @@
 }
 
 void ControllerSet::start_all() {
-    for (std::uint32_t number = 0; number < context_.options.controllers; ++number) {
+    for (std::uint32_t number = 0; number < context_.options.controller_count; ++number) {
         Controller& controller = controllers_.emplace_back();
         controller.number = number;
         controller.address = {loopback_host(HostGroup::controllers, number), controller_port};
@@ -175,8 +175,8 @@
     ControllerRun& run = current_run(controller);
     run.ended_us = now_us();
     controller.state = Controller::State::ending;
-    const bool terminated = run.termination_requested_us != never && ending.exited && ending.code == 0;
-    if (run.killed || terminated) return;
+    const bool terminated_as_requested = run.termination_requested_us != never && ending.exited && ending.code == 0;
+    if (run.killed || terminated_as_requested) return;
     run.crash_reason = describe_end(run, ending);
     controller.clients->handle_controller_killed();
     context_.log(fmt::format("controller {} {}", controller.number, run.crash_reason));
@@ -201,15 +201,16 @@
                                                               {"send", Call::send},
                                                               {"receive", Call::receive},
                                                               {"wait", Call::wait}};
-    std::map<std::string, std::uint64_t> failed_calls;
+    std::map<std::string, std::uint64_t> failed_call_counts;
     for (Controller& controller : controllers_) {
         ControllerRun& run = current_run(controller);
         if (run.ended_us == never && run.termination_requested_us != never)
             run.crash_reason = "did not end after SIGTERM";
         count_invariant_violations(controller);
-        for (const auto& [name, call] : calls_by_name) failed_calls[name] += controller.fault_plan->rule(call).failed;
+        for (const auto& [name, call] : calls_by_name)
+            failed_call_counts[name] += controller.fault_plan->rule(call).failed;
     }
-    return failed_calls;
+    return failed_call_counts;
 }
 
 void ControllerSet::count_invariant_violations(const Controller& controller) {
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -57,10 +57,10 @@
 void FaultSchedule::start_next() {
     if (context_.winding_down) return;
     const RunOptions& options = context_.options;
-    std::vector<Fault> enabled;
+    std::vector<Fault> enabled_faults;
     for (const Fault& fault : all_faults())
-        if (options.only_faults.empty() || options.only_faults.count(fault.name)) enabled.push_back(fault);
-    const Fault& fault = enabled[context_.random_index(enabled.size())];
+        if (options.only_faults.empty() || options.only_faults.count(fault.name)) enabled_faults.push_back(fault);
+    const Fault& fault = enabled_faults[context_.random_index(enabled_faults.size())];
     const Time duration = context_.random_time(shortest_fault, longest_fault);
     ++counts_[fault.name];
     context_.log(fmt::format("fault {}: duration {} ms", fault.name, duration / 1ms));
@@ -158,8 +158,8 @@
 }
 
 void FaultSchedule::replace_third_of_invokers(Time) {
-    const std::size_t replaced = fleet_.active_invokers() / 3;
-    for (std::size_t i = 0; i < replaced; ++i)
+    const std::size_t replaced_count = fleet_.active_invokers() / 3;
+    for (std::size_t i = 0; i < replaced_count; ++i)
         context_.call_after(context_.random_time(0ms, 1500ms), [this] { replace_one_invoker({}); });
 }
 
@@ -167,8 +167,8 @@
     if (auto* const invoker = fleet_.random_invoker()) fleet_.pause(*invoker, duration);
 }
 
-void FaultSchedule::set_network(NetworkState state, Time duration, std::size_t invokers) {
-    for (std::size_t i = 0; i < invokers; ++i)
+void FaultSchedule::set_network(NetworkState state, Time duration, std::size_t invoker_count) {
+    for (std::size_t i = 0; i < invoker_count; ++i)
         if (auto* const invoker = fleet_.random_invoker()) {
             InvokerControl& control = fleet_.control(*invoker);
             control.network = state;
@@ -181,7 +181,7 @@
 }
 
 void FaultSchedule::stop_reading_from_controllers(Time duration) {
-    set_network(NetworkState::unread, duration, 1 + context_.random_index(2));
+    set_network(NetworkState::reading_stopped, duration, 1 + context_.random_index(2));
 }
 
 void FaultSchedule::refuse_connections(Time duration) {
--- a/soak/fault_schedule.hpp
+++ b/soak/fault_schedule.hpp
@@ -60,7 +60,7 @@
     void drop_answers(net::Time duration);
     void stop_discovery(net::Time duration);
 
-    void set_network(NetworkState state, net::Time duration, std::size_t invokers);
+    void set_network(NetworkState state, net::Time duration, std::size_t invoker_count);
     void set_for_random_invokers(std::atomic<std::uint32_t> InvokerControl::*field, std::uint32_t value,
                                  std::uint32_t normal_value, net::Time duration);
 
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t discovery_outage_allowance_us =
     4'000'000;  // time until controllers receive an announcement made during an outage
 constexpr Time min_time_between_outages = 3s;
-constexpr Time drain_duration = 3s, stop_delay = 2500ms;  // stop_delay starts when the invoker is unlisted
+constexpr Time drain_duration = 3s, stop_delay_after_unlisting = 2500ms;
 
 // State of an invoker in a discovery row, as encoded on the wire.
 constexpr int state_up = 0, state_draining = 1, state_removed = 2;
@@ -34,7 +34,7 @@
 }
 
 void Fleet::start() {
-    for (std::uint32_t number = 0; number < context_.options.invokers; ++number) {
+    for (std::uint32_t number = 0; number < context_.options.invoker_count; ++number) {
         InvokerProcess& invoker = *invokers_.emplace_back(std::make_unique<InvokerProcess>());
         invoker.number = number;
         invoker.listed = true;
@@ -47,14 +47,14 @@
 
 // Each proxy listens for every invoker number assigned to it, including numbers of invokers that start later.
 void Fleet::start_proxies() {
-    for (std::uint32_t proxy = 0; proxy < context_.options.proxies; ++proxy) {
+    for (std::uint32_t proxy = 0; proxy < context_.options.proxy_count; ++proxy) {
         std::vector<std::string> command{context_.options.soak_program,
                                          "proxy",
                                          "--record",
                                          context_.path(fmt::format("proxy-{}.events", proxy)),
                                          "--control",
                                          context_.control.path()};
-        for (std::uint32_t number = proxy; number < max_invokers; number += context_.options.proxies)
+        for (std::uint32_t number = proxy; number < max_invokers; number += context_.options.proxy_count)
             command.insert(
                 command.end(),
                 {"--route", fmt::format("{}:{}={}:{}={}", loopback_host(HostGroup::proxies, number), proxy_port,
@@ -156,7 +156,7 @@
         announce(discovery_row(invoker, state_draining));
         context_.call_after(drain_duration, [this, &invoker] {
             unlist(invoker);
-            context_.call_after(stop_delay, [&invoker] { invoker.process.reset(); });
+            context_.call_after(stop_delay_after_unlisting, [&invoker] { invoker.process.reset(); });
         });
     }
     context_.call_after(context_.random_time(100ms, 700ms), [this] { add_invoker(); });
--- a/soak/invoker.cpp
+++ b/soak/invoker.cpp
@@ -76,14 +76,14 @@
     }
 }
 
-bool SoakInvoker::happens(const std::atomic<std::uint32_t>& rate_per_million) {
+bool SoakInvoker::random_event_occurs(const std::atomic<std::uint32_t>& rate_per_million) {
     return rate_per_million > 0 && random_.next() * million < static_cast<double>(rate_per_million.load());
 }
 
 Task<> SoakInvoker::run_attempt(Message message, std::string id, std::shared_ptr<Connection> connection) {
     const InvokerControl& control = control_.invoker(options_.number);
     const std::uint64_t request = request_id(id);
-    if (running_count_ >= max_concurrent_runs || happens(control.rejections_per_million)) {
+    if (running_count_ >= max_concurrent_runs || random_event_occurs(control.rejections_per_million)) {
         events_.write(EventType::run_rejected, request, options_.number);
         co_return send_answer(connection, id, "full", "peers_in=1", "");
     }
@@ -98,8 +98,8 @@
     --running_count_;
     connection->runs.erase(id);
     events_.write(EventType::run_ended, request, options_.number);
-    if (run->cancelled || happens(control.drops_per_million)) co_return;
-    if (happens(control.failures_per_million)) co_return send_answer(connection, id, "failed", "-", "");
+    if (run->cancelled || random_event_occurs(control.drops_per_million)) co_return;
+    if (random_event_occurs(control.failures_per_million)) co_return send_answer(connection, id, "failed", "-", "");
     send_answer(connection, id, "data", is_loaded ? "n=reused" : "n=init", "made for " + id);
 }
 
@@ -119,11 +119,12 @@
 
 void SoakInvoker::send_answer(const std::shared_ptr<Connection>& connection, const std::string& id,
                               const std::string& result, const std::string& fields, const std::string& body) {
-    const std::string text =
+    const std::string answer_text =
         id + " " + result + " " + fields + " " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
-    connection->write_queue->send(text);
-    if (!happens(control_.invoker(options_.number).duplicates_per_million)) return;
-    loop_.call_at(loop_.now() + duplicate_delay, [connection, text] { connection->write_queue->send(text); });
+    connection->write_queue->send(answer_text);
+    if (!random_event_occurs(control_.invoker(options_.number).duplicates_per_million)) return;
+    loop_.call_at(loop_.now() + duplicate_delay,
+                  [connection, answer_text] { connection->write_queue->send(answer_text); });
 }
 
 int run_invoker(const InvokerOptions& options) {
--- a/soak/invoker.hpp
+++ b/soak/invoker.hpp
@@ -47,7 +47,7 @@
     net::Task<> run_attempt(Message message, std::string id, std::shared_ptr<Connection> connection);
     void load(const std::string& function);
     net::Time draw_run_time(bool includes_load_time);
-    bool happens(const std::atomic<std::uint32_t>& rate_per_million);
+    bool random_event_occurs(const std::atomic<std::uint32_t>& rate_per_million);
     void send_answer(const std::shared_ptr<Connection>& connection, const std::string& id, const std::string& result,
                      const std::string& fields, const std::string& body);
 
--- a/soak/judge_requests.cpp
+++ b/soak/judge_requests.cpp
@@ -65,9 +65,9 @@
     }
 
     void check_answer(const Request& request) {
-        if (request.answers > 1)
+        if (request.answer_count > 1)
             context_.report(Rule::answered_twice, request.id,
-                            fmt::format("{} answers; at most 1 is allowed", request.answers));
+                            fmt::format("{} answers; at most 1 is allowed", request.answer_count));
         if (!request.answer_valid)
             context_.report(
                 Rule::unreadable, request.id,
--- a/soak/judge_slow_start.cpp
+++ b/soak/judge_slow_start.cpp
@@ -58,7 +58,7 @@
 void check_invoker(const JudgeContext& context, const InvokerHistory& invoker, const AttemptTimes& times,
                    double capacity) {
     const SlowStartRule& rule = context.history.slow_start;
-    double& peak = context.verdict.peak_slow_start_load;
+    double& peak_load_ratio = context.verdict.peak_slow_start_load;
     std::deque<std::int64_t> window;
     for (const std::int64_t time_us : times) {
         const std::int64_t age_us = time_us - invoker.started_us;
@@ -67,12 +67,12 @@
         while (window.front() + rule.window_us < time_us) window.pop_front();
         const double allowed = allowed_attempts(rule, capacity, age_us);
         const double load_ratio = static_cast<double>(window.size()) / allowed;
-        if (load_ratio > 1 && peak <= 1)
+        if (load_ratio > 1 && peak_load_ratio <= 1)
             context.report(Rule::slow_start, 0,
                            fmt::format("invoker {} received {} attempts in a window that ended {} ms after its start; "
                                        "at most {:.1f} are allowed",
                                        invoker.number, window.size(), age_us / us_per_ms, allowed));
-        peak = std::max(peak, load_ratio);
+        peak_load_ratio = std::max(peak_load_ratio, load_ratio);
     }
 }
 
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -23,16 +23,17 @@
     ProxyOptions proxy;
     std::vector<std::string> routes;
     RunOptions run;
-    std::uint64_t seeds = 1;
+    std::uint64_t seed_count = 1;
     std::vector<std::string> only_faults;
 };
 
 // Parses LISTEN=TARGET=NUMBER: two addresses (host:port) and the number of an invoker.
-ProxyOptions::Route parse_route(const std::string& text) {
-    const auto first_separator = text.find('='), last_separator = text.rfind('=');
-    ProxyOptions::Route route{text.substr(0, first_separator),
-                              text.substr(first_separator + 1, last_separator - first_separator - 1), 0};
-    std::from_chars(text.data() + last_separator + 1, text.data() + text.size(), route.invoker_number);
+ProxyOptions::Route parse_route(const std::string& route_text) {
+    const auto first_separator = route_text.find('='), last_separator = route_text.rfind('=');
+    ProxyOptions::Route route{route_text.substr(0, first_separator),
+                              route_text.substr(first_separator + 1, last_separator - first_separator - 1), 0};
+    std::from_chars(route_text.data() + last_separator + 1, route_text.data() + route_text.size(),
+                    route.invoker_number);
     return route;
 }
 
@@ -45,7 +46,7 @@
     }
     std::string fault_text, failed_call_text;
     for (const auto& [name, count] : result.fault_counts) fault_text += fmt::format(" {} {}", name, count);
-    for (const auto& [name, count] : result.failed_calls) failed_call_text += fmt::format(" {} {}", name, count);
+    for (const auto& [name, count] : result.failed_call_counts) failed_call_text += fmt::format(" {} {}", name, count);
     std::cout << fmt::format(
         "seed {}: requests {}, served {}, rejected {}, failed {}, excused {}, attempts {}, restarts {}, slow start "
         "{:.0f}%, own pause {} ms; faults{}; failed calls{}\n",
@@ -80,18 +81,18 @@
 }
 
 void add_run_command(CLI::App& app, CommandLine& command_line) {
-    const std::filesystem::path self = std::filesystem::canonical("/proc/self/exe");
+    const std::filesystem::path program_path = std::filesystem::canonical("/proc/self/exe");
     RunOptions& run = command_line.run;
-    run.soak_program = self;
-    run.controller_program = self.parent_path() / "plumkeel";
-    run.fault_preload_library = self.parent_path() / "libplumkeel_fault_preload.so";
+    run.soak_program = program_path;
+    run.controller_program = program_path.parent_path() / "plumkeel";
+    run.fault_preload_library = program_path.parent_path() / "libplumkeel_fault_preload.so";
     run.folder = "runs/soak";
     CLI::App* command = app.add_subcommand("run", "do a soak run for one seed or for several consecutive seeds");
     command->add_option("--seed", run.seed, "the first seed")->capture_default_str();
-    command->add_option("--seeds", command_line.seeds, "number of consecutive seeds")->capture_default_str();
-    command->add_option("--controllers", run.controllers)->capture_default_str()->check(CLI::Range(1, 60));
-    command->add_option("--invokers", run.invokers)->capture_default_str()->check(CLI::Range(1, 40));
-    command->add_option("--proxies", run.proxies)->capture_default_str()->check(CLI::Range(1, 16));
+    command->add_option("--seeds", command_line.seed_count, "number of consecutive seeds")->capture_default_str();
+    command->add_option("--controllers", run.controller_count)->capture_default_str()->check(CLI::Range(1, 60));
+    command->add_option("--invokers", run.invoker_count)->capture_default_str()->check(CLI::Range(1, 40));
+    command->add_option("--proxies", run.proxy_count)->capture_default_str()->check(CLI::Range(1, 16));
     command->add_option("--seconds", run.fault_seconds, "seconds from the start of a run until faults end")
         ->capture_default_str()
         ->check(CLI::Range(1, 3600));
@@ -115,7 +116,7 @@
     command_line.run.only_faults = {command_line.only_faults.begin(), command_line.only_faults.end()};
     const std::string folder = std::filesystem::absolute(command_line.run.folder);
     bool rules_kept = true;
-    for (std::uint64_t i = 0; i < command_line.seeds; ++i, ++command_line.run.seed) {
+    for (std::uint64_t i = 0; i < command_line.seed_count; ++i, ++command_line.run.seed) {
         command_line.run.folder = fmt::format("{}/seed-{}", folder, command_line.run.seed);
         const RunResult result = run(command_line.run);
         print_result(command_line.run.seed, result);
--- a/soak/proxy.cpp
+++ b/soak/proxy.cpp
@@ -71,7 +71,7 @@
         if (read.error) co_return;
         const std::string_view bytes(chunk.data(), read.bytes);
         buffer += bytes;
-        const bool uncertain = loop_.now() < uncertain_until || controls.network == NetworkState::unread;
+        const bool uncertain = loop_.now() < uncertain_until || controls.network == NetworkState::reading_stopped;
         record_messages(buffer, *connection, uncertain ? time_uncertain : 0);
         if (const std::uint32_t delay = controls.to_invoker_delay_ms; delay > 0)
             co_await loop_.sleep(std::chrono::milliseconds(delay));
@@ -85,7 +85,7 @@
 // Waits while the proxy must not read from the controller; returns whether it had to wait.
 Task<bool> NetworkProxy::wait_until_reading_allowed(std::shared_ptr<Connection> connection) {
     bool waited = false;
-    while (!connection->ended && (control(connection->invoker_number).network == NetworkState::unread ||
+    while (!connection->ended && (control(connection->invoker_number).network == NetworkState::reading_stopped ||
                                   connection->held_for_invoker.size() > max_held_bytes)) {
         co_await loop_.sleep(poll_interval);
         waited = true;
--- a/soak/run.cpp
+++ b/soak/run.cpp
@@ -49,7 +49,7 @@
 
     RunResult result() {
         RunResult result;
-        result.failed_calls = controllers_.finish();
+        result.failed_call_counts = controllers_.finish();
         fleet_.stop();
         for (const auto& entry : std::filesystem::directory_iterator(context_.options.folder))
             if (entry.path().extension() == ".events")
--- a/soak/run.hpp
+++ b/soak/run.hpp
@@ -14,7 +14,7 @@
 
 struct RunOptions {
     std::uint64_t seed = 1;
-    std::uint32_t controllers = 8, invokers = 16, proxies = 4;
+    std::uint32_t controller_count = 8, invoker_count = 16, proxy_count = 4;
     int fault_seconds = 20;             // time from the start of the run until faults end
     int max_fault_gap_ms = 900;         // longest time between the starts of two faults
     double requests_per_second = 12;    // sent to each controller
@@ -29,7 +29,7 @@
 struct RunResult {
     Verdict verdict;
     std::map<std::string, int> fault_counts;  // how often each fault was started, by name
-    std::map<std::string, std::uint64_t> failed_calls;
+    std::map<std::string, std::uint64_t> failed_call_counts;
     std::uint64_t restarts{};
     std::int64_t longest_client_pause_ms{};  // longest time for which the calling process was stalled
 };
--- a/soak/run_history.hpp
+++ b/soak/run_history.hpp
@@ -30,7 +30,7 @@
     std::int64_t abandoned_us = never;        // when the client cancelled it or closed its connection
     std::int64_t answered_us = never;         // when the first answer was complete
     std::int64_t connection_lost_us = never;  // when its connection was lost before an answer
-    int answers{}, status{};
+    int answer_count{}, status{};
     bool answer_valid = true;  // the answer was well-formed and its body belongs to this request
     bool resent{};             // sent again because its connection was lost right after sending
     bool lost_with_process{};  // its controller was killed or crashed, or the request was never sent
--- a/tests/soak_judge_test.cpp
+++ b/tests/soak_judge_test.cpp
@@ -27,7 +27,7 @@
         request.sent_us = 1 * us_per_second;
         request.budget_ms = 1000;
         request.answered_us = request.sent_us + 300 * us_per_ms;
-        request.answers = 1;
+        request.answer_count = 1;
         request.status = 200;
         history.requests.push_back(request);
         history.events.push_back(
@@ -56,7 +56,7 @@
 TEST(SoakJudge, FindsRequestsWithoutTimelyAnswer) {
     RunHistory history = valid_history();
     history.requests[0].answered_us = never;
-    history.requests[0].answers = history.requests[0].status = 0;
+    history.requests[0].answer_count = history.requests[0].status = 0;
     EXPECT_EQ(broken_rules(history), Rules{Rule::lost});
     history.requests[0].connection_lost_us = history.requests[0].sent_us + 100 * us_per_ms;
     EXPECT_EQ(broken_rules(history), Rules{Rule::lost});
@@ -76,7 +76,7 @@
 
 TEST(SoakJudge, FindsRepeatedAndInvalidAnswers) {
     RunHistory history = valid_history();
-    history.requests[0].answers = 2;
+    history.requests[0].answer_count = 2;
     history.requests[1].answer_valid = false;
     EXPECT_EQ(broken_rules(history), (Rules{Rule::answered_twice, Rule::unreadable}));
 }
