--- a/scale/allocation_count.cpp
+++ b/scale/allocation_count.cpp
@@ -6,47 +6,47 @@
 namespace plumkeel::scale {
 namespace {
 
-struct Header {
+struct AllocationHeader {
     std::size_t bytes;
-    bool of_scheduler;
+    bool counted_for_scheduler;
 };
-constexpr std::size_t header_bytes = 16;  // keeps what follows aligned as malloc() does
-static_assert(sizeof(Header) <= header_bytes);
+constexpr std::size_t header_bytes = 16;  // keeps malloc()'s alignment for the memory after the header
+static_assert(sizeof(AllocationHeader) <= header_bytes);
 
-thread_local bool in_scheduler = false;
-thread_local AllocationCounts counts;
+thread_local bool in_scheduler_scope = false;
+thread_local AllocationCounts scheduler_counts;
 
 void* allocate(std::size_t bytes) {
-    void* const raw = std::malloc(bytes + header_bytes);
-    if (!raw) throw std::bad_alloc();
-    *static_cast<Header*>(raw) = {bytes, in_scheduler};
-    if (in_scheduler) {
-        counts.live_bytes += static_cast<std::int64_t>(bytes);
-        ++counts.allocations;
+    void* const block = std::malloc(bytes + header_bytes);
+    if (!block) throw std::bad_alloc();
+    *static_cast<AllocationHeader*>(block) = {bytes, in_scheduler_scope};
+    if (in_scheduler_scope) {
+        scheduler_counts.live_bytes += static_cast<std::int64_t>(bytes);
+        ++scheduler_counts.allocations;
     }
-    return static_cast<char*>(raw) + header_bytes;
+    return static_cast<char*>(block) + header_bytes;
 }
 
-void release(void* memory) noexcept {
+void deallocate(void* memory) noexcept {
     if (!memory) return;
-    void* const raw = static_cast<char*>(memory) - header_bytes;
-    const Header header = *static_cast<Header*>(raw);
-    if (header.of_scheduler) counts.live_bytes -= static_cast<std::int64_t>(header.bytes);
-    std::free(raw);
+    void* const block = static_cast<char*>(memory) - header_bytes;
+    const AllocationHeader header = *static_cast<AllocationHeader*>(block);
+    if (header.counted_for_scheduler) scheduler_counts.live_bytes -= static_cast<std::int64_t>(header.bytes);
+    std::free(block);
 }
 
 }  // namespace
 
 AllocationCounts scheduler_allocations() {
-    return counts;
+    return scheduler_counts;
 }
 
-SchedulerAllocationScope::SchedulerAllocationScope() : outer_(in_scheduler) {
-    in_scheduler = true;
+SchedulerAllocationScope::SchedulerAllocationScope() : was_in_scheduler_scope_(in_scheduler_scope) {
+    in_scheduler_scope = true;
 }
 
 SchedulerAllocationScope::~SchedulerAllocationScope() {
-    in_scheduler = outer_;
+    in_scheduler_scope = was_in_scheduler_scope_;
 }
 
 }  // namespace plumkeel::scale
@@ -58,14 +58,14 @@
     return plumkeel::scale::allocate(bytes);
 }
 void operator delete(void* memory) noexcept {
-    plumkeel::scale::release(memory);
+    plumkeel::scale::deallocate(memory);
 }
 void operator delete[](void* memory) noexcept {
-    plumkeel::scale::release(memory);
+    plumkeel::scale::deallocate(memory);
 }
 void operator delete(void* memory, std::size_t) noexcept {
-    plumkeel::scale::release(memory);
+    plumkeel::scale::deallocate(memory);
 }
 void operator delete[](void* memory, std::size_t) noexcept {
-    plumkeel::scale::release(memory);
+    plumkeel::scale::deallocate(memory);
 }
--- a/scale/allocation_count.hpp
+++ b/scale/allocation_count.hpp
@@ -1,5 +1,5 @@
-/// Exact counts of heap memory by owner. Linking allocation_count.cpp replaces the global operator new and delete; what
-/// is allocated while a SchedulerAllocationScope exists belongs to the scheduler, also when it is freed elsewhere.
+/// Counts the heap memory of the scheduler. Linking allocation_count.cpp replaces the global operator new and delete.
+/// Memory allocated while a SchedulerAllocationScope exists counts as the scheduler's, even if it is freed outside.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,14 @@
 namespace plumkeel::scale {
 
 struct AllocationCounts {
-    std::int64_t live_bytes{};    // asked for and not freed yet, without the allocator's own overhead
-    std::uint64_t allocations{};  // since the program's start
+    std::int64_t live_bytes{};    // allocated and not yet freed, without the allocator's overhead
+    std::uint64_t allocations{};  // since the thread started
 };
 
-/// Of the scheduler, in this process.
+/// Counts of the memory that the scheduler allocated on the calling thread.
 AllocationCounts scheduler_allocations();
 
-/// While one exists on this thread, new memory counts as the scheduler's.
+/// While an instance exists, memory that its thread allocates counts as the scheduler's.
 class SchedulerAllocationScope {
 public:
     SchedulerAllocationScope();
@@ -24,7 +24,7 @@
     SchedulerAllocationScope& operator=(const SchedulerAllocationScope&) = delete;
 
 private:
-    const bool outer_;
+    const bool was_in_scheduler_scope_;
 };
 
 }  // namespace plumkeel::scale
--- a/scale/chart.cpp
+++ b/scale/chart.cpp
@@ -15,7 +15,7 @@
 struct Rgb {
     int red, green, blue;
 };
-enum Colour : int { paper, ink, first_line };
+enum Colour : int { background_colour, text_colour, first_series_colour };
 constexpr std::array<Rgb, 10> colours = {{{255, 255, 255},
                                           {30, 30, 30},
                                           {31, 119, 180},
@@ -26,23 +26,25 @@
                                           {140, 86, 75},
                                           {188, 189, 34},
                                           {23, 190, 207}}};
-constexpr int line_colours = static_cast<int>(colours.size()) - first_line;
-constexpr int page_width = 900, page_height = 560;
+constexpr int series_colour_count = static_cast<int>(colours.size()) - first_series_colour;
+constexpr int page_width_px = 900, page_height_px = 560;
 
-using Values = std::map<double, std::vector<double>>;  // by size
+using ValuesBySize = std::map<double, std::vector<double>>;
 
-std::map<std::string, Values> collect(const std::vector<LabelledRows>& sets, const std::string& experiment,
-                                      const std::string& size_name, const std::string& metric, std::string& unit) {
-    std::map<std::string, Values> out;
-    for (const LabelledRows& set : sets)
-        for (const Row& row : set.rows) {
+std::map<std::string, ValuesBySize> collect_series(const std::vector<LabelledRows>& row_sets,
+                                                   const std::string& experiment, const std::string& size_name,
+                                                   const std::string& metric, std::string& unit) {
+    std::map<std::string, ValuesBySize> series_by_name;
+    for (const LabelledRows& row_set : row_sets)
+        for (const Row& row : row_set.rows) {
             if (row.experiment != experiment || row.size_name != size_name || row.metric != metric || row.value <= 0)
                 continue;
             unit = row.unit;
-            out[set.label.empty() ? row.series : set.label + ": " + row.series][row.size].push_back(row.value);
+            series_by_name[row_set.label.empty() ? row.series : row_set.label + ": " + row.series][row.size].push_back(
+                row.value);
         }
-    std::erase_if(out, [](const auto& line) { return line.second.size() < 2; });
-    return out;
+    std::erase_if(series_by_name, [](const auto& series) { return series.second.size() < 2; });
+    return series_by_name;
 }
 
 double median(std::vector<double> values) {
@@ -50,57 +52,58 @@
     return values[values.size() / 2];
 }
 
-void draw_line(const Values& values, int colour) {
+void draw_series(const ValuesBySize& values, int colour) {
     plcol0(colour);
-    std::vector<double> x, y;
-    for (const auto& [size, all] : values) {
-        x.push_back(std::log10(size));
-        y.push_back(std::log10(median(all)));
-        for (const double value : all) {
-            const double mark_x = std::log10(size), mark_y = std::log10(value);
-            plpoin(1, &mark_x, &mark_y, 4);
+    std::vector<double> log_sizes, log_medians;
+    for (const auto& [size, run_values] : values) {
+        log_sizes.push_back(std::log10(size));
+        log_medians.push_back(std::log10(median(run_values)));
+        for (const double value : run_values) {
+            const double log_size = std::log10(size), log_value = std::log10(value);
+            plpoin(1, &log_size, &log_value, 4);
         }
     }
-    plline(static_cast<PLINT>(x.size()), x.data(), y.data());
+    plline(static_cast<PLINT>(log_sizes.size()), log_sizes.data(), log_medians.data());
 }
 
-// Of the values on both axes, as logarithms.
-struct Range {
-    double least_x = 1e300, most_x = -1e300, least_y = 1e300, most_y = -1e300;
+// The range of each axis, as decimal logarithms.
+struct AxisRanges {
+    double min_log_size = 1e300, max_log_size = -1e300, min_log_value = 1e300, max_log_value = -1e300;
 
     void include(double size, double value) {
-        least_x = std::min(least_x, std::log10(size));
-        most_x = std::max(most_x, std::log10(size));
-        least_y = std::min(least_y, std::log10(value));
-        most_y = std::max(most_y, std::log10(value));
+        min_log_size = std::min(min_log_size, std::log10(size));
+        max_log_size = std::max(max_log_size, std::log10(size));
+        min_log_value = std::min(min_log_value, std::log10(value));
+        max_log_value = std::max(max_log_value, std::log10(value));
     }
 };
 
-Range range_of(const std::map<std::string, Values>& lines) {
-    Range range;
-    for (const auto& [name, values] : lines)
-        for (const auto& [size, all] : values)
-            for (const double value : all) range.include(size, value);
-    return range;
+AxisRanges axis_ranges(const std::map<std::string, ValuesBySize>& series_by_name) {
+    AxisRanges ranges;
+    for (const auto& [name, values] : series_by_name)
+        for (const auto& [size, run_values] : values)
+            for (const double value : run_values) ranges.include(size, value);
+    return ranges;
 }
 
 void open_page(const std::string& file) {
     plsdev("svg");
     plsfnam(file.c_str());
-    plspage(0, 0, page_width, page_height, 0, 0);
+    plspage(0, 0, page_width_px, page_height_px, 0, 0);
     plscmap0n(static_cast<PLINT>(colours.size()));
     for (std::size_t i = 0; i < colours.size(); ++i)
         plscol0(static_cast<PLINT>(i), colours[i].red, colours[i].green, colours[i].blue);
     plinit();
 }
 
-void draw_axes(const Range& range, const std::string& size_name, const std::string& title) {
+void draw_axes(const AxisRanges& ranges, const std::string& size_name, const std::string& title) {
     pladv(0);
     plschr(0, 0.6);
     plvpor(0.1, 0.62, 0.12, 0.92);
-    const double bottom = std::floor(range.least_y);
-    plwind(range.least_x - 0.05, range.most_x + 0.05, bottom, std::max(std::ceil(range.most_y), bottom + 1));
-    plcol0(ink);
+    const double bottom_log_value = std::floor(ranges.min_log_value);
+    plwind(ranges.min_log_size - 0.05, ranges.max_log_size + 0.05, bottom_log_value,
+           std::max(std::ceil(ranges.max_log_value), bottom_log_value + 1));
+    plcol0(text_colour);
     plbox("bclnst", 0, 0, "bclnstv", 0, 0);
     plmtex("b", 3.2, 0.5, 0.5, size_name.c_str());
     plmtex("t", 1.2, 0.5, 0.5, title.c_str());
@@ -108,20 +111,20 @@
 
 }  // namespace
 
-bool draw_metric(const std::vector<LabelledRows>& sets, const std::string& experiment, const std::string& size_name,
+bool draw_metric(const std::vector<LabelledRows>& row_sets, const std::string& experiment, const std::string& size_name,
                  const std::string& metric, const std::string& file) {
     std::string unit;
-    const auto lines = collect(sets, experiment, size_name, metric, unit);
-    if (lines.empty()) return false;
+    const auto series_by_name = collect_series(row_sets, experiment, size_name, metric, unit);
+    if (series_by_name.empty()) return false;
     open_page(file);
-    draw_axes(range_of(lines), size_name, fmt::format("{}: {} ({})", experiment, metric, unit));
-    int number = 0;
-    for (const auto& [name, values] : lines) {
-        draw_line(values, first_line + number % line_colours);
-        plmtex("rv", 1.0, 0.97 - 0.06 * number++, 0, name.c_str());
+    draw_axes(axis_ranges(series_by_name), size_name, fmt::format("{}: {} ({})", experiment, metric, unit));
+    int series_index = 0;
+    for (const auto& [name, values] : series_by_name) {
+        draw_series(values, first_series_colour + series_index % series_colour_count);
+        plmtex("rv", 1.0, 0.97 - 0.06 * series_index++, 0, name.c_str());
     }
     plend();
-    if (!std::filesystem::exists(file)) throw ResultsError(file + ": cannot be written");
+    if (!std::filesystem::exists(file)) throw ResultsError(file + ": the chart can't be written");
     return true;
 }
 
--- a/scale/chart.hpp
+++ b/scale/chart.hpp
@@ -1,4 +1,4 @@
-/// One metric over size as an SVG chart, a line of medians for each series and a mark for each run. Draws with PLplot.
+/// Draws one metric against the size as an SVG chart with PLplot: a line of medians per series and a mark per run.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace plumkeel::scale {
 
-/// A set of rows under a name of its own, such as "before" and "after".
+/// Result rows with a label such as "before" or "after" that distinguishes them in a chart. The label may be empty.
 struct LabelledRows {
     std::string label;
     std::vector<Row> rows;
 };
 
-/// Both axes are logarithmic. Draws nothing and returns false where no row above 0 matches. Throws ResultsError where
-/// the file can't be written.
-bool draw_metric(const std::vector<LabelledRows>& sets, const std::string& experiment, const std::string& size_name,
+/// Draws a chart with logarithmic axes. Returns false and draws nothing if no series has values above 0 at two or more
+/// sizes. Throws ResultsError if the file can't be written.
+bool draw_metric(const std::vector<LabelledRows>& row_sets, const std::string& experiment, const std::string& size_name,
                  const std::string& metric, const std::string& file);
 
 }  // namespace plumkeel::scale
--- a/scale/client_stub.cpp
+++ b/scale/client_stub.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr net::Time connect_timeout = 1s;
-constexpr int requests_per_connection = 32, budget_ms = 3000;
+constexpr int max_pending_per_connection = 32, request_budget_ms = 3000;
 
-// Of a FastCGI record.
-constexpr std::size_t record_header_size = 8;
-constexpr std::uint64_t end_request = 3, stdout_data = 6;
+// Header size and types of FastCGI records.
+constexpr std::size_t record_header_bytes = 8;
+constexpr std::uint64_t end_request_type = 3, stdout_type = 6;
 
 }  // namespace
 
@@ -41,20 +41,22 @@
         const auto connection =
             std::make_shared<Connection>(Connection{stream, std::make_shared<net::WriteQueue>(loop_, stream), {}});
         connections_.push_back(connection);
-        loop_.spawn(read(connection));
+        loop_.spawn(read_responses(connection));
     }
 }
 
 void ClientStub::send_request(const std::string& function) {
-    Connection* chosen = nullptr;
+    Connection* least_loaded = nullptr;
     for (const auto& connection : connections_)
-        if (!chosen || connection->sent_at.size() < chosen->sent_at.size()) chosen = connection.get();
-    if (!chosen || chosen->sent_at.size() >= requests_per_connection) return;
-    int number = 1;
-    while (chosen->sent_at.count(number)) ++number;
-    chosen->sent_at[number] = loop_.now();
-    const std::string id = bytes::hex16(++sent_ << 8 | 1);
-    chosen->write_queue->send(bytes::message(number, bytes::job_fields(id, function, budget_ms), "ask"));
+        if (!least_loaded || connection->sent_at_by_id.size() < least_loaded->sent_at_by_id.size())
+            least_loaded = connection.get();
+    if (!least_loaded || least_loaded->sent_at_by_id.size() >= max_pending_per_connection) return;
+    int fastcgi_id = 1;
+    while (least_loaded->sent_at_by_id.count(fastcgi_id)) ++fastcgi_id;
+    least_loaded->sent_at_by_id[fastcgi_id] = loop_.now();
+    const std::string request_id = bytes::hex16(++sent_ << 8 | 1);
+    least_loaded->write_queue->send(
+        bytes::message(fastcgi_id, bytes::job_fields(request_id, function, request_budget_ms), "ask"));
 }
 
 void ClientStub::close() {
@@ -62,7 +64,7 @@
     connections_.clear();
 }
 
-net::Task<> ClientStub::read(std::shared_ptr<Connection> connection) {
+net::Task<> ClientStub::read_responses(std::shared_ptr<Connection> connection) {
     std::string buffer;
     std::array<char, 8192> chunk;
     for (;;) {
@@ -74,23 +76,23 @@
 }
 
 void ClientStub::handle_records(std::string& buffer, Connection& connection) {
-    while (buffer.size() >= record_header_size) {
-        const std::size_t content = big_endian_at(buffer, 4, 2), padding = big_endian_at(buffer, 6, 1);
-        const std::size_t size = record_header_size + content + padding;
-        if (buffer.size() < size) return;
-        const std::uint64_t type = big_endian_at(buffer, 1, 1);
-        const auto pending = connection.sent_at.find(static_cast<int>(big_endian_at(buffer, 2, 2)));
-        if (pending != connection.sent_at.end()) {
-            if (type == stdout_data && buffer.find("Status: 200") < size) {
+    while (buffer.size() >= record_header_bytes) {
+        const std::size_t content_bytes = big_endian_at(buffer, 4, 2), padding_bytes = big_endian_at(buffer, 6, 1);
+        const std::size_t record_bytes = record_header_bytes + content_bytes + padding_bytes;
+        if (buffer.size() < record_bytes) return;
+        const std::uint64_t record_type = big_endian_at(buffer, 1, 1);
+        const auto pending = connection.sent_at_by_id.find(static_cast<int>(big_endian_at(buffer, 2, 2)));
+        if (pending != connection.sent_at_by_id.end()) {
+            if (record_type == stdout_type && buffer.find("Status: 200") < record_bytes) {
                 ++served_;
                 latency_sum_ms_ += std::chrono::duration<double, std::milli>(loop_.now() - pending->second).count();
             }
-            if (type == end_request) {
+            if (record_type == end_request_type) {
                 ++ended_;
-                connection.sent_at.erase(pending);
+                connection.sent_at_by_id.erase(pending);
             }
         }
-        buffer.erase(0, size);
+        buffer.erase(0, record_bytes);
     }
 }
 
--- a/scale/client_stub.hpp
+++ b/scale/client_stub.hpp
@@ -1,4 +1,4 @@
-/// A web server's connections to one controller.
+/// A FastCGI client that sends requests to one controller over several connections.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,15 @@
 
 class ClientStub {
 public:
-    /// `loop` must outlive this.
+    /// `loop` must outlive this object.
     ClientStub(net::EventLoop& loop, net::Address controller);
-    /// Connects once and asks whether the controller is healthy.
+    /// Sends one health check on a connection of its own; true if the controller answers with status 200.
     net::Task<bool> is_healthy();
     net::Task<> open(std::size_t connections);
-    /// Sends a request on the connection with the fewest pending; none where all are full.
+    /// Sends a request on the connection with the fewest pending requests. Does nothing if all connections are full.
     void send_request(const std::string& function);
     void close();
+    // Numbers of requests that were sent, answered with status 200, and answered with any status.
     std::uint64_t sent() const { return sent_; }
     std::uint64_t served() const { return served_; }
     std::uint64_t ended() const { return ended_; }
@@ -31,9 +32,9 @@
     struct Connection {
         std::shared_ptr<net::Stream> stream;
         std::shared_ptr<net::WriteQueue> write_queue;
-        std::map<int, net::Time> sent_at;  // of pending requests, by number
+        std::map<int, net::Time> sent_at_by_id;  // send times of pending requests by FastCGI request id
     };
-    net::Task<> read(std::shared_ptr<Connection> connection);
+    net::Task<> read_responses(std::shared_ptr<Connection> connection);
     void handle_records(std::string& buffer, Connection& connection);
 
     net::EventLoop& loop_;
--- a/scale/controller_process.cpp
+++ b/scale/controller_process.cpp
@@ -15,18 +15,18 @@
 
 namespace process = boost::process;
 
-constexpr std::string_view list_event = "\"endpoints_updated\"";
-constexpr int stat_fields_before_times = 11;  // behind the program's name, see proc(5)
+constexpr std::string_view endpoints_updated_event = "\"endpoints_updated\"";
+constexpr int stat_fields_before_utime = 11;  // in /proc/PID/stat, after the program's name; see proc(5)
 
 }  // namespace
 
-ControllerProcess::ControllerProcess(const PlatformCase& platform_case, std::size_t number,
+ControllerProcess::ControllerProcess(const PlatformCase& platform_case, std::size_t process_number,
                                      const std::filesystem::path& folder)
-    : config_(folder / fmt::format("n{}.json", number)), log_(folder / fmt::format("n{}.log", number)) {
-    std::ofstream(config_) << controller_config(platform_case, number);
+    : config_(folder / fmt::format("n{}.json", process_number)), log_(folder / fmt::format("n{}.log", process_number)) {
+    std::ofstream(config_) << controller_config(platform_case, process_number);
     process::environment environment = boost::this_process::environment();
-    environment["EDGE_NAME"] = fmt::format("n{}", number);
-    environment["EDGE_LISTEN"] = fmt::format("127.0.0.1:{}", first_controller_port + number);
+    environment["EDGE_NAME"] = fmt::format("n{}", process_number);
+    environment["EDGE_LISTEN"] = fmt::format("127.0.0.1:{}", first_controller_port + process_number);
     environment["EDGE_CONFIG"] = config_.string();
     child_ = process::child(platform_case.program, "platform", environment, process::std_err > log_.string(),
                             process::std_out > process::null, process::limit_handles);
@@ -43,25 +43,27 @@
 ProcessUsage ControllerProcess::usage() const {
     ProcessUsage usage;
     const int pid = child_.id();
-    std::string text;
-    std::getline(std::ifstream(fmt::format("/proc/{}/stat", pid)), text);
-    std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 2)));
-    std::string skipped;
-    for (int i = 0; i < stat_fields_before_times; ++i) fields >> skipped;
-    double user = 0, system = 0, pages = 0;
-    fields >> user >> system;
-    usage.processor_s = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
-    std::ifstream(fmt::format("/proc/{}/statm", pid)) >> pages >> pages;  // the second field is the resident set
-    usage.resident_bytes = pages * static_cast<double>(sysconf(_SC_PAGE_SIZE));
+    std::string stat_line;
+    std::getline(std::ifstream(fmt::format("/proc/{}/stat", pid)), stat_line);
+    std::istringstream stat_fields(stat_line.substr(std::min(stat_line.size(), stat_line.rfind(')') + 2)));
+    std::string skipped_field;
+    for (int i = 0; i < stat_fields_before_utime; ++i) stat_fields >> skipped_field;
+    double user_ticks = 0, system_ticks = 0, resident_pages = 0;
+    stat_fields >> user_ticks >> system_ticks;
+    usage.processor_s = (user_ticks + system_ticks) / static_cast<double>(sysconf(_SC_CLK_TCK));
+    // The resident set is the second field of statm; the first one is overwritten.
+    std::ifstream(fmt::format("/proc/{}/statm", pid)) >> resident_pages >> resident_pages;
+    usage.resident_bytes = resident_pages * static_cast<double>(sysconf(_SC_PAGE_SIZE));
     return usage;
 }
 
 std::optional<double> ControllerProcess::applied_change_at(std::uint64_t event_number) const {
     std::ifstream log(log_);
     for (std::string line; std::getline(log, line);) {
-        if (line.find(list_event) == std::string::npos) continue;
-        const boost::json::object record = boost::json::parse(line).as_object();
-        if (record.at("event").to_number<std::uint64_t>() == event_number) return record.at("at").to_number<double>();
+        if (line.find(endpoints_updated_event) == std::string::npos) continue;
+        const boost::json::object log_record = boost::json::parse(line).as_object();
+        if (log_record.at("event").to_number<std::uint64_t>() == event_number)
+            return log_record.at("at").to_number<double>();
     }
     return std::nullopt;
 }
--- a/scale/controller_process.hpp
+++ b/scale/controller_process.hpp
@@ -1,4 +1,4 @@
-/// A real controller process of a platform run, with its files in a folder of the run.
+/// Runs one `plumkeel platform` process, with its settings file and its log in a given folder.
 #pragma once
 
 #include <boost/process.hpp>
@@ -13,10 +13,11 @@
     double processor_s{}, resident_bytes{};
 };
 
-/// Terminated with this object.
+/// The destructor terminates the process.
 class ControllerProcess {
 public:
-    ControllerProcess(const PlatformCase& platform_case, std::size_t number, const std::filesystem::path& folder);
+    ControllerProcess(const PlatformCase& platform_case, std::size_t process_number,
+                      const std::filesystem::path& folder);
     ~ControllerProcess();
     ControllerProcess(const ControllerProcess&) = delete;
     ControllerProcess& operator=(const ControllerProcess&) = delete;
@@ -26,7 +27,8 @@
     ProcessUsage usage() const;
     double config_bytes() const { return static_cast<double>(std::filesystem::file_size(config_)); }
     double log_bytes() const { return static_cast<double>(std::filesystem::file_size(log_)); }
-    /// When it logged that it applied this change of the list, in seconds since the Unix epoch.
+    /// The time in seconds since the Unix epoch at which the process logged that it applied this discovery event; empty
+    /// if it has not logged it.
     std::optional<double> applied_change_at(std::uint64_t event_number) const;
 
 private:
--- a/scale/decision_run.cpp
+++ b/scale/decision_run.cpp
@@ -7,12 +7,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t parked_at_once = 1024;
-constexpr Time drain_time = 1s, capacity_change_interval = 1s;
-constexpr std::size_t changed_part = 100;  // one invoker in so many changes its capacity
+constexpr std::size_t parked_function_count = 1024;
+constexpr Time drain_duration = 1s, capacity_change_interval = 1s;
+constexpr std::size_t invokers_per_capacity_change = 100;  // one invoker in this many changes at each interval
 
-template <class Counted>
-PlacementWork placement_work(const Counted& scheduler) {
+template <class SchedulerType>
+PlacementWork placement_work(const SchedulerType& scheduler) {
     if constexpr (requires { scheduler.work(); }) {
         const auto& work = scheduler.work();
         return {static_cast<double>(work.placements), static_cast<double>(work.examined),
@@ -27,8 +27,8 @@
 DecisionRun::DecisionRun(const DecisionCase& decision_case)
     : case_(decision_case),
       fleet_(decision_case.fleet),
-      host_(events_, fleet_, decision_case.host, decision_case.seed),
-      popularity_(decision_case.functions, decision_case.exponent),
+      host_(events_, fleet_, decision_case.host_settings, decision_case.seed),
+      popularity_(decision_case.functions, decision_case.popularity_exponent),
       random_(decision_case.seed) {
     host_.announce_all();
     schedule_request();
@@ -41,7 +41,7 @@
 
 void DecisionRun::schedule_request() {
     const double gap_s = -std::log(1 - random_.next()) / case_.requests_per_s;
-    events_.at(events_.now() + Time(static_cast<Time::rep>(gap_s * 1e6)), [this] {
+    events_.schedule_at(events_.now() + Time(static_cast<Time::rep>(gap_s * 1e6)), [this] {
         if (events_.now() >= case_.length) return;
         const bool is_new = case_.disturbance == Disturbance::new_functions;
         host_.submit(is_new ? next_new_function_++ : popularity_.sample(random_));
@@ -57,21 +57,23 @@
             break;
         case Disturbance::restarts:
             for (long i = 0; i < invokers; ++i)
-                events_.at(case_.length * i / invokers, [this, i] { restart_invoker(static_cast<std::size_t>(i)); });
+                events_.schedule_at(case_.length * i / invokers,
+                                    [this, i] { restart_invoker(static_cast<std::size_t>(i)); });
             break;
         case Disturbance::zone_outage:
-            events_.at(case_.length / 3, [this] { set_zone_up(false); });
-            events_.at(case_.length * 2 / 3, [this] { set_zone_up(true); });
+            events_.schedule_at(case_.length / 3, [this] { set_zone_up(false); });
+            events_.schedule_at(case_.length * 2 / 3, [this] { set_zone_up(true); });
             break;
         case Disturbance::full_list:
-            events_.at(case_.length / 2, [this] { host_.announce_all(); });
+            events_.schedule_at(case_.length / 2, [this] { host_.announce_all(); });
             break;
         case Disturbance::parked_functions:
-            events_.at(case_.length / 2, [this] { park_functions(); });
+            events_.schedule_at(case_.length / 2, [this] { park_functions(); });
             break;
         case Disturbance::capacity_changes:
-            for (Time at = capacity_change_interval; at < case_.length; at += capacity_change_interval)
-                events_.at(at, [this] { change_capacities(); });
+            for (Time change_time = capacity_change_interval; change_time < case_.length;
+                 change_time += capacity_change_interval)
+                events_.schedule_at(change_time, [this] { change_capacities(); });
             break;
     }
 }
@@ -92,13 +94,13 @@
     host_.announce(changed);
 }
 
-// All invokers drain while the requests come.
+// Submits requests while all invokers drain, so that the scheduler parks them; then makes the invokers ready again.
 void DecisionRun::park_functions() {
     set_all_ready(false);
-    for (std::size_t i = 0; i < parked_at_once; ++i)
+    for (std::size_t i = 0; i < parked_function_count; ++i)
         host_.submit(static_cast<SchedulerHost::FunctionNumber>(case_.functions + i));
     parked_ = host_.parked();
-    events_.at(events_.now() + drain_time, [this] { set_all_ready(true); });
+    events_.schedule_at(events_.now() + drain_duration, [this] { set_all_ready(true); });
 }
 
 void DecisionRun::set_all_ready(bool ready) {
@@ -108,10 +110,10 @@
 
 void DecisionRun::change_capacities() {
     std::vector<std::size_t> changed;
-    for (std::size_t i = 0; i < std::max<std::size_t>(1, case_.fleet.invokers / changed_part); ++i) {
-        const auto number = static_cast<std::size_t>(random_.next() * static_cast<double>(case_.fleet.invokers));
-        host_.set_invoker(number, true, true, std::nullopt, 0.5 + random_.next());
-        changed.push_back(number);
+    for (std::size_t i = 0; i < std::max<std::size_t>(1, case_.fleet.invokers / invokers_per_capacity_change); ++i) {
+        const auto invoker = static_cast<std::size_t>(random_.next() * static_cast<double>(case_.fleet.invokers));
+        host_.set_invoker(invoker, true, true, std::nullopt, 0.5 + random_.next());
+        changed.push_back(invoker);
     }
     host_.announce(changed);
 }
--- a/scale/decision_run.hpp
+++ b/scale/decision_run.hpp
@@ -1,4 +1,4 @@
-/// One run of a DecisionCase: its requests and its disturbance.
+/// Runs a DecisionCase: submits its requests and causes its disturbance.
 #pragma once
 
 #include "scale/decisions.hpp"
@@ -6,9 +6,13 @@
 
 namespace plumkeel::scale {
 
-/// What the search for invokers cost, where the scheduler counts it.
+/// The scheduler's counts of its work to choose invokers; all 0 if the scheduler does not count it.
 struct PlacementWork {
-    double placements{}, examined{}, scored{}, hashed{}, swept{};
+    double placements{},  // searches for an invoker
+        examined{},       // invokers that a placement checked for whether they may be sent attempts
+        scored{},         // invokers for which a placement estimated the completion time
+        hashed{},         // invokers for which the placement index computed a rank
+        swept{};          // invokers visited by sweeps and by updates of the endpoint list
 };
 
 struct DecisionSnapshot {
@@ -23,7 +27,8 @@
     void run_until(Time time) { events_.run_until(time); }
     DecisionSnapshot snapshot() const;
     SchedulerHost& host() { return host_; }
-    std::size_t parked() const { return parked_; }  // by Disturbance::parked_functions
+    /// The number of requests that Disturbance::parked_functions has parked.
+    std::size_t parked() const { return parked_; }
 
 private:
     void schedule_request();
--- a/scale/decisions.hpp
+++ b/scale/decisions.hpp
@@ -1,5 +1,5 @@
-/// The decisions alone: one controller's scheduler in virtual time, at the requests a second that one controller gets,
-/// over fleets and numbers of functions of growing size.
+/// Measures the decisions of one controller's scheduler in virtual time, without network or processes, for a given
+/// fleet, number of functions and request rate.
 #pragma once
 
 #include <vector>
@@ -9,29 +9,29 @@
 
 namespace plumkeel::scale {
 
-/// What happens beside the requests.
+/// An event during the run, in addition to the requests.
 enum class Disturbance {
     none,
-    restarts,          ///< each invoker is replaced under its old address, all within the run
-    zone_outage,       ///< a zone leaves the list for a third of the run
-    full_list,         ///< the whole list is announced again
-    new_functions,     ///< each request is for a function never seen before
-    parked_functions,  ///< 1,024 requests wait at once, each for a function of its own
-    capacity_changes,  ///< each second a hundredth of the invokers is announced with another capacity
+    restarts,          ///< each invoker restarts once at its old address, spread evenly over the run
+    zone_outage,       ///< all invokers of one zone are removed from the endpoint list for a third of the run
+    full_list,         ///< the complete endpoint list is announced again
+    new_functions,     ///< each request is for a function not requested before
+    parked_functions,  ///< 1,024 requests for as many different functions are parked at the same time
+    capacity_changes,  ///< 1% of the invokers are announced with another capacity each second
 };
 
 struct DecisionCase {
     FleetShape fleet;
     std::size_t functions = 250'000;
-    double exponent = 1.4;  // of the functions' popularity
+    double popularity_exponent = 1.4;  // exponent of the Zipf distribution of requests over functions
     double requests_per_s = 103;
     Time length = std::chrono::seconds(60);
     Disturbance disturbance = Disturbance::none;
-    HostSettings host;
+    HostSettings host_settings;
     std::uint64_t seed = 1;
 };
 
-/// Runs the case and returns what was measured after the first quarter of its length.
+/// Runs the case and returns its measurements, which leave out the first quarter of its length.
 std::vector<Measurement> measure_decisions(const DecisionCase& decision_case);
 
 }  // namespace plumkeel::scale
--- a/scale/discovery_stub.cpp
+++ b/scale/discovery_stub.cpp
@@ -11,12 +11,13 @@
 using namespace std::chrono_literals;
 
 constexpr net::Time heartbeat_interval = 1s;
-constexpr int heartbeat_frame = 0;
-constexpr char changes_frame = 2;
+constexpr int heartbeat_kind = 0;
+constexpr char changes_kind = 2;
 
-std::string make_changes_frame(std::uint64_t number, const std::string& payload) {
-    const std::size_t length = frame_number_size + sizeof changes_frame + payload.size();
-    return bytes::big(length, frame_length_size) + bytes::big(number, frame_number_size) + changes_frame + payload;
+std::string make_changes_frame(std::uint64_t event_number, const std::string& payload) {
+    const std::size_t frame_body_bytes = frame_event_number_bytes + sizeof changes_kind + payload.size();
+    return bytes::big(frame_body_bytes, frame_length_bytes) + bytes::big(event_number, frame_event_number_bytes) +
+           changes_kind + payload;
 }
 
 }  // namespace
@@ -34,7 +35,7 @@
 
 void DiscoveryStub::close() {
     listener_->close();
-    for (const auto& [id, watcher] : watchers_) watcher.stream->reset();
+    for (const auto& [watcher_id, watcher] : watchers_) watcher.stream->reset();
     watchers_.clear();
 }
 
@@ -48,38 +49,39 @@
 }
 
 net::Task<> DiscoveryStub::serve(std::shared_ptr<net::Stream> stream) {
-    std::string known_event;
+    std::string known_event_bytes;
     std::array<char, 64> chunk;
-    while (known_event.size() < frame_number_size) {
+    while (known_event_bytes.size() < frame_event_number_bytes) {
         const net::TransferResult read = co_await stream->read(net::asio::buffer(chunk));
         if (read.error) co_return;
-        known_event.append(chunk.data(), read.bytes);
+        known_event_bytes.append(chunk.data(), read.bytes);
     }
     const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
-    const auto first_unknown = changes_.upper_bound(big_endian_at(known_event, 0, frame_number_size));
-    for (auto change = first_unknown; change != changes_.end(); ++change) send(*write_queue, change->second);
-    const std::uint64_t id = ++last_watcher_;
-    watchers_[id] = {stream, write_queue};
+    const auto first_unknown_change =
+        changes_.upper_bound(big_endian_at(known_event_bytes, 0, frame_event_number_bytes));
+    for (auto change = first_unknown_change; change != changes_.end(); ++change) send(*write_queue, change->second);
+    const std::uint64_t watcher_id = ++last_watcher_id_;
+    watchers_[watcher_id] = {stream, write_queue};
     while (!(co_await stream->read(net::asio::buffer(chunk))).error) {
     }
-    watchers_.erase(id);
+    watchers_.erase(watcher_id);
     stream->close();
 }
 
 net::Task<> DiscoveryStub::send_heartbeats() {
     for (;;) {
         co_await loop_.sleep(heartbeat_interval);
-        const std::string frame = bytes::frame(last_event_, heartbeat_frame);
-        for (const auto& [id, watcher] : watchers_) send(*watcher.write_queue, frame);
+        const std::string frame = bytes::frame(last_event_number_, heartbeat_kind);
+        for (const auto& [watcher_id, watcher] : watchers_) send(*watcher.write_queue, frame);
     }
 }
 
 std::uint64_t DiscoveryStub::publish(const std::string& payload) {
-    const std::uint64_t number = ++last_event_;
-    const std::string frame = make_changes_frame(number, payload);
-    changes_[number] = frame;
-    for (const auto& [id, watcher] : watchers_) send(*watcher.write_queue, frame);
-    return number;
+    const std::uint64_t event_number = ++last_event_number_;
+    const std::string frame = make_changes_frame(event_number, payload);
+    changes_[event_number] = frame;
+    for (const auto& [watcher_id, watcher] : watchers_) send(*watcher.write_queue, frame);
+    return event_number;
 }
 
 void DiscoveryStub::send(net::WriteQueue& write_queue, const std::string& frame) {
--- a/scale/discovery_stub.hpp
+++ b/scale/discovery_stub.hpp
@@ -1,5 +1,5 @@
-/// A discovery service that sends what it is given, for thousands of watchers in one process. It speaks the platform's
-/// protocol and counts bytes; it decides nothing.
+/// A discovery service for thousands of watchers in one process. It speaks the discovery protocol, sends the changes
+/// that are published through it, and counts bytes.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace plumkeel::scale {
 
-/// Each watcher gets the changes behind the event number that it says it has.
+/// A watcher states the last event number that it knows on connecting, and is sent all later changes.
 class DiscoveryStub {
 public:
-    /// `loop` must outlive this.
+    /// `loop` must outlive this object.
     DiscoveryStub(net::EventLoop& loop, net::Address address);
     net::Error open();
-    /// Ends all connections and does not listen until open().
+    /// Resets all connections and stops listening until open() is called.
     void close();
-    /// Sends a change to all; returns its event number. `payload` is that of a frame of changes.
+    /// Sends a frame of endpoint changes with this payload to all watchers; returns its event number.
     std::uint64_t publish(const std::string& payload);
     std::uint64_t bytes_sent() const { return bytes_sent_; }
-    std::uint64_t accepted_connections() const { return accepted_connections_; }  // since its start
+    std::uint64_t accepted_connections() const { return accepted_connections_; }  // number since construction
 
 private:
     struct Watcher {
@@ -40,8 +40,8 @@
     const net::Address address_;
     std::shared_ptr<net::Listener> listener_;
     std::map<std::uint64_t, Watcher> watchers_;
-    std::map<std::uint64_t, std::string> changes_;  // frames by event number
-    std::uint64_t last_event_ = 1, last_watcher_{}, bytes_sent_{}, accepted_connections_{};
+    std::map<std::uint64_t, std::string> changes_;  // encoded frames by event number
+    std::uint64_t last_event_number_ = 1, last_watcher_id_{}, bytes_sent_{}, accepted_connections_{};
     bool heartbeats_started_{};
 };
 
--- a/scale/event_queue.hpp
+++ b/scale/event_queue.hpp
@@ -1,4 +1,4 @@
-/// Virtual time: events in the order of their times, those of one time in the order in which they were added.
+/// Virtual time: runs events in the order of their times, and events with the same time in the order of scheduling.
 #pragma once
 
 #include <algorithm>
@@ -15,16 +15,16 @@
 
 class EventQueue {
 public:
-    /// A time that has passed counts as now.
-    void at(Time when, std::function<void()> action) {
-        events_.push({std::max(when, now_), ++added_, std::move(action)});
+    /// Schedules an action. A time that has passed counts as the current time.
+    void schedule_at(Time when, std::function<void()> action) {
+        events_.push({std::max(when, now_), ++last_sequence_number_, std::move(action)});
     }
     Time now() const { return now_; }
 
-    /// Runs events up to `end`, which is the time afterwards.
+    /// Runs all events up to and including `end`, then sets the current time to `end`.
     void run_until(Time end) {
         while (!events_.empty() && events_.top().when <= end) {
-            Event event = std::move(const_cast<Event&>(events_.top()));  // it is popped at once
+            Event event = std::move(const_cast<Event&>(events_.top()));  // top() is const; the event is removed next
             events_.pop();
             now_ = event.when;
             event.action();
@@ -35,13 +35,15 @@
 private:
     struct Event {
         Time when;
-        std::uint64_t order;
+        std::uint64_t sequence_number;
         std::function<void()> action;
-        bool operator<(const Event& other) const { return std::pair(when, order) > std::pair(other.when, other.order); }
+        bool operator<(const Event& other) const {
+            return std::pair(when, sequence_number) > std::pair(other.when, other.sequence_number);
+        }
     };
     std::priority_queue<Event> events_;
     Time now_{};
-    std::uint64_t added_{};
+    std::uint64_t last_sequence_number_{};
 };
 
 }  // namespace plumkeel::scale
--- a/scale/invoker_stub.cpp
+++ b/scale/invoker_stub.cpp
@@ -40,29 +40,30 @@
     stream->close();
 }
 
-// Takes whole messages off the front of the buffer.
+// Handles the complete messages at the start of the buffer and removes them.
 void InvokerStub::handle_messages(std::string& buffer, const std::shared_ptr<net::WriteQueue>& write_queue) {
     for (auto end = buffer.find("\r\n"); end != std::string::npos; end = buffer.find("\r\n")) {
-        const std::string line = buffer.substr(0, end);
-        const std::string rest = line.substr(std::min(line.size(), line.find(' ') + 1));
-        std::size_t size = end + 2;
-        if (line.starts_with("RUN ")) {
-            const std::size_t body = std::stoul(line.substr(line.rfind(' ') + 1));
-            size += body + 2;
-            if (buffer.size() < size) return;
+        const std::string command_line = buffer.substr(0, end);
+        const std::string after_command =
+            command_line.substr(std::min(command_line.size(), command_line.find(' ') + 1));
+        std::size_t message_bytes = end + 2;
+        if (command_line.starts_with("RUN ")) {
+            const std::size_t body_bytes = std::stoul(command_line.substr(command_line.rfind(' ') + 1));
+            message_bytes += body_bytes + 2;
+            if (buffer.size() < message_bytes) return;
             ++runs_;
-            loop_.spawn(answer(write_queue, rest.substr(0, rest.find(' '))));
-        } else if (line.starts_with("INFO ") || line.starts_with("NOOP ")) {
+            loop_.spawn(answer(write_queue, after_command.substr(0, after_command.find(' '))));
+        } else if (command_line.starts_with("INFO ") || command_line.starts_with("NOOP ")) {
             ++health_checks_;
-            send(*write_queue, rest + " well l=active:1;waiting:0 0\r\n\r\n");
+            send(*write_queue, after_command + " well l=active:1;waiting:0 0\r\n\r\n");
         }
-        buffer.erase(0, size);
+        buffer.erase(0, message_bytes);
     }
 }
 
-net::Task<> InvokerStub::answer(std::shared_ptr<net::WriteQueue> write_queue, std::string id) {
+net::Task<> InvokerStub::answer(std::shared_ptr<net::WriteQueue> write_queue, std::string attempt_id) {
     co_await loop_.sleep(run_time_);
-    send(*write_queue, id + " data n=reused 4\r\ndone\r\n");
+    send(*write_queue, attempt_id + " data n=reused 4\r\ndone\r\n");
 }
 
 void InvokerStub::send(net::WriteQueue& write_queue, std::string text) {
--- a/scale/invoker_stub.hpp
+++ b/scale/invoker_stub.hpp
@@ -1,4 +1,5 @@
-/// All invokers of a fleet behind one listener on the wildcard address: each attempt is answered after the same time.
+/// A stub for all invokers of a fleet. It listens on one port of all addresses and answers each attempt after a fixed
+/// time.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +13,19 @@
 
 class InvokerStub {
 public:
-    /// `loop` must outlive this.
+    /// `loop` must outlive this object.
     InvokerStub(net::EventLoop& loop, std::uint16_t port, net::Time run_time);
     net::Error open();
-    // Counts since its start.
+    // Counts since construction.
     std::uint64_t connections() const { return connections_; }
     std::uint64_t runs() const { return runs_; }
     std::uint64_t health_checks() const { return health_checks_; }
-    std::uint64_t bytes() const { return bytes_; }  // of both directions
+    std::uint64_t bytes() const { return bytes_; }  // bytes received and sent
 
 private:
     net::Task<> accept();
     net::Task<> serve(std::shared_ptr<net::Stream> stream);
-    net::Task<> answer(std::shared_ptr<net::WriteQueue> write_queue, std::string id);
+    net::Task<> answer(std::shared_ptr<net::WriteQueue> write_queue, std::string attempt_id);
     void handle_messages(std::string& buffer, const std::shared_ptr<net::WriteQueue>& write_queue);
     void send(net::WriteQueue& write_queue, std::string text);
 
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,4 +1,4 @@
-/// plumkeel-scale: measures how the controller's cost grows with the fleet, and reports the slopes.
+/// plumkeel-scale: measures how the costs of a controller grow with the fleet, and reports slopes and charts.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
@@ -17,12 +17,12 @@
 using namespace plumkeel;
 using namespace plumkeel::scale;
 
-// A process may open as many descriptors as its hard limit allows; the soft one is often far lower.
+// Raises the soft limit of open file descriptors to the hard limit.
 void raise_descriptor_limit() {
-    rlimit files{};
-    getrlimit(RLIMIT_NOFILE, &files);
-    files.rlim_cur = files.rlim_max;
-    setrlimit(RLIMIT_NOFILE, &files);
+    rlimit descriptor_limits{};
+    getrlimit(RLIMIT_NOFILE, &descriptor_limits);
+    descriptor_limits.rlim_cur = descriptor_limits.rlim_max;
+    setrlimit(RLIMIT_NOFILE, &descriptor_limits);
 }
 
 template <class Case, class Measure>
@@ -31,17 +31,17 @@
         for (int run = 0; run < series.runs; ++run) {
             std::cerr << fmt::format("{} '{}': {} {}, run {} of {}\n", experiment, series.name, size, series.size_name,
                                      run + 1, series.runs);
-            Case sized = case_at(series, size);
-            sized.seed = static_cast<std::uint64_t>(run) + 1;
-            for (const Measurement& figure : measure(sized))
+            Case sized_case = case_at(series, size);
+            sized_case.seed = static_cast<std::uint64_t>(run) + 1;
+            for (const Measurement& measurement : measure(sized_case))
                 rows.push_back({experiment, series.name, series.size_name, static_cast<double>(size), run,
-                                figure.metric, figure.unit, figure.value});
+                                measurement.metric, measurement.unit, measurement.value});
         }
 }
 
 template <class Case>
-void require_resources_for(const std::string& experiment, const std::vector<Series<Case>>& all) {
-    for (const Series<Case>& series : all)
+void require_resources_for(const std::string& experiment, const std::vector<Series<Case>>& all_series) {
+    for (const Series<Case>& series : all_series)
         for (const std::size_t size : series.sizes)
             require_resources(fmt::format("{} '{}' at {} {}", experiment, series.name, size, series.size_name),
                               resource_needs(case_at(series, size)));
@@ -50,7 +50,7 @@
 void run(const std::string& plan_file, const std::string& program, const std::string& commit,
          const std::string& results_file) {
     Plan plan = read_plan(plan_file);
-    for (auto& series : plan.platform) series.base.program = program;
+    for (auto& series : plan.platform) series.base_case.program = program;
     require_resources_for("decisions", plan.decisions);
     require_resources_for("controllers", plan.controllers);
     require_resources_for("platform", plan.platform);
@@ -62,22 +62,22 @@
     write_results(results_file, results);
 }
 
-// Each metric of each experiment over each size, in one chart that holds all files.
-void draw_charts(const std::vector<LabelledRows>& sets, const std::string& folder) {
+// Draws a chart for each metric of each experiment by each varying field, with the rows of all results files.
+void draw_charts(const std::vector<LabelledRows>& row_sets, const std::string& folder) {
     struct Chart {
         std::string experiment, size_name, metric;
         auto operator<=>(const Chart&) const = default;
     };
     std::set<Chart> charts;
-    for (const LabelledRows& set : sets)
-        for (const Row& row : set.rows) charts.insert({row.experiment, row.size_name, row.metric});
+    for (const LabelledRows& row_set : row_sets)
+        for (const Row& row : row_set.rows) charts.insert({row.experiment, row.size_name, row.metric});
     std::filesystem::create_directories(folder);
     for (const Chart& chart : charts)
-        draw_metric(sets, chart.experiment, chart.size_name, chart.metric,
+        draw_metric(row_sets, chart.experiment, chart.size_name, chart.metric,
                     fmt::format("{}/{}-{}-{}.svg", folder, chart.experiment, chart.size_name, chart.metric));
 }
 
-// "label=file", or the file alone.
+// Reads the results file named by an argument of the form "label=file" or "file".
 LabelledRows read_labelled(const std::string& argument) {
     const auto equals = argument.find('=');
     if (equals == std::string::npos) return {"", read_results(argument).rows};
@@ -85,44 +85,45 @@
 }
 
 void report(const std::vector<std::string>& arguments, const std::string& slopes_file, const std::string& charts) {
-    std::vector<LabelledRows> sets;
-    std::vector<Row> all;
+    std::vector<LabelledRows> row_sets;
+    std::vector<Row> all_rows;
     for (const std::string& argument : arguments) {
-        const LabelledRows& set = sets.emplace_back(read_labelled(argument));
-        for (Row row : set.rows) {
-            if (!set.label.empty()) row.series = set.label + ": " + row.series;
-            all.push_back(std::move(row));
+        const LabelledRows& row_set = row_sets.emplace_back(read_labelled(argument));
+        for (Row row : row_set.rows) {
+            if (!row_set.label.empty()) row.series = row_set.label + ": " + row.series;
+            all_rows.push_back(std::move(row));
         }
     }
-    write_slopes(slopes_file, compute_slopes(all));
-    if (!charts.empty()) draw_charts(sets, charts);
+    write_slopes(slopes_file, compute_slopes(all_rows));
+    if (!charts.empty()) draw_charts(row_sets, charts);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("plumkeel-scale: how the controller's cost grows with the fleet");
+    CLI::App app("plumkeel-scale: measures how the costs of a controller grow with the fleet");
     app.require_subcommand(1);
     std::string plan, program = std::filesystem::canonical("/proc/self/exe").parent_path() / "plumkeel";
     std::string commit = "unknown", results = "results.csv", slopes = "slopes.csv", charts;
-    std::vector<std::string> files;
-    CLI::App* const run_command = app.add_subcommand("run", "measures what a plan names");
+    std::vector<std::string> results_files;
+    CLI::App* const run_command = app.add_subcommand("run", "runs the measurements of a plan");
     run_command->add_option("plan", plan, "Jsonnet plan")->required();
-    run_command->add_option("--out", results, "results, a CSV file")->capture_default_str();
+    run_command->add_option("--out", results, "CSV file to write the results to")->capture_default_str();
     run_command->add_option("--program", program, "the plumkeel binary to measure")->capture_default_str();
-    run_command->add_option("--commit", commit, "of the program measured, for the record")->capture_default_str();
-    CLI::App* const report_command = app.add_subcommand("report", "slopes and charts of results");
-    report_command->add_option("results", files, "results, each with an optional label before it: before=old.csv")
+    run_command->add_option("--commit", commit, "commit of the measured binary, stored in the results")
+        ->capture_default_str();
+    CLI::App* const report_command = app.add_subcommand("report", "writes slopes and charts of results");
+    report_command->add_option("results", results_files, "results files, each with an optional label: before=old.csv")
         ->required();
-    report_command->add_option("--slopes", slopes, "CSV file to write")->capture_default_str();
-    report_command->add_option("--charts", charts, "folder for charts (SVG); none where left out");
+    report_command->add_option("--slopes", slopes, "CSV file to write the slopes to")->capture_default_str();
+    report_command->add_option("--charts", charts, "folder for SVG charts; without it, no charts are drawn");
     CLI11_PARSE(app, argc, argv);
     try {
         raise_descriptor_limit();
         if (*run_command)
             run(plan, program, commit, results);
         else
-            report(files, slopes, charts);
+            report(results_files, slopes, charts);
         return 0;
     } catch (const std::exception& error) {
         std::cerr << "plumkeel-scale: " << error.what() << '\n';
--- a/scale/measurement.hpp
+++ b/scale/measurement.hpp
@@ -1,4 +1,4 @@
-/// One figure of a scale run.
+/// One measured value of a scale run.
 #pragma once
 
 #include <string>
--- a/scale/modelled_fleet.cpp
+++ b/scale/modelled_fleet.cpp
@@ -7,61 +7,62 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time rejection_time = 1ms;  // until an invoker without room has answered
+constexpr Time rejection_time = 1ms;  // time in which a full invoker rejects an attempt
 
 }  // namespace
 
-Reply ModelledFleet::attempt(Time now, std::size_t number, FunctionNumber function, Time timeout) {
-    ModelledInvoker& invoker = invokers_[number];
+Reply ModelledFleet::attempt(Time now, std::size_t invoker_number, FunctionNumber function, Time timeout) {
+    ModelledInvoker& invoker = invokers_[invoker_number];
     if (invoker.dead) return {timeout, AttemptOutcome::timed_out, LoadEvent::none, 0};
-    Instance* idle = nullptr;
+    Instance* idle_instance = nullptr;
     int concurrent_requests = 0;
     for (Instance& instance : invoker.instances) {
         if (instance.function != function) continue;
         if (instance.busy)
             ++concurrent_requests;
         else
-            idle = &instance;
+            idle_instance = &instance;
     }
-    if (idle) return run(invoker, *idle, now, LoadEvent::was_loaded, concurrent_requests);
-    Instance* const room = make_room(invoker);
-    if (!room) return {rejection_time, AttemptOutcome::rejected, LoadEvent::none, concurrent_requests};
-    *room = {function, now + shape_.load, now, false};
-    return run(invoker, *room, now, LoadEvent::started_load, concurrent_requests);
+    if (idle_instance) return run(invoker, *idle_instance, now, LoadEvent::was_loaded, concurrent_requests);
+    Instance* const replaceable = find_replaceable_instance(invoker);
+    if (!replaceable) return {rejection_time, AttemptOutcome::rejected, LoadEvent::none, concurrent_requests};
+    *replaceable = {function, now + shape_.load_duration, now, false};
+    return run(invoker, *replaceable, now, LoadEvent::started_load, concurrent_requests);
 }
 
-// An instance to be overwritten; null where all are busy.
-ModelledFleet::Instance* ModelledFleet::make_room(ModelledInvoker& invoker) const {
-    if (invoker.instances.size() < shape_.instances) return &invoker.instances.emplace_back();
-    Instance* oldest = nullptr;
+// Returns an instance that can be replaced, or null if all instances are busy.
+ModelledFleet::Instance* ModelledFleet::find_replaceable_instance(ModelledInvoker& invoker) const {
+    if (invoker.instances.size() < shape_.max_instances_per_invoker) return &invoker.instances.emplace_back();
+    Instance* least_recently_used = nullptr;
     for (Instance& instance : invoker.instances)
-        if (!instance.busy && (!oldest || instance.used_at < oldest->used_at)) oldest = &instance;
-    return oldest;
+        if (!instance.busy && (!least_recently_used || instance.last_used_at < least_recently_used->last_used_at))
+            least_recently_used = &instance;
+    return least_recently_used;
 }
 
 Reply ModelledFleet::run(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent load_event,
                          int concurrent_requests) const {
     instance.busy = true;
-    ++invoker.running;
-    const double contention = std::max(1.0, invoker.running / shape_.cores);
-    const auto run_time = Time(static_cast<Time::rep>(static_cast<double>(shape_.run.count()) * contention));
+    ++invoker.running_requests;
+    const double slowdown = std::max(1.0, invoker.running_requests / shape_.cores_per_invoker);
+    const auto run_time = Time(static_cast<Time::rep>(static_cast<double>(shape_.run_duration.count()) * slowdown));
     return {std::max(instance.ready_at - now, Time{}) + run_time, AttemptOutcome::succeeded, load_event,
             concurrent_requests};
 }
 
-void ModelledFleet::finished(Time now, std::size_t number, FunctionNumber function) {
-    ModelledInvoker& invoker = invokers_[number];
+void ModelledFleet::finished(Time now, std::size_t invoker_number, FunctionNumber function) {
+    ModelledInvoker& invoker = invokers_[invoker_number];
     for (Instance& instance : invoker.instances) {
         if (instance.function != function || !instance.busy || instance.ready_at > now) continue;
         instance.busy = false;
-        instance.used_at = now;
-        --invoker.running;
+        instance.last_used_at = now;
+        --invoker.running_requests;
         return;
     }
 }
 
 LoadReport ModelledFleet::report(std::size_t invoker) const {
-    return {static_cast<double>(invokers_[invoker].running), 0.0};
+    return {static_cast<double>(invokers_[invoker].running_requests), 0.0};
 }
 
 void ModelledFleet::kill(std::size_t invoker) {
--- a/scale/modelled_fleet.hpp
+++ b/scale/modelled_fleet.hpp
@@ -1,7 +1,7 @@
-/// A fleet of invokers as a model: what each one has loaded, what it runs, and how it answers an attempt. It knows
-/// nothing of the controllers' estimates. Assumptions: an instance runs one request at a time; an idle instance is
-/// evicted for a new one, the least recently used first; runs slow down in proportion once there are more than cores; a
-/// dead invoker does not answer.
+/// A model of a fleet of invokers: the functions that each invoker has loaded, the requests that it runs, and its
+/// replies to attempts. Assumptions: an instance of a function runs one request at a time; the least recently used idle
+/// instance is evicted to load another function; with more running requests than cores, the run time of new requests
+/// grows in proportion; a dead invoker does not answer.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 struct FleetShape {
     std::size_t invokers = 100;
-    std::size_t instances = 50;  // that one invoker can hold
+    std::size_t max_instances_per_invoker = 50;
     std::size_t zones = 27;
-    double cores = 16;  // of one invoker
-    Time run = std::chrono::milliseconds(200);
-    Time load = std::chrono::milliseconds(800);
+    double cores_per_invoker = 16;
+    Time run_duration = std::chrono::milliseconds(200);
+    Time load_duration = std::chrono::milliseconds(800);
 };
 
-/// How an attempt ends, and when.
+/// The result of an attempt, and the delay from the attempt to the result.
 struct Reply {
-    Time after{};
+    Time delay{};
     AttemptOutcome outcome{};
     LoadEvent load_event{};
-    int concurrent_requests{};  // for the function there, when it arrived
+    int concurrent_requests{};  // of the same function, running at the invoker when the attempt arrived
 };
 
 class ModelledFleet {
@@ -33,33 +33,33 @@
     using FunctionNumber = std::uint32_t;
     explicit ModelledFleet(const FleetShape& shape) : shape_(shape), invokers_(shape.invokers) {}
 
-    /// A dead invoker's reply comes after `timeout`, as timed out. A reply that succeeds is to be followed by
-    /// finished() at its time.
+    /// The reply for a dead invoker is a timeout after `timeout`. After a successful reply, call finished() at the time
+    /// of the reply.
     Reply attempt(Time now, std::size_t invoker, FunctionNumber function, Time timeout);
     void finished(Time now, std::size_t invoker, FunctionNumber function);
     bool answers(std::size_t invoker) const { return !invokers_[invoker].dead; }
     LoadReport report(std::size_t invoker) const;
 
     void kill(std::size_t invoker);
-    /// A new process under the old address: nothing is loaded.
+    /// Replaces the invoker by a live one with no functions loaded.
     void restart(std::size_t invoker);
 
     const FleetShape& shape() const { return shape_; }
-    /// Of a function in the whole fleet.
+    /// The number of instances of a function in the whole fleet.
     std::size_t instance_count(FunctionNumber function) const;
 
 private:
     struct Instance {
         FunctionNumber function{};
-        Time ready_at{}, used_at{};
+        Time ready_at{}, last_used_at{};
         bool busy{};
     };
     struct ModelledInvoker {
         std::vector<Instance> instances;
-        int running{};
+        int running_requests{};
         bool dead{};
     };
-    Instance* make_room(ModelledInvoker& invoker) const;
+    Instance* find_replaceable_instance(ModelledInvoker& invoker) const;
     Reply run(ModelledInvoker& invoker, Instance& instance, Time now, LoadEvent load_event,
               int concurrent_requests) const;
 
--- a/scale/plan.hpp
+++ b/scale/plan.hpp
@@ -1,4 +1,4 @@
-/// What to measure, read from a Jsonnet plan and checked.
+/// Reads a Jsonnet plan, which lists the measurements of a scale run, and checks it.
 #pragma once
 
 #include <string>
@@ -9,26 +9,26 @@
 
 namespace plumkeel::scale {
 
-/// One case over a growing size, each size run `runs` times with other seeds.
+/// A case that is run at several sizes, and `runs` times with different seeds at each size.
 template <class Case>
 struct Series {
     std::string name;
-    std::string size_name;
+    std::string size_name;  // the field that varies, such as "invokers"
     std::vector<std::size_t> sizes;
     int runs = 1;
-    Case base;  // without the size
+    Case base_case;  // the field named by `size_name` is set to each of `sizes`
 };
 
 struct Plan {
-    std::vector<Series<DecisionCase>> decisions;           // over "invokers" or "functions"
-    std::vector<Series<ManyControllersCase>> controllers;  // over "controllers" or "invokers"
-    std::vector<Series<PlatformCase>> platform;            // over "invokers" or "watchers"
+    std::vector<Series<DecisionCase>> decisions;           // size_name: "invokers" or "functions"
+    std::vector<Series<ManyControllersCase>> controllers;  // size_name: "controllers" or "invokers"
+    std::vector<Series<PlatformCase>> platform;            // size_name: "invokers" or "watchers"
 };
 
-/// Throws ConfigError, naming file and field.
+/// Throws ConfigError, whose message names the file and the field.
 Plan read_plan(const std::string& file);
 
-/// The case at one of its sizes.
+/// Returns the base case with the field that varies set to `size`.
 DecisionCase case_at(const Series<DecisionCase>& series, std::size_t size);
 ManyControllersCase case_at(const Series<ManyControllersCase>& series, std::size_t size);
 PlatformCase case_at(const Series<PlatformCase>& series, std::size_t size);
--- a/scale/plans/decisions.jsonnet
+++ b/scale/plans/decisions.jsonnet
@@ -1,4 +1,4 @@
-// The decisions alone: the first tables of docs/CAPACITY.md.
+// Cost of the scheduler's decisions by number of invokers and by number of functions.
 local fleets = [100, 720, 7200, 18000];
 local exponents = [{ value: 1.4, name: '1.4' }, { value: 1.0, name: '1.0' }];
 {
--- a/scale/plans/hard-cases.jsonnet
+++ b/scale/plans/hard-cases.jsonnet
@@ -1,4 +1,5 @@
-// What disturbs the decisions: lists that change, names without end, one function, many parked.
+// Cost of the scheduler's decisions while endpoint lists change, with ever new functions, with a single function, and
+// with many parked requests.
 local case(name, disturbance, more={}) =
   { name: name, over: 'invokers', sizes: [720, 7200, 18000], length: '60s', disturbance: disturbance } + more;
 {
--- a/scale/plans/platform.jsonnet
+++ b/scale/plans/platform.jsonnet
@@ -1,4 +1,5 @@
-// The real program beside stubs of its peers: one process over growing fleets, then watchers of discovery by the thousand.
+// `plumkeel platform` processes with stubs for clients, discovery and invokers: one process by number of invokers, then
+// two processes by number of further discovery watchers.
 {
   platform: [
     { name: 'one process', over: 'invokers', sizes: [720, 7200, 18000], runs: 2, idle: '5s', busy: '8s', changes: 100 },
--- a/scale/platform_config.cpp
+++ b/scale/platform_config.cpp
@@ -9,8 +9,8 @@
 
 namespace json = boost::json;
 
-constexpr int zones = 27, fleet_size = 7100;
-constexpr std::size_t descriptor_limit = 600, memory_limit_mb = 2048;
+constexpr int zone_count = 27, fleet_size = 7100;
+constexpr std::size_t max_descriptors = 600, max_memory_mb = 2048;
 constexpr double invoker_capacity = 5;
 
 json::object timing_rules() {
@@ -29,7 +29,7 @@
 
 json::object platform_settings() {
     json::array areas;
-    for (int zone = 0; zone < zones; ++zone) areas.push_back(json::string(fmt::format("z{}", zone)));
+    for (int zone = 0; zone < zone_count; ++zone) areas.push_back(json::string(fmt::format("z{}", zone)));
     return {{"areas", areas},
             {"kinds", {"k"}},
             {"fleet_size", fleet_size},
@@ -61,7 +61,7 @@
     for (std::size_t i = 0; i < invokers; ++i)
         targets.push_back({{"uid", fmt::format("s-{:08x}", i)},
                            {"endpoint", fmt::format("{}:{}", invoker_host(i), invoker_port)},
-                           {"az", fmt::format("z{}", i % zones)},
+                           {"az", fmt::format("z{}", i % zone_count)},
                            {"model", "k"},
                            {"pod_group", i},
                            {"state", "up"},
@@ -72,18 +72,18 @@
 
 }  // namespace
 
-std::string invoker_host(std::size_t number) {
-    const std::size_t host = number + 1;
+std::string invoker_host(std::size_t invoker) {
+    const std::size_t host = invoker + 1;
     return fmt::format("127.{}.{}.{}", 1 + host / 65536, host / 256 % 256, host % 256);
 }
 
-std::string controller_config(const PlatformCase& platform_case, std::size_t number) {
+std::string controller_config(const PlatformCase& platform_case, std::size_t process_number) {
     return json::serialize(
-        json::object{{"name", fmt::format("n{}", number)},
-                     {"listen", fmt::format("127.0.0.1:{}", first_controller_port + number)},
-                     {"seed", fmt::format("{:016x}", platform_case.seed * 1000 + number)},
+        json::object{{"name", fmt::format("n{}", process_number)},
+                     {"listen", fmt::format("127.0.0.1:{}", first_controller_port + process_number)},
+                     {"seed", fmt::format("{:016x}", platform_case.seed * 1000 + process_number)},
                      {"board", fmt::format("127.0.0.1:{}", discovery_port)},
-                     {"limits", {{"cores", 1.0}, {"memory_mb", memory_limit_mb}, {"sockets", descriptor_limit}}},
+                     {"limits", {{"cores", 1.0}, {"memory_mb", max_memory_mb}, {"sockets", max_descriptors}}},
                      {"known", known_endpoints(platform_case.invokers)},
                      {"settings", platform_settings()}});
 }
--- a/scale/platform_config.hpp
+++ b/scale/platform_config.hpp
@@ -1,4 +1,4 @@
-/// Addresses and settings of the processes of a platform run.
+/// Addresses and settings of the controller processes and stubs of a platform run.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 constexpr std::uint16_t first_controller_port = 17100, discovery_port = 17001, invoker_port = 17002;
 
-/// 127.1.0.1 and on: all of 127.0.0.0/8 is loopback.
-std::string invoker_host(std::size_t number);
-/// The settings file of a controller, as JSON.
-std::string controller_config(const PlatformCase& platform_case, std::size_t number);
+/// The loopback address of an invoker: 127.1.0.1, 127.1.0.2 and so on.
+std::string invoker_host(std::size_t invoker);
+/// The contents of a controller's settings file, as JSON.
+std::string controller_config(const PlatformCase& platform_case, std::size_t process_number);
 
 }  // namespace plumkeel::scale
--- a/scale/platform_run.hpp
+++ b/scale/platform_run.hpp
@@ -1,5 +1,5 @@
-/// The real program: `plumkeel platform` processes, unchanged, beside stubs of discovery, of watchers and of invokers,
-/// all of which share this process. Everything stays on loopback.
+/// Measures `plumkeel platform` processes. Stubs of the clients, discovery, other watchers and invokers run in this
+/// process; all connections use the loopback interface.
 #pragma once
 
 #include <string>
@@ -14,17 +14,17 @@
     std::string program;  // the plumkeel binary
     std::size_t processes = 1;
     std::size_t invokers = 100;
-    std::size_t watchers = 0;  // stubs, beside the processes
+    std::size_t watchers = 0;  // stub watchers of discovery, in addition to the processes
     std::size_t functions = 250'000;
-    double exponent = 1.4;                 // of the functions' popularity
-    double requests_per_s = 103;           // to each process
-    Time idle = std::chrono::seconds(6);   // measured without requests
-    Time busy = std::chrono::seconds(12);  // and with them
-    std::size_t changes = 100;             // of the list, in one burst
+    double popularity_exponent = 1.4;      // exponent of the Zipf distribution of requests over functions
+    double requests_per_s = 103;           // requests per second to each process
+    Time idle = std::chrono::seconds(6);   // length of the measurement without requests
+    Time busy = std::chrono::seconds(12);  // length of the measurement with requests
+    std::size_t changes = 100;             // number of endpoint changes published in one burst
     std::uint64_t seed = 1;
 };
 
-/// Throws ResultsError where a process does not become ready or a port is taken.
+/// Throws ResultsError if a process does not become ready or a stub can't listen on its port.
 std::vector<Measurement> measure_platform(const PlatformCase& platform_case);
 
 }  // namespace plumkeel::scale
--- a/scale/platform_runner.hpp
+++ b/scale/platform_runner.hpp
@@ -1,4 +1,4 @@
-/// One run of a PlatformCase, phase by phase.
+/// Runs the phases of a PlatformCase: start, idle, busy, changes of the endpoint list, discovery outage, stop.
 #pragma once
 
 #include <filesystem>
@@ -23,7 +23,8 @@
     PlatformRunner(const PlatformRunner&) = delete;
     PlatformRunner& operator=(const PlatformRunner&) = delete;
 
-    /// Throws ResultsError.
+    /// Runs all phases and returns the measurements. Throws ResultsError if a process does not become ready or a stub
+    /// can't listen.
     std::vector<Measurement> run();
 
 private:
@@ -33,7 +34,7 @@
 
     net::Task<> run_phases();
     net::Task<> start_processes();
-    net::Task<bool> wait_until_ready(std::size_t number);
+    net::Task<bool> wait_until_ready(std::size_t process);
     net::Task<> measure_idle();
     net::Task<> measure_busy();
     net::Task<> send_requests(std::size_t process, net::Time until);
@@ -42,15 +43,15 @@
     net::Task<> measure_discovery_outage();
     net::Task<> stop_processes();
 
-    void add(std::string metric, const char* unit, double value);
+    void add_measurement(std::string metric, const char* unit, double value);
     void add_distribution(const std::string& metric, std::vector<double> values_ms);
-    void add_client_figures();
+    void add_client_measurements();
     ProcessUsage mean_usage() const;
     double mean_log_bytes() const;
     InvokerCounts invoker_counts() const;
-    double per_process(double all) const { return all / static_cast<double>(case_.processes); }
-    double all_watchers() const { return static_cast<double>(case_.processes + case_.watchers); }
-    std::string restarted_row(std::size_t invoker) const;
+    double per_process(double total) const { return total / static_cast<double>(case_.processes); }
+    double watcher_count() const { return static_cast<double>(case_.processes + case_.watchers); }
+    std::string restarted_invoker_row(std::size_t invoker) const;
     void handle_change(std::uint64_t event_number);
     net::Task<> wait_for_watchers(std::uint64_t event_number);
 
@@ -64,9 +65,9 @@
     std::vector<std::unique_ptr<ClientStub>> clients_;
     std::vector<std::unique_ptr<ControllerProcess>> controllers_;
     std::vector<Measurement> measurements_;
-    // Of the last change or burst.
+    // State of the wait for the watchers to receive the latest change.
     net::Time published_at_{};
-    std::uint64_t awaited_event_{};
+    std::uint64_t awaited_event_number_{};
     std::vector<double> watcher_delays_ms_;
     std::string error_;
 };
--- a/scale/popularity.hpp
+++ b/scale/popularity.hpp
@@ -1,4 +1,4 @@
-/// Which function a request is for: Zipf's law over a number of functions, rank k with weight 1 / k^exponent.
+/// Chooses the function of each request by a Zipf distribution: the function of rank k has the weight 1 / k^exponent.
 #pragma once
 
 #include <algorithm>
@@ -13,21 +13,21 @@
 class Popularity {
 public:
     Popularity(std::size_t functions, double exponent) {
-        double sum = 0;
-        cumulative_.reserve(functions);
+        double weight_sum = 0;
+        cumulative_weights_.reserve(functions);
         for (std::size_t rank = 1; rank <= functions; ++rank)
-            cumulative_.push_back(sum += std::pow(static_cast<double>(rank), -exponent));
+            cumulative_weights_.push_back(weight_sum += std::pow(static_cast<double>(rank), -exponent));
     }
 
-    /// A rank from 0, the most popular, up to the number of functions.
+    /// Returns the number of a function, from 0 (the most popular one) to the number of functions - 1.
     std::uint32_t sample(Pcg& random) const {
-        const double at = random.next() * cumulative_.back();
-        const auto found = std::upper_bound(cumulative_.begin(), cumulative_.end(), at);
-        return static_cast<std::uint32_t>(std::min(found, cumulative_.end() - 1) - cumulative_.begin());
+        const double weight_position = random.next() * cumulative_weights_.back();
+        const auto found = std::upper_bound(cumulative_weights_.begin(), cumulative_weights_.end(), weight_position);
+        return static_cast<std::uint32_t>(std::min(found, cumulative_weights_.end() - 1) - cumulative_weights_.begin());
     }
 
 private:
-    std::vector<double> cumulative_;
+    std::vector<double> cumulative_weights_;
 };
 
 }  // namespace plumkeel::scale
--- a/scale/processor_time.hpp
+++ b/scale/processor_time.hpp
@@ -1,4 +1,4 @@
-/// Processor time of the calling thread: unlike the wall clock it does not run while others have the core.
+/// Processor time of the calling thread. Unlike the wall clock, it stands still while other threads use the core.
 #pragma once
 
 #include <chrono>
--- a/scale/resource_needs.hpp
+++ b/scale/resource_needs.hpp
@@ -1,4 +1,4 @@
-/// What a case needs of the machine, estimated from above before it is run.
+/// Estimates upper bounds of the resources that a case needs, so that a case too large for the machine is not started.
 #pragma once
 
 #include <string>
@@ -8,19 +8,19 @@
 
 namespace plumkeel::scale {
 
-constexpr std::size_t max_processes = 200;  // of a platform run, beside this one
+constexpr std::size_t max_processes = 200;  // limit of controller processes in one platform run
 
 struct ResourceNeeds {
     std::size_t memory_bytes{};
     std::size_t processes{};
-    std::size_t descriptors{};  // of this process
+    std::size_t descriptors{};  // file descriptors of this process
 };
 ResourceNeeds resource_needs(const DecisionCase& decision_case);
 ResourceNeeds resource_needs(const ManyControllersCase& controllers_case);
 ResourceNeeds resource_needs(const PlatformCase& platform_case);
 
-/// Throws ConfigError where it needs more than half of the memory, or than the processes or descriptors that a run may
-/// have. `description` names the case.
+/// Throws ConfigError if `needs` exceed half of the machine's memory, max_processes, or the hard limit of file
+/// descriptors. `description` identifies the case in the message.
 void require_resources(const std::string& description, const ResourceNeeds& needs);
 
 }  // namespace plumkeel::scale
--- a/scale/results.hpp
+++ b/scale/results.hpp
@@ -1,5 +1,5 @@
-/// Results of scale runs: one measurement a row, as a CSV file that states its format, machine and commit, and that
-/// ends with the number of its rows, so that a truncated file is rejected.
+/// Reads and writes results of scale runs as CSV files with one measurement per row. A file begins with its format,
+/// machine and commit. It ends with its number of rows, so that a truncated file is rejected.
 #pragma once
 
 #include <stdexcept>
@@ -15,27 +15,28 @@
 
 struct Row {
     std::string experiment;  // "decisions", "platform", "controllers"
-    std::string series;      // what is the same over all sizes
-    std::string size_name;   // what `size` counts: "invokers", "functions", "watchers", "controllers"
+    std::string series;      // name of the case in the plan
+    std::string size_name;   // the field that varies: "invokers", "functions", "watchers", "controllers"
     double size{};
     int run{};
-    std::string metric;  // as is the next: "module_memory", "bytes"
-    std::string unit;
+    std::string metric;  // such as "module_memory"
+    std::string unit;    // such as "bytes"
     double value{};
 };
 
 struct ResultsFile {
-    std::string machine;  // processor and cores
+    std::string machine;  // processor model and number of cores
     std::string commit;
     std::vector<Row> rows;
 };
 
-/// Texts must hold no comma and no line end; throws ResultsError naming file and row where one does.
+/// Throws ResultsError if the file can't be written or a text in a row holds a comma or line break.
 void write_results(const std::string& file, const ResultsFile& results);
-/// Throws ResultsError for another format or version, a malformed row, and a truncated file.
+/// Throws ResultsError if the file can't be read, has another format or version, holds a malformed row, or is
+/// truncated.
 ResultsFile read_results(const std::string& file);
 
-/// Processor and number of cores of this machine, in one line.
+/// Returns the processor model and the number of cores of this machine in one line.
 std::string describe_machine();
 
 }  // namespace plumkeel::scale
--- a/scale/scheduler_host.cpp
+++ b/scale/scheduler_host.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time round_trip = 1ms;
+constexpr Time network_round_trip = 1ms;
 constexpr Time health_check_timeout = 250ms;
 
 SafetyRules safety_rules() {
@@ -35,10 +35,10 @@
     return out;
 }
 
-// Spread over all 64 bits, as real names are.
-std::string function_name(std::uint32_t number) {
-    constexpr std::uint64_t golden_ratio = 0x9e3779b97f4a7c15ULL;
-    return fmt::format("{:016x}", golden_ratio * (number + 1));
+// Returns a function name; names of consecutive numbers are distributed over all 64 bits.
+std::string function_name(std::uint32_t function_number) {
+    constexpr std::uint64_t hash_multiplier = 0x9e3779b97f4a7c15ULL;
+    return fmt::format("{:016x}", hash_multiplier * (function_number + 1));
 }
 
 }  // namespace
@@ -54,44 +54,45 @@
 }
 
 void SchedulerHost::reset_processor_times() {
-    counts_.processor = counts_.longest_call = {};
-    longest_ = {};
+    counts_.processor_time = counts_.longest_call = {};
+    longest_calls_ = {};
 }
 
 std::size_t SchedulerHost::open_connections() const {
-    const Time oldest = events_.now() - settings_.connection_idle;
-    return static_cast<std::size_t>(std::count_if(invokers_.begin(), invokers_.end(), [&](const auto& each) {
-        return each && each->connection_used_at && *each->connection_used_at >= oldest;
+    const Time oldest_use = events_.now() - settings_.connection_idle_timeout;
+    return static_cast<std::size_t>(std::count_if(invokers_.begin(), invokers_.end(), [&](const auto& hosted_invoker) {
+        return hosted_invoker && hosted_invoker->connection_used_at &&
+               *hosted_invoker->connection_used_at >= oldest_use;
     }));
 }
 
-SchedulerHost::HostedInvoker& SchedulerHost::invoker(std::size_t number) {
-    std::unique_ptr<HostedInvoker>& slot = invokers_[number];
-    if (slot) return *slot;
+SchedulerHost::HostedInvoker& SchedulerHost::invoker(std::size_t invoker_number) {
+    std::unique_ptr<HostedInvoker>& hosted_invoker = invokers_[invoker_number];
+    if (hosted_invoker) return *hosted_invoker;
     const SchedulerAllocationScope scope;
-    slot = std::make_unique<HostedInvoker>();
-    slot->number = number;
-    slot->name = fmt::format("s-{:08x}", number);
-    slot->zone = fmt::format("z{}", number % fleet_.shape().zones);
-    slot->type = &invoker_type_;
-    slot->ready = true;
-    slot->capacity = fleet_.shape().cores;
-    return *slot;
+    hosted_invoker = std::make_unique<HostedInvoker>();
+    hosted_invoker->number = invoker_number;
+    hosted_invoker->name = fmt::format("s-{:08x}", invoker_number);
+    hosted_invoker->zone = fmt::format("z{}", invoker_number % fleet_.shape().zones);
+    hosted_invoker->type = &invoker_type_;
+    hosted_invoker->ready = true;
+    hosted_invoker->capacity = fleet_.shape().cores_per_invoker;
+    return *hosted_invoker;
 }
 
-// ---------------------------------------------------------------- events
+// ---------------------------------------------------------------- events reported to the scheduler
 
 template <class Call>
 void SchedulerHost::call_scheduler(SchedulerCall kind, Call call) {
     std::optional<Actions> actions;
     {
         const SchedulerAllocationScope scope;
-        const auto before = processor_time();
+        const auto processor_before = processor_time();
         actions = call(*scheduler_, events_.now());
-        const auto duration = processor_time() - before;
-        counts_.processor += duration;
+        const auto duration = processor_time() - processor_before;
+        counts_.processor_time += duration;
         counts_.longest_call = std::max(counts_.longest_call, duration);
-        auto& longest_of_kind = longest_[static_cast<std::size_t>(kind)];
+        auto& longest_of_kind = longest_calls_[static_cast<std::size_t>(kind)];
         longest_of_kind = std::max(longest_of_kind, duration);
     }
     apply(*actions);
@@ -102,16 +103,16 @@
 SchedulerHost::HostedRequest& SchedulerHost::new_request(FunctionNumber function) {
     const SchedulerAllocationScope scope;
     const std::string name = function_name(function);
-    std::unique_ptr<Function>& known = functions_[name];
-    if (!known) known = std::make_unique<Function>();
-    known->name = name;
-    known->concurrency = 1;
-    std::unique_ptr<HostedRequest>& request = requests_[++last_id_];
+    std::unique_ptr<Function>& known_function = functions_[name];
+    if (!known_function) known_function = std::make_unique<Function>();
+    known_function->name = name;
+    known_function->concurrency = 1;
+    std::unique_ptr<HostedRequest>& request = requests_[++last_request_id_];
     request = std::make_unique<HostedRequest>();
-    request->id = last_id_;
+    request->id = last_request_id_;
     request->function_number = function;
     request->request_class = &request_class_;
-    request->function = known.get();
+    request->function = known_function.get();
     request->remaining = settings_.deadline;
     return *request;
 }
@@ -123,26 +124,28 @@
                    [&](Scheduler& scheduler, Time now) { return scheduler.submit(now, request); });
 }
 
-void SchedulerHost::set_invoker(std::size_t number, bool listed, bool ready, std::optional<Time> started,
+void SchedulerHost::set_invoker(std::size_t invoker_number, bool listed, bool ready, std::optional<Time> started,
                                 double relative_capacity) {
-    HostedInvoker& changed = invoker(number);
-    listed_[number] = listed;
-    changed.ready = ready && listed;
-    changed.started_at = started;
-    changed.capacity = relative_capacity * fleet_.shape().cores;
+    HostedInvoker& target = invoker(invoker_number);
+    listed_[invoker_number] = listed;
+    target.ready = ready && listed;
+    target.started_at = started;
+    target.capacity = relative_capacity * fleet_.shape().cores_per_invoker;
 }
 
 void SchedulerHost::announce_all() {
-    std::vector<Invoker*> all;
-    for (std::size_t number = 0; number < invokers_.size(); ++number)
-        if (listed_[number]) all.push_back(&invoker(number));
-    call_scheduler(SchedulerCall::endpoints_changed,
-                   [&](Scheduler& scheduler, Time now) { return scheduler.endpoints_changed(now, all, true); });
+    std::vector<Invoker*> listed_invokers;
+    for (std::size_t invoker_number = 0; invoker_number < invokers_.size(); ++invoker_number)
+        if (listed_[invoker_number]) listed_invokers.push_back(&invoker(invoker_number));
+    call_scheduler(SchedulerCall::endpoints_changed, [&](Scheduler& scheduler, Time now) {
+        return scheduler.endpoints_changed(now, listed_invokers, true);
+    });
 }
 
-void SchedulerHost::announce(const std::vector<std::size_t>& numbers) {
+void SchedulerHost::announce(const std::vector<std::size_t>& invoker_numbers) {
     std::vector<Invoker*> changed, removed;
-    for (const std::size_t number : numbers) (listed_[number] ? changed : removed).push_back(&invoker(number));
+    for (const std::size_t invoker_number : invoker_numbers)
+        (listed_[invoker_number] ? changed : removed).push_back(&invoker(invoker_number));
     if (!removed.empty())
         call_scheduler(SchedulerCall::endpoints_changed,
                        [&](Scheduler& scheduler, Time now) { return scheduler.endpoints_removed(now, removed); });
@@ -152,14 +155,14 @@
         });
 }
 
-// ---------------------------------------------------------------- actions
+// ---------------------------------------------------------------- actions requested by the scheduler
 
 void SchedulerHost::apply(const Actions& actions) {
     for (Attempt* attempt : actions.to_cancel) {
-        const std::uint64_t request = attempt->request->id;
-        const int number = attempt->number;
-        events_.at(events_.now(), [this, request, number] {
-            end_attempt(request, number, {{}, AttemptOutcome::cancelled, LoadEvent::none, 0});
+        const std::uint64_t request_id = attempt->request->id;
+        const int attempt_number = attempt->number;
+        events_.schedule_at(events_.now(), [this, request_id, attempt_number] {
+            end_attempt(request_id, attempt_number, {{}, AttemptOutcome::cancelled, LoadEvent::none, 0});
         });
     }
     for (Attempt* attempt : actions.to_send) send(*attempt);
@@ -177,18 +180,18 @@
 void SchedulerHost::schedule_wake(Time when) {
     if (when >= next_wake_) return;
     next_wake_ = when;
-    events_.at(when, [this, wake = ++last_wake_] {
-        if (wake != last_wake_) return;  // an earlier one was scheduled since
+    events_.schedule_at(when, [this, wake_id = ++last_wake_id_] {
+        if (wake_id != last_wake_id_) return;  // an earlier wake-up has replaced this one
         next_wake_ = Time::max();
         call_scheduler(SchedulerCall::wake, [](Scheduler& scheduler, Time now) { return scheduler.wake(now); });
     });
 }
 
-void SchedulerHost::use_connection(HostedInvoker& used) {
+void SchedulerHost::record_connection_use(HostedInvoker& target) {
     const Time now = events_.now();
-    if (!used.connection_used_at || now - *used.connection_used_at > settings_.connection_idle)
+    if (!target.connection_used_at || now - *target.connection_used_at > settings_.connection_idle_timeout)
         ++counts_.new_connections;
-    used.connection_used_at = now;
+    target.connection_used_at = now;
 }
 
 void SchedulerHost::send(Attempt& attempt) {
@@ -196,14 +199,15 @@
     auto& request = static_cast<HostedRequest&>(*attempt.request);
     ++counts_.attempts;
     ++counts_.attempts_by_invoker[target.number];
-    use_connection(target);
+    record_connection_use(target);
     const Reply reply = fleet_.attempt(events_.now(), target.number, request.function_number, attempt.timeout);
-    events_.at(events_.now() + reply.after + round_trip,
-               [this, id = request.id, attempt = attempt.number, function = request.function_number,
-                number = target.number, reply] {
-                   if (reply.outcome == AttemptOutcome::succeeded) fleet_.finished(events_.now(), number, function);
-                   end_attempt(id, attempt, reply);
-               });
+    events_.schedule_at(events_.now() + reply.delay + network_round_trip,
+                        [this, request_id = request.id, attempt_number = attempt.number,
+                         function = request.function_number, invoker_number = target.number, reply] {
+                            if (reply.outcome == AttemptOutcome::succeeded)
+                                fleet_.finished(events_.now(), invoker_number, function);
+                            end_attempt(request_id, attempt_number, reply);
+                        });
 }
 
 void SchedulerHost::count_reply(const Reply& reply) {
@@ -219,12 +223,12 @@
     counts_.latency_sum_s += std::chrono::duration<double>(latency).count();
 }
 
-void SchedulerHost::end_attempt(std::uint64_t id, int number, const Reply& reply) {
-    const auto found = requests_.find(id);
+void SchedulerHost::end_attempt(std::uint64_t request_id, int attempt_number, const Reply& reply) {
+    const auto found = requests_.find(request_id);
     if (found == requests_.end()) return;
     const HostedRequest& request = *found->second;
-    Attempt& attempt = found->second->attempts[static_cast<std::size_t>(number)];
-    if (!attempt.in_flight) return;  // cancelled meanwhile
+    Attempt& attempt = found->second->attempts[static_cast<std::size_t>(attempt_number)];
+    if (!attempt.in_flight) return;  // cancelled before this reply arrived
     count_reply(reply);
     const bool was_open = !request.is_completed();
     LoadReport report;
@@ -234,26 +238,27 @@
         return scheduler.attempt_ended(now, attempt, reply.outcome, reply.load_event, reply.concurrent_requests,
                                        report);
     });
-    const auto still = requests_.find(id);
-    if (still != requests_.end() && was_open && still->second->state == RequestState::succeeded) count_served(request);
-    erase_if_settled(id);
+    const auto found_after = requests_.find(request_id);
+    if (found_after != requests_.end() && was_open && found_after->second->state == RequestState::succeeded)
+        count_served(request);
+    erase_if_settled(request_id);
 }
 
-void SchedulerHost::erase_if_settled(std::uint64_t id) {
-    const auto found = requests_.find(id);
+void SchedulerHost::erase_if_settled(std::uint64_t request_id) {
+    const auto found = requests_.find(request_id);
     if (found != requests_.end() && found->second->is_settled()) requests_.erase(found);
 }
 
-void SchedulerHost::check_health(HostedInvoker& checked) {
+void SchedulerHost::check_health(HostedInvoker& target) {
     ++counts_.health_checks;
-    use_connection(checked);
-    const bool answered = fleet_.answers(checked.number);
-    const Time duration = answered ? round_trip : health_check_timeout;
-    events_.at(events_.now() + duration, [this, number = checked.number, answered] {
-        if (!invokers_[number]) return;
-        const LoadReport report = answered ? fleet_.report(number) : LoadReport{};
+    record_connection_use(target);
+    const bool answered = fleet_.answers(target.number);
+    const Time duration = answered ? network_round_trip : health_check_timeout;
+    events_.schedule_at(events_.now() + duration, [this, invoker_number = target.number, answered] {
+        if (!invokers_[invoker_number]) return;
+        const LoadReport report = answered ? fleet_.report(invoker_number) : LoadReport{};
         call_scheduler(SchedulerCall::health_check_ended, [&](Scheduler& scheduler, Time now) {
-            return scheduler.health_check_ended(now, *invokers_[number], answered, report);
+            return scheduler.health_check_ended(now, *invokers_[invoker_number], answered, report);
         });
     });
 }
--- a/scale/scheduler_host.hpp
+++ b/scale/scheduler_host.hpp
@@ -1,6 +1,5 @@
-/// Hosts one scheduler, unchanged, over a modelled fleet in virtual time: it carries out the scheduler's actions,
-/// reports what came of them, and counts. The counts are exact; processor times are those of the calls into the
-/// scheduler alone.
+/// Runs one scheduler over a modelled fleet in virtual time: performs the scheduler's actions, reports their results to
+/// it, and counts them. Processor times cover only the calls into the scheduler.
 #pragma once
 
 #include <array>
@@ -20,11 +19,11 @@
 namespace plumkeel::scale {
 
 struct HostSettings {
-    int controllers = 7100;  // that the scheduler assumes beside itself
+    int controllers = 7100;  // number of controllers that the scheduler assumes
     Time keep_alive = std::chrono::seconds(60);
     Time latency_target = std::chrono::milliseconds(1800);
     Time deadline = std::chrono::seconds(5);
-    Time connection_idle = std::chrono::seconds(15);  // after which an unused connection is closed
+    Time connection_idle_timeout = std::chrono::seconds(15);  // after which an unused connection is closed
     bool stable_capacity = true;
 };
 
@@ -32,11 +31,11 @@
     std::uint64_t requests{}, served{}, within_target{}, rejected{}, failed{};
     std::uint64_t attempts{}, health_checks{}, rejected_attempts{}, cold_starts{}, timed_out{}, new_connections{};
     std::vector<std::uint64_t> attempts_by_invoker;
-    std::chrono::nanoseconds processor{}, longest_call{};
-    double latency_sum_s{};  // of all served requests, from their submission to their answer
+    std::chrono::nanoseconds processor_time{}, longest_call{};
+    double latency_sum_s{};  // sum over served requests of the time from submission to response
 };
 
-/// The scheduler's entry points, to tell where its time goes.
+/// The scheduler's entry points, whose processor times are measured separately.
 enum class SchedulerCall { submit, attempt_ended, health_check_ended, endpoints_changed, wake, count_ };
 
 class SchedulerHost {
@@ -45,17 +44,19 @@
     SchedulerHost(EventQueue& events, ModelledFleet& fleet, const HostSettings& settings, std::uint64_t seed);
 
     void submit(FunctionNumber function);
-    /// Changes what the next announcement of an invoker says. One that is not `listed` is
-    /// announced as removed; one that is listed and not `ready` drains. `started`: when its process started anew.
-    void set_invoker(std::size_t number, bool listed, bool ready, std::optional<Time> started,
+    /// Sets the state of an invoker for its next announcement. An invoker that is not `listed` is announced as removed;
+    /// one that is listed but not `ready` drains. `started` is the time at which its process restarted, if it did.
+    void set_invoker(std::size_t invoker_number, bool listed, bool ready, std::optional<Time> started,
                      double relative_capacity = 1);
     void announce_all();
-    void announce(const std::vector<std::size_t>& numbers);
+    void announce(const std::vector<std::size_t>& invoker_numbers);
 
     const HostCounts& counts() const { return counts_; }
-    /// Processor times are measured anew from here.
+    /// Resets the total and the longest processor times to 0.
     void reset_processor_times();
-    std::chrono::nanoseconds longest(SchedulerCall call) const { return longest_[static_cast<std::size_t>(call)]; }
+    std::chrono::nanoseconds longest_call(SchedulerCall call) const {
+        return longest_calls_[static_cast<std::size_t>(call)];
+    }
     std::size_t known_functions() const { return functions_.size(); }
     std::size_t parked() const { return scheduler_->parked_count(); }
     std::size_t open_connections() const;
@@ -74,14 +75,14 @@
     void call_scheduler(SchedulerCall kind, Call call);
     void apply(const Actions& actions);
     void send(Attempt& attempt);
-    void end_attempt(std::uint64_t request, int number, const Reply& reply);
+    void end_attempt(std::uint64_t request_id, int attempt_number, const Reply& reply);
     void count_reply(const Reply& reply);
     void count_served(const HostedRequest& request);
     void check_health(HostedInvoker& invoker);
-    void use_connection(HostedInvoker& invoker);
-    void erase_if_settled(std::uint64_t request);
+    void record_connection_use(HostedInvoker& invoker);
+    void erase_if_settled(std::uint64_t request_id);
     void schedule_wake(Time when);
-    HostedInvoker& invoker(std::size_t number);
+    HostedInvoker& invoker(std::size_t invoker_number);
     HostedRequest& new_request(FunctionNumber function);
 
     EventQueue& events_;
@@ -89,14 +90,14 @@
     const HostSettings settings_;
     RequestClass request_class_;
     InvokerType invoker_type_;
-    std::vector<std::unique_ptr<HostedInvoker>> invokers_;  // null: not announced, or released by the scheduler
-    std::vector<bool> listed_;
+    std::vector<std::unique_ptr<HostedInvoker>> invokers_;  // by invoker number; null if unknown to the scheduler
+    std::vector<bool> listed_;                              // by invoker number: whether announcements include it
     std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
     std::unordered_map<std::uint64_t, std::unique_ptr<HostedRequest>> requests_;
     std::unique_ptr<Scheduler> scheduler_;
     HostCounts counts_;
-    std::array<std::chrono::nanoseconds, static_cast<std::size_t>(SchedulerCall::count_)> longest_{};
-    std::uint64_t last_id_{}, last_wake_{};
+    std::array<std::chrono::nanoseconds, static_cast<std::size_t>(SchedulerCall::count_)> longest_calls_{};
+    std::uint64_t last_request_id_{}, last_wake_id_{};
     Time next_wake_ = Time::max();
 };
 
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -36,12 +36,12 @@
 }
 
 double residual(const Points& points, const Line& line) {
-    double sum = 0;
+    double sum_of_squares = 0;
     for (std::size_t i = 0; i < points.sizes.size(); ++i) {
         const double deviation = points.values[i] - line.intercept - line.slope * points.sizes[i];
-        sum += deviation * deviation;
+        sum_of_squares += deviation * deviation;
     }
-    return std::sqrt(sum / static_cast<double>(points.sizes.size()));
+    return std::sqrt(sum_of_squares / static_cast<double>(points.sizes.size()));
 }
 
 double median_at(const Points& points, double size) {
@@ -53,7 +53,7 @@
     return values.size() % 2 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
 }
 
-std::optional<double> growth_exponent(const Points& points) {
+std::optional<double> fit_growth_exponent(const Points& points) {
     Points logarithms;
     for (std::size_t i = 0; i < points.sizes.size(); ++i) {
         if (points.sizes[i] <= 0 || points.values[i] <= 0) return std::nullopt;
@@ -62,34 +62,34 @@
     return fit_line(logarithms).slope;
 }
 
-// The rows of one metric of one series.
+// Computes the slope of `rows`, which are all rows of one metric of one series.
 Slope compute_slope(const std::vector<const Row*>& rows) {
-    Points all;
-    std::map<int, Points> by_run;
+    Points all_points;
+    std::map<int, Points> points_by_run;
     for (const Row* row : rows) {
-        all.add(row->size, row->value);
-        by_run[row->run].add(row->size, row->value);
+        all_points.add(row->size, row->value);
+        points_by_run[row->run].add(row->size, row->value);
     }
     const Row& first = *rows.front();
     Slope out{first.experiment, first.series, first.size_name, first.metric, first.unit};
-    const auto [smallest, largest] = std::minmax_element(all.sizes.begin(), all.sizes.end());
-    out.smallest = *smallest;
-    out.largest = *largest;
-    out.at_smallest = median_at(all, out.smallest);
-    out.at_largest = median_at(all, out.largest);
-    const Line line = fit_line(all);
+    const auto [smallest, largest] = std::minmax_element(all_points.sizes.begin(), all_points.sizes.end());
+    out.smallest_size = *smallest;
+    out.largest_size = *largest;
+    out.median_at_smallest = median_at(all_points, out.smallest_size);
+    out.median_at_largest = median_at(all_points, out.largest_size);
+    const Line line = fit_line(all_points);
     out.intercept = line.intercept;
-    out.slope = out.slope_min = out.slope_max = line.slope;
-    out.r_squared = std::isfinite(line.r_squared) ? line.r_squared : 1;  // not defined where nothing varies
-    out.residual = residual(all, line);
-    out.exponent = growth_exponent(all);
-    out.runs = static_cast<int>(by_run.size());
+    out.slope = out.min_run_slope = out.max_run_slope = line.slope;
+    out.r_squared = std::isfinite(line.r_squared) ? line.r_squared : 1;  // undefined if all values are equal
+    out.residual = residual(all_points, line);
+    out.growth_exponent = fit_growth_exponent(all_points);
+    out.runs = static_cast<int>(points_by_run.size());
     std::vector<double> slopes;
-    for (const auto& [run, points] : by_run)
+    for (const auto& [run, points] : points_by_run)
         if (has_several_sizes(points)) slopes.push_back(fit_line(points).slope);
     if (!slopes.empty()) {
-        out.slope_min = *std::min_element(slopes.begin(), slopes.end());
-        out.slope_max = *std::max_element(slopes.begin(), slopes.end());
+        out.min_run_slope = *std::min_element(slopes.begin(), slopes.end());
+        out.max_run_slope = *std::max_element(slopes.begin(), slopes.end());
     }
     return out;
 }
@@ -98,12 +98,12 @@
 
 std::vector<Slope> compute_slopes(const std::vector<Row>& rows) {
     std::vector<std::vector<const Row*>> groups;
-    std::map<std::vector<std::string>, std::size_t> group_places;
+    std::map<std::vector<std::string>, std::size_t> group_indices;
     for (const Row& row : rows) {
-        const auto [place, inserted] =
-            group_places.try_emplace({row.experiment, row.series, row.size_name, row.metric}, groups.size());
+        const auto [group_entry, inserted] =
+            group_indices.try_emplace({row.experiment, row.series, row.size_name, row.metric}, groups.size());
         if (inserted) groups.emplace_back();
-        groups[place->second].push_back(&row);
+        groups[group_entry->second].push_back(&row);
     }
     std::vector<Slope> out;
     for (const auto& group : groups) {
@@ -121,12 +121,13 @@
            "r_squared,exponent,runs\n";
     for (const Slope& slope : slopes)
         out << fmt::format("{},{},{},{},{},{:g},{:g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.6g},{:.4f},{},{}\n",
-                           slope.experiment, slope.series, slope.size_name, slope.metric, slope.unit, slope.smallest,
-                           slope.largest, slope.at_smallest, slope.at_largest, slope.intercept, slope.slope,
-                           slope.slope_min, slope.slope_max, slope.residual, slope.r_squared,
-                           slope.exponent ? fmt::format("{:.2f}", *slope.exponent) : "", slope.runs);
+                           slope.experiment, slope.series, slope.size_name, slope.metric, slope.unit,
+                           slope.smallest_size, slope.largest_size, slope.median_at_smallest, slope.median_at_largest,
+                           slope.intercept, slope.slope, slope.min_run_slope, slope.max_run_slope, slope.residual,
+                           slope.r_squared, slope.growth_exponent ? fmt::format("{:.2f}", *slope.growth_exponent) : "",
+                           slope.runs);
     out.flush();
-    if (!out) throw ResultsError(file + ": cannot be written");
+    if (!out) throw ResultsError(file + ": the file of slopes can't be written");
 }
 
 }  // namespace plumkeel::scale
--- a/scale/stub_bytes.hpp
+++ b/scale/stub_bytes.hpp
@@ -1,4 +1,4 @@
-/// Reading of big-endian numbers, for the stubs of peers.
+/// Decodes big-endian numbers for the stubs of clients, discovery and watchers.
 #pragma once
 
 #include <cstdint>
@@ -6,13 +6,13 @@
 
 namespace plumkeel::scale {
 
-inline std::uint64_t big_endian_at(std::string_view bytes, std::size_t offset, std::size_t count) {
+inline std::uint64_t big_endian_at(std::string_view bytes, std::size_t offset, std::size_t byte_count) {
     std::uint64_t value = 0;
-    for (std::size_t i = 0; i < count; ++i) value = value << 8 | static_cast<unsigned char>(bytes[offset + i]);
+    for (std::size_t i = 0; i < byte_count; ++i) value = value << 8 | static_cast<unsigned char>(bytes[offset + i]);
     return value;
 }
 
-// Of discovery's frames: length, event number, kind, payload.
-constexpr std::size_t frame_length_size = 4, frame_number_size = 8;
+// A discovery frame consists of a length, an event number, a kind and a payload. These are field sizes in bytes.
+constexpr std::size_t frame_length_bytes = 4, frame_event_number_bytes = 8;
 
 }  // namespace plumkeel::scale
--- a/scale/watcher_stub.cpp
+++ b/scale/watcher_stub.cpp
@@ -13,13 +13,13 @@
 using namespace std::chrono_literals;
 
 constexpr net::Time connect_timeout = 1s;
-constexpr double first_backoff_s = 0.05, longest_backoff_s = 0.8;  // as the program's own
-constexpr int most_doublings = 6;
+constexpr double initial_backoff_s = 0.05, max_backoff_s = 0.8;  // the same as in `plumkeel platform`
+constexpr int max_backoff_doublings = 6;
 
 net::Time backoff(int failures, Pcg& random) {
-    const double doubled_s = first_backoff_s * (1 << std::min(failures, most_doublings));
-    const double seconds = std::min(longest_backoff_s, doubled_s) * (0.5 + random.next());
-    return net::Time(static_cast<net::Time::rep>(seconds * 1e6));
+    const double doubled_s = initial_backoff_s * (1 << std::min(failures, max_backoff_doublings));
+    const double backoff_s = std::min(max_backoff_s, doubled_s) * (0.5 + random.next());
+    return net::Time(static_cast<net::Time::rep>(backoff_s * 1e6));
 }
 
 }  // namespace
@@ -35,9 +35,9 @@
     for (int failures = 0;; ++failures) {
         auto [error, stream] = co_await loop_.connect(discovery_, connect_timeout);
         if (!error) {
-            const std::string known_event = bytes::big(last_event_, frame_number_size);
-            const auto request = net::asio::const_buffer(known_event.data(), known_event.size());
-            stream->write_now({&request, 1});
+            const std::string known_event_bytes = bytes::big(last_event_number_, frame_event_number_bytes);
+            const auto request_buffer = net::asio::const_buffer(known_event_bytes.data(), known_event_bytes.size());
+            stream->write_now({&request_buffer, 1});
             failures = 0;
             co_await read_frames(stream);
         }
@@ -58,13 +58,13 @@
 }
 
 void WatcherStub::handle_frames(std::string& buffer) {
-    while (buffer.size() >= frame_length_size) {
-        const std::size_t length = big_endian_at(buffer, 0, frame_length_size);
-        if (buffer.size() < frame_length_size + length) return;
-        const bool is_change = buffer[frame_length_size + frame_number_size] != 0;
-        last_event_ = big_endian_at(buffer, frame_length_size, frame_number_size);
-        buffer.erase(0, frame_length_size + length);
-        if (is_change) on_change_(last_event_);
+    while (buffer.size() >= frame_length_bytes) {
+        const std::size_t frame_body_bytes = big_endian_at(buffer, 0, frame_length_bytes);
+        if (buffer.size() < frame_length_bytes + frame_body_bytes) return;
+        const bool is_change = buffer[frame_length_bytes + frame_event_number_bytes] != 0;
+        last_event_number_ = big_endian_at(buffer, frame_length_bytes, frame_event_number_bytes);
+        buffer.erase(0, frame_length_bytes + frame_body_bytes);
+        if (is_change) on_change_(last_event_number_);
     }
 }
 
--- a/scale/watcher_stub.hpp
+++ b/scale/watcher_stub.hpp
@@ -1,4 +1,4 @@
-/// A watcher of discovery that reconnects as the real program does, without a controller behind it.
+/// A discovery watcher without a controller. It reconnects with the same backoff as `plumkeel platform`.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 
 class WatcherStub {
 public:
-    /// `on_change` is called with each change's event number. `loop` must outlive this, and this the loop's run.
+    /// Calls `on_change` with the event number of each change. `loop` must outlive this object, which must live until
+    /// the loop has stopped running.
     WatcherStub(net::EventLoop& loop, net::Address discovery, std::uint64_t seed,
                 std::function<void(std::uint64_t)> on_change);
 
@@ -24,7 +25,7 @@
     const net::Address discovery_;
     const std::function<void(std::uint64_t)> on_change_;
     const std::uint64_t seed_;
-    std::uint64_t last_event_ = 1;
+    std::uint64_t last_event_number_ = 1;
 };
 
 }  // namespace plumkeel::scale
