--- a/benchmarks/child_process.cpp
+++ b/benchmarks/child_process.cpp
@@ -12,13 +12,13 @@
 namespace plumkeel::benchmarks {
 namespace {
 
-constexpr int stat_fields_before_times = 13;  // see proc(5)
+constexpr int stat_fields_before_utime = 13;  // of /proc/PID/stat, before utime and stime; see proc(5)
 
-void pin_to(int core) {
-    cpu_set_t set;
-    CPU_ZERO(&set);
-    CPU_SET(core % static_cast<int>(std::max(1L, sysconf(_SC_NPROCESSORS_ONLN))), &set);
-    sched_setaffinity(0, sizeof set, &set);
+void pin_to_core(int core) {
+    cpu_set_t cores;
+    CPU_ZERO(&cores);
+    CPU_SET(core % static_cast<int>(std::max(1L, sysconf(_SC_NPROCESSORS_ONLN))), &cores);
+    sched_setaffinity(0, sizeof cores, &cores);
 }
 
 std::ifstream process_file(pid_t pid, const char* name) {
@@ -29,7 +29,7 @@
 
 ChildProcess::ChildProcess(int core, const std::function<void()>& work) : pid_(fork()) {
     if (pid_ != 0) return;
-    pin_to(core);
+    pin_to_core(core);
     work();
     _exit(0);
 }
@@ -40,19 +40,19 @@
 }
 
 double ChildProcess::resident_kb() const {
-    std::ifstream memory = process_file(pid_, "statm");
-    double size = 0, resident = 0;
-    memory >> size >> resident;
-    return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1024;
+    std::ifstream statm = process_file(pid_, "statm");
+    double total_pages = 0, resident_pages = 0;
+    statm >> total_pages >> resident_pages;
+    return resident_pages * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1024;
 }
 
 double ChildProcess::processor_s() const {
-    std::ifstream status = process_file(pid_, "stat");
-    std::string skipped;
-    double user = 0, system = 0;
-    for (int i = 0; i < stat_fields_before_times; ++i) status >> skipped;
-    status >> user >> system;
-    return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
+    std::ifstream stat = process_file(pid_, "stat");
+    std::string skipped_field;
+    double user_ticks = 0, system_ticks = 0;
+    for (int i = 0; i < stat_fields_before_utime; ++i) stat >> skipped_field;
+    stat >> user_ticks >> system_ticks;
+    return (user_ticks + system_ticks) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
 }  // namespace plumkeel::benchmarks
--- a/benchmarks/child_process.hpp
+++ b/benchmarks/child_process.hpp
@@ -1,4 +1,4 @@
-/// A forked process on one core, and what it uses of the machine.
+/// Runs a function in a forked process that is pinned to one core, and measures its memory and processor time.
 #pragma once
 
 #include <sys/types.h>
@@ -7,7 +7,7 @@
 
 namespace plumkeel::benchmarks {
 
-/// Killed with this object.
+/// The destructor kills the process.
 class ChildProcess {
 public:
     ChildProcess(int core, const std::function<void()>& work);
@@ -15,7 +15,7 @@
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
     double resident_kb() const;
-    double processor_s() const;  // of all its threads
+    double processor_s() const;  // user and system time of all threads
 
 private:
     pid_t pid_;
--- a/benchmarks/gateway_cost.cpp
+++ b/benchmarks/gateway_cost.cpp
@@ -1,8 +1,7 @@
-/// plumkeel-cost: what the gateway costs beside a bare pass-through of bytes on the same src/net code, in one run:
-/// requests a second on one core, added latency, and the memory of an open and of a parked request. The two are
-/// measured in turn.
+/// plumkeel-cost: compares the gateway with a proxy that only copies bytes and uses the same src/net code. Measures
+/// requests per second on one core, added latency, and the memory of open and parked requests.
 ///
-/// Each part is a process of its own: the subject on one core, the answering invoker and the clients on others.
+/// The gateway or proxy, the invoker and the clients each run in their own process on their own core.
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -22,27 +21,27 @@
 using net::Time;
 
 constexpr int subject_core = 1, invoker_core = 2, client_core = 3;
-constexpr useconds_t start_time_us = 300'000;
-constexpr int open_requests = 1000;
+constexpr useconds_t start_delay_us = 300'000;
+constexpr int open_request_count = 1000;
 
 struct Options {
     int rounds = 5, connections = 64;
-    double seconds = 3;  // of a measurement
+    double seconds = 3;  // duration of each measurement
     RecordingOptions recording;
-    int external_port = 0;  // of a gateway that runs already
+    int running_gateway_port = 0;  // port of a gateway that is already running; 0 if none
 
-    Time length() const { return Time(static_cast<Time::rep>(seconds * 1e6)); }
+    Time duration() const { return Time(static_cast<Time::rep>(seconds * 1e6)); }
 };
 
 enum class Subject { pass_through, gateway };
 
 struct Figures {
     LoadFigures load;
-    double processor_us{};  // a request
+    double processor_us{};  // processor time per request
 };
 
-// What is buffered would be printed by each forked process too.
-void flush() {
+// Flushes stdout; otherwise forked processes would print its buffered contents again.
+void flush_stdout() {
     std::fflush(stdout);
 }
 
@@ -51,13 +50,13 @@
     return values[values.size() / 2];
 }
 
-// The clients write their figures into a pipe.
-LoadFigures load_in_child(std::uint16_t port, int connections, Time length) {
+// Runs the clients in a child process, which returns its figures through a pipe.
+LoadFigures run_clients_in_child(std::uint16_t port, int connections, Time duration) {
     LoadFigures figures;
     int pipe_ends[2];
     if (pipe(pipe_ends)) return figures;
     const ChildProcess clients(client_core, [&] {
-        const LoadFigures measured = run_closed_loop(port, connections, length);
+        const LoadFigures measured = run_closed_loop(port, connections, duration);
         [[maybe_unused]] const auto written = ::write(pipe_ends[1], &measured, sizeof measured);
     });
     if (::read(pipe_ends[0], &figures, sizeof figures) != sizeof figures) figures = {};
@@ -66,118 +65,121 @@
     return figures;
 }
 
-Figures measure(Subject subject, int connections, Time length, const RecordingOptions& recording = {}) {
+Figures measure(Subject subject, int connections, Time duration, const RecordingOptions& recording = {}) {
     const bool is_gateway = subject == Subject::gateway;
     const ChildProcess invoker(invoker_core, [] { run_invoker(true); });
-    const ChildProcess process(subject_core, [&] { is_gateway ? run_gateway(true, recording) : run_pass_through(); });
-    usleep(start_time_us);
+    const ChildProcess subject_process(subject_core,
+                                       [&] { is_gateway ? run_gateway(true, recording) : run_pass_through(); });
+    usleep(start_delay_us);
     Figures figures;
-    figures.load = load_in_child(is_gateway ? gateway_port : pass_through_port, connections, length);
-    if (figures.load.requests > 0) figures.processor_us = process.processor_s() * 1e6 / figures.load.requests;
+    figures.load = run_clients_in_child(is_gateway ? gateway_port : pass_through_port, connections, duration);
+    if (figures.load.requests > 0) figures.processor_us = subject_process.processor_s() * 1e6 / figures.load.requests;
     return figures;
 }
 
-double kb_an_open_request(bool with_invoker) {
+double kb_per_open_request(bool with_invoker) {
     const ChildProcess invoker(invoker_core, [] { run_invoker(false); });
     const ChildProcess gateway(subject_core, [&] { run_gateway(with_invoker); });
-    usleep(start_time_us);
+    usleep(start_delay_us);
     double before_kb = 0, after_kb = 0;
     OpenRequests requests;
     requests.run(
-        gateway_port, open_requests, [&] { before_kb = gateway.resident_kb(); },
+        gateway_port, open_request_count, [&] { before_kb = gateway.resident_kb(); },
         [&] { after_kb = gateway.resident_kb(); });
     return (after_kb - before_kb) / static_cast<double>(requests.count());
 }
 
-// For profiles of a gateway that was started by hand.
-void load_external(const Options& options) {
+// Loads a gateway that was started separately, for example under a profiler.
+void load_running_gateway(const Options& options) {
     const ChildProcess invoker(invoker_core, [] { run_invoker(true); });
-    usleep(start_time_us);
-    const auto port = static_cast<std::uint16_t>(options.external_port);
-    const LoadFigures figures = run_closed_loop(port, options.connections, options.length());
+    usleep(start_delay_us);
+    const auto port = static_cast<std::uint16_t>(options.running_gateway_port);
+    const LoadFigures figures = run_closed_loop(port, options.connections, options.duration());
     fmt::print("{:.0f} requests/s, median {:.0f} us\n", figures.requests_per_s, figures.median_us);
 }
 
-void print(const char* name, const Figures& figures) {
-    fmt::print("{} {:.0f} requests/s (median {:.0f} us, p99 {:.0f}; {:.1f} us of core a request); ", name,
+void print_figures(const char* name, const Figures& figures) {
+    fmt::print("{} {:.0f} requests/s (median {:.0f} us, p99 {:.0f}; {:.1f} us of processor time per request); ", name,
                figures.load.requests_per_s, figures.load.median_us, figures.load.p99_us, figures.processor_us);
 }
 
 void compare_recorder(const Options& options) {
-    std::vector<double> throughputs, processor_times;
+    std::vector<double> throughput_ratios, processor_time_ratios;
     for (int round = 1; round <= options.rounds; ++round) {
-        const Figures without = measure(Subject::gateway, options.connections, options.length()),
-                      with = measure(Subject::gateway, options.connections, options.length(), options.recording);
-        throughputs.push_back(with.load.requests_per_s / without.load.requests_per_s);
-        processor_times.push_back(with.processor_us / without.processor_us);
+        const Figures without = measure(Subject::gateway, options.connections, options.duration()),
+                      with = measure(Subject::gateway, options.connections, options.duration(), options.recording);
+        throughput_ratios.push_back(with.load.requests_per_s / without.load.requests_per_s);
+        processor_time_ratios.push_back(with.processor_us / without.processor_us);
         fmt::print("round {}: ", round);
-        print("without", without);
-        print("with", with);
-        fmt::print("ratio {:.2f}\n", throughputs.back());
-        flush();
+        print_figures("without", without);
+        print_figures("with", with);
+        fmt::print("ratio {:.2f}\n", throughput_ratios.back());
+        flush_stdout();
     }
-    fmt::print("with the recorder: throughput median {:.2f}, core time (both threads) median {:.2f} of without\n",
-               median(throughputs), median(processor_times));
+    fmt::print("with / without the recorder, medians: throughput {:.2f}, processor time of all threads {:.2f}\n",
+               median(throughput_ratios), median(processor_time_ratios));
 }
 
 void compare_throughput(const Options& options) {
-    std::vector<double> throughputs, processor_times;
+    std::vector<double> throughput_ratios, processor_time_ratios;
     for (int round = 1; round <= options.rounds; ++round) {
-        const Figures bare = measure(Subject::pass_through, options.connections, options.length()),
-                      gateway = measure(Subject::gateway, options.connections, options.length());
-        throughputs.push_back(gateway.load.requests_per_s / bare.load.requests_per_s);
-        processor_times.push_back(gateway.processor_us / bare.processor_us);
+        const Figures pass_through = measure(Subject::pass_through, options.connections, options.duration()),
+                      gateway = measure(Subject::gateway, options.connections, options.duration());
+        throughput_ratios.push_back(gateway.load.requests_per_s / pass_through.load.requests_per_s);
+        processor_time_ratios.push_back(gateway.processor_us / pass_through.processor_us);
         fmt::print("round {}: ", round);
-        print("pass-through", bare);
-        print("gateway", gateway);
-        fmt::print("ratio {:.2f}\n", throughputs.back());
-        flush();
+        print_figures("pass-through", pass_through);
+        print_figures("gateway", gateway);
+        fmt::print("ratio {:.2f}\n", throughput_ratios.back());
+        flush_stdout();
     }
-    const auto [least, most] = std::minmax_element(throughputs.begin(), throughputs.end());
-    fmt::print("gateway's core time a request, times the pass-through's: median {:.2f}\n", median(processor_times));
-    fmt::print("gateway's throughput, of the pass-through's: median {:.2f}, from {:.2f} to {:.2f}\n",
-               median(throughputs), *least, *most);
-    flush();
+    const auto [min_ratio, max_ratio] = std::minmax_element(throughput_ratios.begin(), throughput_ratios.end());
+    fmt::print("processor time per request, gateway / pass-through: median {:.2f}\n", median(processor_time_ratios));
+    fmt::print("throughput, gateway / pass-through: median {:.2f}, from {:.2f} to {:.2f}\n", median(throughput_ratios),
+               *min_ratio, *max_ratio);
+    flush_stdout();
 }
 
 void compare_latency(const Options& options) {
-    const LoadFigures bare = measure(Subject::pass_through, 1, options.length()).load,
-                      gateway = measure(Subject::gateway, 1, options.length()).load;
+    const LoadFigures pass_through = measure(Subject::pass_through, 1, options.duration()).load,
+                      gateway = measure(Subject::gateway, 1, options.duration()).load;
     fmt::print(
-        "one client: pass-through median {:.0f} us, p99 {:.0f}; gateway median {:.0f} us, p99 {:.0f}; added {:.0f} and "
-        "{:.0f}\n",
-        bare.median_us, bare.p99_us, gateway.median_us, gateway.p99_us, gateway.median_us - bare.median_us,
-        gateway.p99_us - bare.p99_us);
-    flush();
+        "one client: pass-through median {:.0f} us, p99 {:.0f} us; gateway median {:.0f} us, p99 {:.0f} us; added "
+        "median "
+        "{:.0f} us, p99 {:.0f} us\n",
+        pass_through.median_us, pass_through.p99_us, gateway.median_us, gateway.p99_us,
+        gateway.median_us - pass_through.median_us, gateway.p99_us - pass_through.p99_us);
+    flush_stdout();
 }
 
 void measure_memory() {
-    const double open_kb = kb_an_open_request(true), parked_kb = kb_an_open_request(false);
+    const double open_kb = kb_per_open_request(true), parked_kb = kb_per_open_request(false);
     fmt::print(
-        "memory: an open request {:.1f} KB with its connection to the invoker, a parked one {:.1f} KB (beside its "
-        "client's connection)\n",
+        "memory: {:.1f} KB per open request, including its connection to the invoker; {:.1f} KB per parked request; "
+        "both "
+        "without the connection to the client\n",
         open_kb, parked_kb);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("what the gateway costs beside a bare pass-through");
+    CLI::App app("compares the gateway with a proxy that only copies bytes");
     Options options;
     app.add_option("--rounds", options.rounds)->capture_default_str();
     app.add_option("--connections", options.connections)->capture_default_str();
-    app.add_option("--seconds", options.seconds, "a measurement")->capture_default_str();
-    app.add_flag("--reasons", options.recording.record_candidates,
-                 "recorded with the invokers considered for each request");
-    app.add_option("--stall", options.recording.stall_s, "seconds for which the recorder's disk stalls");
-    app.add_option("--sample", options.recording.sample_ratio, "share of the requests that is recorded");
+    app.add_option("--seconds", options.seconds, "duration of each measurement")->capture_default_str();
+    app.add_flag("--reasons", options.recording.record_candidates, "record the invokers considered for each request");
+    app.add_option("--stall", options.recording.stall_s,
+                   "duration in seconds of a simulated stall of the recorder's disk");
+    app.add_option("--sample", options.recording.sample_ratio, "fraction of requests to record");
     app.add_option("--recorder", options.recording.folder,
-                   "a folder for traces: measure the gateway with its recorder against without");
-    app.add_option("--against", options.external_port,
-                   "load this gateway's port only, with an answering invoker on 17501: for profiles");
+                   "folder for traces: compare the gateway with and without its recorder");
+    app.add_option("--against", options.running_gateway_port,
+                   "only load a running gateway on this port, with an invoker on port 17501");
     CLI11_PARSE(app, argc, argv);
-    if (options.external_port) {
-        load_external(options);
+    if (options.running_gateway_port) {
+        load_running_gateway(options);
     } else if (!options.recording.folder.empty()) {
         compare_recorder(options);
     } else {
--- a/benchmarks/gateway_load.hpp
+++ b/benchmarks/gateway_load.hpp
@@ -1,4 +1,4 @@
-/// Clients of the gateway's benchmark.
+/// Clients that load the gateway or the pass-through proxy in a benchmark.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 struct LoadFigures {
     double requests_per_s{}, median_us{}, p99_us{};
-    double requests{};  // of the whole run
+    double requests{};  // estimate for the whole run, including its first quarter
 };
 
-/// Sends on kept connections, each request behind the answer to the one before; all but the run's first quarter counts.
-LoadFigures run_closed_loop(std::uint16_t port, int connections, net::Time length);
+/// Sends requests on persistent connections. Each connection sends its next request after the previous response. The
+/// figures leave out the first quarter of the run.
+LoadFigures run_closed_loop(std::uint16_t port, int connections, net::Time duration);
 
-/// Requests that stay open, each on a connection of its own.
+/// Opens connections with one unanswered request on each.
 class OpenRequests {
 public:
-    /// `on_connected` is called when all connections are up and `on_sent` when all requests have arrived.
+    /// Calls `on_connected` when all connections are open, and `on_sent` after the requests have had time to arrive.
     void run(std::uint16_t port, int count, const std::function<void()>& on_connected,
              const std::function<void()>& on_sent);
     std::size_t count() const { return streams_.size(); }
--- a/benchmarks/gateway_peers.cpp
+++ b/benchmarks/gateway_peers.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using net::Task;
 
-constexpr std::size_t chunk_size = 16 * 1024, queued_bytes = 64 * 1024;
+constexpr std::size_t chunk_bytes = 16 * 1024, max_queued_bytes = 64 * 1024;
 constexpr std::string_view invoker_response =
     "HTTP/1.1 200 OK\r\nplumkeel-note: stood-loaded\r\nplumkeel-company: 0\r\n"
     "endpoint-load-metrics: TEXT named_metrics.inflight=1\r\nContent-Length: 2\r\n\r\nok";
@@ -35,24 +35,24 @@
     }
 }
 
-Task<> pump(net::EventLoop& loop, std::shared_ptr<net::Stream> from, std::shared_ptr<net::Stream> to) {
+Task<> copy_stream(net::EventLoop& loop, std::shared_ptr<net::Stream> from, std::shared_ptr<net::Stream> to) {
     const auto write_queue = std::make_shared<net::WriteQueue>(loop, to);
-    std::vector<char> chunk(chunk_size);
+    std::vector<char> chunk(chunk_bytes);
     for (;;) {
         const net::TransferResult read = co_await from->read(net::asio::buffer(chunk));
         if (read.error) break;
         write_queue->send(std::string(chunk.data(), read.bytes));
-        co_await write_queue->wait_below(queued_bytes);
+        co_await write_queue->wait_below(max_queued_bytes);
     }
     to->close();
 }
 
-Task<> pass_through(net::EventLoop& loop, std::shared_ptr<net::Stream> client) {
+Task<> pass_through_client(net::EventLoop& loop, std::shared_ptr<net::Stream> client) {
     const net::Address invoker{"127.0.0.1", invoker_port};
     auto connected = co_await loop.connect(invoker, 1s);
     if (connected.error) co_return;
-    loop.spawn(pump(loop, client, connected.stream));
-    loop.spawn(pump(loop, connected.stream, client));
+    loop.spawn(copy_stream(loop, client, connected.stream));
+    loop.spawn(copy_stream(loop, connected.stream, client));
 }
 
 template <class Serve>
@@ -72,8 +72,8 @@
 }  // namespace
 
 void write(net::Stream& stream, std::string_view text) {
-    const net::asio::const_buffer whole = net::asio::buffer(text.data(), text.size());
-    stream.write_now({&whole, 1});
+    const net::asio::const_buffer buffer = net::asio::buffer(text.data(), text.size());
+    stream.write_now({&buffer, 1});
 }
 
 void run_invoker(bool answers) {
@@ -85,7 +85,7 @@
 void run_pass_through() {
     net::SocketEventLoop loop;
     run_server(loop, pass_through_port,
-               [&loop](std::shared_ptr<net::Stream> client) { return pass_through(loop, client); });
+               [&loop](std::shared_ptr<net::Stream> client) { return pass_through_client(loop, client); });
 }
 
 }  // namespace plumkeel::benchmarks
--- a/benchmarks/gateway_peers.hpp
+++ b/benchmarks/gateway_peers.hpp
@@ -1,5 +1,5 @@
-/// What stands beside the gateway in its benchmark: an invoker that answers at once, and a bare pass-through of bytes
-/// as the baseline. Each runs in a process of its own until it is killed.
+/// The other processes of the gateway's benchmark: an invoker that answers immediately, and a proxy that passes bytes
+/// through, which is the baseline for the gateway.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,12 @@
 
 constexpr std::uint16_t invoker_port = 17501, gateway_port = 17502, pass_through_port = 17503;
 
-/// `answers`: else it answers only health checks.
+/// Runs an invoker until the process is killed. Without `answers`, it answers only health checks.
 void run_invoker(bool answers);
-/// Passes bytes from the client to the invoker and back and reads nothing in them.
+/// Runs a proxy until the process is killed. It copies bytes between client and invoker without parsing them.
 void run_pass_through();
 
+/// Writes the part of the text that fits into the send buffer without waiting.
 void write(net::Stream& stream, std::string_view text);
 
 }  // namespace plumkeel::benchmarks
--- a/benchmarks/gateway_process.cpp
+++ b/benchmarks/gateway_process.cpp
@@ -16,20 +16,20 @@
 using namespace std::chrono_literals;
 using net::Time;
 
-constexpr int writes_before_stall = 20;
+constexpr int stalling_write = 20;
 
-// A file whose disk stalls for a while, once some has been written.
+// A file whose disk stalls once, at a fixed number of writes.
 class StallingFile : public trace::FileSink {
 public:
     StallingFile(const std::string& name, double stall_s) : FileSink(name), stall_s_(stall_s) {}
     void append(std::string_view bytes) override {
-        if (++appended_ == writes_before_stall && stall_s_ > 0) usleep(static_cast<useconds_t>(stall_s_ * 1e6));
+        if (++write_count_ == stalling_write && stall_s_ > 0) usleep(static_cast<useconds_t>(stall_s_ * 1e6));
         FileSink::append(bytes);
     }
 
 private:
     const double stall_s_;
-    int appended_{};
+    int write_count_{};
 };
 
 GatewayConfig gateway_config(bool with_invoker) {
@@ -38,14 +38,14 @@
     config.log.file = "/dev/null";
     config.log.level = "warn";
     config.safety_rules = {10s, 0.2, 2, 2s, 0s, 0, 0};
-    Capabilities& may = config.capabilities;
-    may.cancellation = may.health_checks = may.hedging = may.retry_after = may.on_demand_loading = may.stable_capacity =
-        true;
-    may.max_attempts = 5;
-    may.controller_count = 1;
-    may.max_retry_after = 2s;
-    may.keep_alive = 10s;
-    may.clock_resolution = 5ms;
+    Capabilities& capabilities = config.capabilities;
+    capabilities.cancellation = capabilities.health_checks = capabilities.hedging = capabilities.retry_after =
+        capabilities.on_demand_loading = capabilities.stable_capacity = true;
+    capabilities.max_attempts = 5;
+    capabilities.controller_count = 1;
+    capabilities.max_retry_after = 2s;
+    capabilities.keep_alive = 10s;
+    capabilities.clock_resolution = 5ms;
     config.pool.max_connections = 20'000;
     NamedRequestClass& request_class = config.request_classes["p"];
     request_class.name = "p";
@@ -87,8 +87,8 @@
     web::Server gateway(loop, config, log, 1, std::move(on_record));
     if (gateway.open()) _exit(1);
     if (recorder && recording.stall_s > 0) {
-        const Time after_stall(static_cast<Time::rep>((recording.stall_s + 1) * 1e6));
-        loop.call_at(after_stall, [&recorder] { print_drops(*recorder); });
+        const Time drops_printed_at(static_cast<Time::rep>((recording.stall_s + 1) * 1e6));
+        loop.call_at(drops_printed_at, [&recorder] { print_drops(*recorder); });
     }
     loop.run();
 }
--- a/benchmarks/gateway_process.hpp
+++ b/benchmarks/gateway_process.hpp
@@ -1,4 +1,4 @@
-/// The gateway of the benchmark, with or without an invoker and a trace recorder.
+/// Runs the gateway in the current process for a benchmark, with or without an invoker and a trace recorder.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 namespace plumkeel::benchmarks {
 
 struct RecordingOptions {
-    std::string folder;  // empty: no recorder
+    std::string folder;  // folder for traces; if it is empty, nothing is recorded
     bool record_candidates{};
-    double stall_s{};  // the recorder's disk stalls for so long, once
+    double stall_s{};  // duration of one simulated stall of the recorder's disk
     double sample_ratio = 1;
 };
 
--- a/benchmarks/remote_write_cost.cpp
+++ b/benchmarks/remote_write_cost.cpp
@@ -1,5 +1,5 @@
-/// plumkeel-shipping-cost: what metrics cost: counting a request on the controller's thread, a scrape on the
-/// exporter's, and what is stored and sent, by the number of series.
+/// plumkeel-shipping-cost: measures the costs of metrics: counting a request on the controller's thread, and encoding,
+/// storing and sending a scrape on the exporter's thread, by number of series.
 #include <fmt/format.h>
 #include <snappy.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::int64_t first_scrape_ms = 1'700'000'000'000, scrape_interval_ms = 5000;
-constexpr int scrapes = 10;
+constexpr int scrape_count = 10;
 
 double seconds_since(Clock::time_point begin) {
     return std::chrono::duration<double>(Clock::now() - begin).count();
@@ -29,21 +29,23 @@
 }
 
 void measure_counting() {
-    constexpr int requests = 1'000'000, review_interval = 100'000;
+    constexpr int request_count = 1'000'000, requests_per_name_update = 100'000;
     const auto functions = numbered_names("function-", 300), tenants = numbered_names("tenant-", 10);
     metrics::GatewayMetrics gateway_metrics({}, "c");
     const auto begin = Clock::now();
-    for (int i = 0; i < requests; ++i) {
-        const auto n = static_cast<std::size_t>(i);
+    for (int i = 0; i < request_count; ++i) {
+        const auto request_index = static_cast<std::size_t>(i);
         gateway_metrics.request_received(false);
         gateway_metrics.attempt_ended(
             {AttemptOutcome::succeeded, LoadEvent::was_loaded, true, false, Time(100'000 + i % 5000)});
-        gateway_metrics.request_ended({"use", tenants[n % tenants.size()], functions[(n * n) % functions.size()],
+        gateway_metrics.request_ended({"use", tenants[request_index % tenants.size()],
+                                       functions[(request_index * request_index) % functions.size()],
                                        RequestState::succeeded, DecisionReason::response_received, false, Time(120'000),
                                        Time(500), 1});
-        if (i % review_interval == 0) gateway_metrics.update_reported_names();
+        if (i % requests_per_name_update == 0) gateway_metrics.update_reported_names();
     }
-    fmt::print("counting a request: {:.0f} ns on the controller's thread\n", seconds_since(begin) / requests * 1e9);
+    fmt::print("counting a request: {:.0f} ns on the controller's thread\n",
+               seconds_since(begin) / request_count * 1e9);
 }
 
 std::vector<remote_write::Sample> make_samples(int series) {
@@ -58,14 +60,14 @@
     return samples;
 }
 
-/// Sums over all scrapes.
+/// Totals of all scrapes.
 struct ExportCost {
     double encode_s{}, store_s{}, send_s{};
     std::uint64_t sent_bytes{}, sent_samples{};
 };
 
-// Reads and compresses what a scrape stored, as the exporter sends it.
-void send_stored(remote_write::DurableQueue& queue, int shards, ExportCost& cost) {
+// Reads and compresses the samples that a scrape stored, and removes them from the queue. Sends nothing.
+void send_stored_samples(remote_write::DurableQueue& queue, int shards, ExportCost& cost) {
     for (int shard = 0; shard < shards; ++shard) {
         const auto batch = queue.read("r", shard, 1);
         std::string body;
@@ -80,17 +82,17 @@
     remote_write::SeriesEncoder encoder(shards);
     std::vector<remote_write::Sample> samples = make_samples(series);
     ExportCost cost;
-    for (int scrape = 1; scrape <= scrapes; ++scrape) {
+    for (int scrape = 1; scrape <= scrape_count; ++scrape) {
         for (int i = 0; i < series; ++i) samples[static_cast<std::size_t>(i)].value += i % 7;
-        const std::int64_t scraped_ms = first_scrape_ms + scrape * scrape_interval_ms;
+        const std::int64_t scraped_at_ms = first_scrape_ms + scrape * scrape_interval_ms;
         auto begin = Clock::now();
-        const auto encoded = encoder.encode(samples, scraped_ms);
+        const auto encoded = encoder.encode(samples, scraped_at_ms);
         cost.encode_s += seconds_since(begin);
         begin = Clock::now();
-        queue.append(scraped_ms, encoded);
+        queue.append(scraped_at_ms, encoded);
         cost.store_s += seconds_since(begin);
         begin = Clock::now();
-        send_stored(queue, shards, cost);
+        send_stored_samples(queue, shards, cost);
         cost.send_s += seconds_since(begin);
     }
     return cost;
@@ -106,7 +108,7 @@
     config.max_bytes = 1 << 30;
     remote_write::DurableQueue queue(config, {"r"});
     const ExportCost cost = run_scrapes(queue, series, shards);
-    const double samples = static_cast<double>(series) * scrapes;
+    const double samples = static_cast<double>(series) * scrape_count;
     fmt::print("{:>8} {:>6} {:>14.0f} {:>14.0f} {:>14.0f} {:>16.0f} {:>12.1f} {:>10}\n", series, shards,
                cost.encode_s / samples * 1e9, cost.store_s / samples * 1e9, cost.send_s / samples * 1e9,
                samples / (cost.encode_s + cost.store_s + cost.send_s),
@@ -120,7 +122,7 @@
 int main() {
     measure_counting();
     fmt::print("{:>8} {:>6} {:>14} {:>14} {:>14} {:>16} {:>12} {:>10}\n", "series", "shards", "encode ns", "store ns",
-               "send ns", "samples/s, core", "bytes sent", "all sent");
+               "send ns", "samples/s, core", "bytes/sample", "all sent");
     measure_export(1'000, 4);
     measure_export(10'000, 8);
     measure_export(100'000, 50);
