--- a/benchmarks/gateway_cost.cpp
+++ b/benchmarks/gateway_cost.cpp
@@ -20,7 +20,7 @@
 using namespace plumkeel::benchmarks;
 using net::Time;
 
-constexpr int subject_core = 1, invoker_core = 2, client_core = 3;
+constexpr int server_core = 1, invoker_core = 2, client_core = 3;
 constexpr useconds_t start_delay_us = 300'000;
 constexpr int open_request_count = 1000;
 
@@ -33,7 +33,7 @@
     Time duration() const { return Time(static_cast<Time::rep>(seconds * 1e6)); }
 };
 
-enum class Subject { pass_through, gateway };
+enum class MeasuredServer { pass_through, gateway };
 
 struct Figures {
     LoadFigures load;
@@ -65,21 +65,21 @@
     return figures;
 }
 
-Figures measure(Subject subject, int connections, Time duration, const RecordingOptions& recording = {}) {
-    const bool is_gateway = subject == Subject::gateway;
+Figures measure(MeasuredServer server, int connections, Time duration, const RecordingOptions& recording = {}) {
+    const bool is_gateway = server == MeasuredServer::gateway;
     const ChildProcess invoker(invoker_core, [] { run_invoker(true); });
-    const ChildProcess subject_process(subject_core,
-                                       [&] { is_gateway ? run_gateway(true, recording) : run_pass_through(); });
+    const ChildProcess server_process(server_core,
+                                      [&] { is_gateway ? run_gateway(true, recording) : run_pass_through(); });
     usleep(start_delay_us);
     Figures figures;
     figures.load = run_clients_in_child(is_gateway ? gateway_port : pass_through_port, connections, duration);
-    if (figures.load.requests > 0) figures.processor_us = subject_process.processor_s() * 1e6 / figures.load.requests;
+    if (figures.load.requests > 0) figures.processor_us = server_process.processor_s() * 1e6 / figures.load.requests;
     return figures;
 }
 
 double kb_per_open_request(bool with_invoker) {
     const ChildProcess invoker(invoker_core, [] { run_invoker(false); });
-    const ChildProcess gateway(subject_core, [&] { run_gateway(with_invoker); });
+    const ChildProcess gateway(server_core, [&] { run_gateway(with_invoker); });
     usleep(start_delay_us);
     double before_kb = 0, after_kb = 0;
     OpenRequests requests;
@@ -106,13 +106,14 @@
 void compare_recorder(const Options& options) {
     std::vector<double> throughput_ratios, processor_time_ratios;
     for (int round = 1; round <= options.rounds; ++round) {
-        const Figures without = measure(Subject::gateway, options.connections, options.duration()),
-                      with = measure(Subject::gateway, options.connections, options.duration(), options.recording);
-        throughput_ratios.push_back(with.load.requests_per_s / without.load.requests_per_s);
-        processor_time_ratios.push_back(with.processor_us / without.processor_us);
+        const Figures without_recorder = measure(MeasuredServer::gateway, options.connections, options.duration()),
+                      with_recorder =
+                          measure(MeasuredServer::gateway, options.connections, options.duration(), options.recording);
+        throughput_ratios.push_back(with_recorder.load.requests_per_s / without_recorder.load.requests_per_s);
+        processor_time_ratios.push_back(with_recorder.processor_us / without_recorder.processor_us);
         fmt::print("round {}: ", round);
-        print_figures("without", without);
-        print_figures("with", with);
+        print_figures("without recorder", without_recorder);
+        print_figures("with recorder", with_recorder);
         fmt::print("ratio {:.2f}\n", throughput_ratios.back());
         flush_stdout();
     }
@@ -123,8 +124,8 @@
 void compare_throughput(const Options& options) {
     std::vector<double> throughput_ratios, processor_time_ratios;
     for (int round = 1; round <= options.rounds; ++round) {
-        const Figures pass_through = measure(Subject::pass_through, options.connections, options.duration()),
-                      gateway = measure(Subject::gateway, options.connections, options.duration());
+        const Figures pass_through = measure(MeasuredServer::pass_through, options.connections, options.duration()),
+                      gateway = measure(MeasuredServer::gateway, options.connections, options.duration());
         throughput_ratios.push_back(gateway.load.requests_per_s / pass_through.load.requests_per_s);
         processor_time_ratios.push_back(gateway.processor_us / pass_through.processor_us);
         fmt::print("round {}: ", round);
@@ -141,8 +142,8 @@
 }
 
 void compare_latency(const Options& options) {
-    const LoadFigures pass_through = measure(Subject::pass_through, 1, options.duration()).load,
-                      gateway = measure(Subject::gateway, 1, options.duration()).load;
+    const LoadFigures pass_through = measure(MeasuredServer::pass_through, 1, options.duration()).load,
+                      gateway = measure(MeasuredServer::gateway, 1, options.duration()).load;
     fmt::print(
         "one client: pass-through median {:.0f} us, p99 {:.0f} us; gateway median {:.0f} us, p99 {:.0f} us; added "
         "median "
--- a/benchmarks/gateway_load.cpp
+++ b/benchmarks/gateway_load.cpp
@@ -62,8 +62,9 @@
     if (latencies.empty()) return {};
     std::sort(latencies.begin(), latencies.end());
     const double counted_requests = static_cast<double>(latencies.size());
-    const double counted_s = std::chrono::duration<double>(closed_loop.measure_end - closed_loop.measure_begin).count();
-    return {counted_requests / counted_s, latencies[latencies.size() / 2], latencies[latencies.size() * 99 / 100],
+    const double measured_s =
+        std::chrono::duration<double>(closed_loop.measure_end - closed_loop.measure_begin).count();
+    return {counted_requests / measured_s, latencies[latencies.size() / 2], latencies[latencies.size() * 99 / 100],
             counted_requests * 4 / 3};
 }
 
--- a/benchmarks/remote_write_cost.cpp
+++ b/benchmarks/remote_write_cost.cpp
@@ -48,9 +48,9 @@
                seconds_since(begin) / request_count * 1e9);
 }
 
-std::vector<remote_write::Sample> make_samples(int series) {
+std::vector<remote_write::Sample> make_samples(int series_count) {
     std::vector<remote_write::Sample> samples;
-    for (int i = 0; i < series; ++i)
+    for (int i = 0; i < series_count; ++i)
         samples.push_back({{{"__name__", "plumkeel_jobs_total"},
                             {"controller", "c1"},
                             {"function", "function-" + std::to_string(i)},
@@ -67,8 +67,8 @@
 };
 
 // Reads and compresses the samples that a scrape stored, and removes them from the queue. Sends nothing.
-void send_stored_samples(remote_write::DurableQueue& queue, int shards, ExportCost& cost) {
-    for (int shard = 0; shard < shards; ++shard) {
+void send_stored_samples(remote_write::DurableQueue& queue, int shard_count, ExportCost& cost) {
+    for (int shard = 0; shard < shard_count; ++shard) {
         const auto batch = queue.read("r", shard, 1);
         std::string body;
         snappy::Compress(batch.bytes.data(), batch.bytes.size(), &body);
@@ -78,12 +78,12 @@
     }
 }
 
-ExportCost run_scrapes(remote_write::DurableQueue& queue, int series, int shards) {
-    remote_write::SeriesEncoder encoder(shards);
-    std::vector<remote_write::Sample> samples = make_samples(series);
+ExportCost run_scrapes(remote_write::DurableQueue& queue, int series_count, int shard_count) {
+    remote_write::SeriesEncoder encoder(shard_count);
+    std::vector<remote_write::Sample> samples = make_samples(series_count);
     ExportCost cost;
     for (int scrape = 1; scrape <= scrape_count; ++scrape) {
-        for (int i = 0; i < series; ++i) samples[static_cast<std::size_t>(i)].value += i % 7;
+        for (int i = 0; i < series_count; ++i) samples[static_cast<std::size_t>(i)].value += i % 7;
         const std::int64_t scraped_at_ms = first_scrape_ms + scrape * scrape_interval_ms;
         auto begin = Clock::now();
         const auto encoded = encoder.encode(samples, scraped_at_ms);
@@ -92,28 +92,28 @@
         queue.append(scraped_at_ms, encoded);
         cost.store_s += seconds_since(begin);
         begin = Clock::now();
-        send_stored_samples(queue, shards, cost);
+        send_stored_samples(queue, shard_count, cost);
         cost.send_s += seconds_since(begin);
     }
     return cost;
 }
 
-void measure_export(int series, int shards) {
+void measure_export(int series_count, int shard_count) {
     const std::string folder =
         std::filesystem::temp_directory_path() / ("plumkeel-queue-" + std::to_string(::getpid()));
     std::filesystem::remove_all(folder);
     remote_write::QueueConfig config;
     config.folder = folder;
-    config.shards = shards;
+    config.shards = shard_count;
     config.max_bytes = 1 << 30;
     remote_write::DurableQueue queue(config, {"r"});
-    const ExportCost cost = run_scrapes(queue, series, shards);
-    const double samples = static_cast<double>(series) * scrape_count;
-    fmt::print("{:>8} {:>6} {:>14.0f} {:>14.0f} {:>14.0f} {:>16.0f} {:>12.1f} {:>10}\n", series, shards,
-               cost.encode_s / samples * 1e9, cost.store_s / samples * 1e9, cost.send_s / samples * 1e9,
-               samples / (cost.encode_s + cost.store_s + cost.send_s),
+    const ExportCost cost = run_scrapes(queue, series_count, shard_count);
+    const double sample_count = static_cast<double>(series_count) * scrape_count;
+    fmt::print("{:>8} {:>6} {:>14.0f} {:>14.0f} {:>14.0f} {:>16.0f} {:>12.1f} {:>10}\n", series_count, shard_count,
+               cost.encode_s / sample_count * 1e9, cost.store_s / sample_count * 1e9, cost.send_s / sample_count * 1e9,
+               sample_count / (cost.encode_s + cost.store_s + cost.send_s),
                static_cast<double>(cost.sent_bytes) / static_cast<double>(cost.sent_samples),
-               cost.sent_samples == static_cast<std::uint64_t>(samples) ? "yes" : "NO");
+               cost.sent_samples == static_cast<std::uint64_t>(sample_count) ? "yes" : "NO");
     std::filesystem::remove_all(folder);
 }
 
--- a/benchmarks/trace_size.cpp
+++ b/benchmarks/trace_size.cpp
@@ -73,10 +73,10 @@
 }
 
 int read_request(Reader& reader, int record_number) {
-    int found = 0;
+    int found_records = 0;
     reader.for_each_of_request(make_record(record_number).request,
-                               [&](const Record&) { return ++found < records_per_request; });
-    return found;
+                               [&](const Record&) { return ++found_records < records_per_request; });
+    return found_records;
 }
 
 // Returns the time to open the file and read all records of a record's request. Throws if the request is not found.
@@ -94,9 +94,10 @@
     FileSource source(file_name);
     Reader reader(source);
     int count = 0;
-    bool equal = true;
-    reader.for_each(Time::min(), [&](const Record& record) { return equal = equal && record == make_record(count++); });
-    return equal && count == record_count;
+    bool all_equal = true;
+    reader.for_each(Time::min(),
+                    [&](const Record& record) { return all_equal = all_equal && record == make_record(count++); });
+    return all_equal && count == record_count;
 }
 
 std::size_t block_count(const std::string& file_name) {
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -84,7 +84,8 @@
     return {argument.substr(0, equals), read_results(argument.substr(equals + 1)).rows};
 }
 
-void report(const std::vector<std::string>& arguments, const std::string& slopes_file, const std::string& charts) {
+void report(const std::vector<std::string>& arguments, const std::string& slopes_file,
+            const std::string& charts_folder) {
     std::vector<LabelledRows> row_sets;
     std::vector<Row> all_rows;
     for (const std::string& argument : arguments) {
@@ -95,7 +96,7 @@
         }
     }
     write_slopes(slopes_file, compute_slopes(all_rows));
-    if (!charts.empty()) draw_charts(row_sets, charts);
+    if (!charts_folder.empty()) draw_charts(row_sets, charts_folder);
 }
 
 }  // namespace
@@ -103,27 +104,27 @@
 int main(int argc, char** argv) {
     CLI::App app("plumkeel-scale: measures how the costs of a controller grow with the fleet");
     app.require_subcommand(1);
-    std::string plan, program = std::filesystem::canonical("/proc/self/exe").parent_path() / "plumkeel";
-    std::string commit = "unknown", results = "results.csv", slopes = "slopes.csv", charts;
+    std::string plan_file, program = std::filesystem::canonical("/proc/self/exe").parent_path() / "plumkeel";
+    std::string commit = "unknown", results_file = "results.csv", slopes_file = "slopes.csv", charts_folder;
     std::vector<std::string> results_files;
     CLI::App* const run_command = app.add_subcommand("run", "runs the measurements of a plan");
-    run_command->add_option("plan", plan, "Jsonnet plan")->required();
-    run_command->add_option("--out", results, "CSV file to write the results to")->capture_default_str();
+    run_command->add_option("plan", plan_file, "Jsonnet plan")->required();
+    run_command->add_option("--out", results_file, "CSV file to write the results to")->capture_default_str();
     run_command->add_option("--program", program, "the plumkeel binary to measure")->capture_default_str();
     run_command->add_option("--commit", commit, "commit of the measured binary, stored in the results")
         ->capture_default_str();
     CLI::App* const report_command = app.add_subcommand("report", "writes slopes and charts of results");
     report_command->add_option("results", results_files, "results files, each with an optional label: before=old.csv")
         ->required();
-    report_command->add_option("--slopes", slopes, "CSV file to write the slopes to")->capture_default_str();
-    report_command->add_option("--charts", charts, "folder for SVG charts; without it, no charts are drawn");
+    report_command->add_option("--slopes", slopes_file, "CSV file to write the slopes to")->capture_default_str();
+    report_command->add_option("--charts", charts_folder, "folder for SVG charts; without it, no charts are drawn");
     CLI11_PARSE(app, argc, argv);
     try {
         raise_descriptor_limit();
         if (*run_command)
-            run(plan, program, commit, results);
+            run(plan_file, program, commit, results_file);
         else
-            report(results_files, slopes, charts);
+            report(results_files, slopes_file, charts_folder);
         return 0;
     } catch (const std::exception& error) {
         std::cerr << "plumkeel-scale: " << error.what() << '\n';
--- a/scale/modelled_fleet.hpp
+++ b/scale/modelled_fleet.hpp
@@ -37,7 +37,7 @@
     /// of the reply.
     Reply attempt(Time now, std::size_t invoker, FunctionNumber function, Time timeout);
     void finished(Time now, std::size_t invoker, FunctionNumber function);
-    bool answers(std::size_t invoker) const { return !invokers_[invoker].dead; }
+    bool is_alive(std::size_t invoker) const { return !invokers_[invoker].dead; }
     LoadReport report(std::size_t invoker) const;
 
     void kill(std::size_t invoker);
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -115,8 +115,8 @@
     read_count(reader, "invokers", series.base_case.invokers, 1, max_platform_invokers);
     read_count(reader, "watchers", series.base_case.watchers, 0, max_watchers);
     read_count(reader, "changes", series.base_case.changes, 1, max_changes);
-    read_duration(reader, "idle", series.base_case.idle);
-    read_duration(reader, "busy", series.base_case.busy);
+    read_duration(reader, "idle", series.base_case.idle_duration);
+    read_duration(reader, "busy", series.base_case.busy_duration);
     reader.reject_unknown_fields();
     return series;
 }
--- a/scale/platform_run.hpp
+++ b/scale/platform_run.hpp
@@ -16,11 +16,11 @@
     std::size_t invokers = 100;
     std::size_t watchers = 0;  // stub watchers of discovery, in addition to the processes
     std::size_t functions = 250'000;
-    double popularity_exponent = 1.4;      // exponent of the Zipf distribution of requests over functions
-    double requests_per_s = 103;           // requests per second to each process
-    Time idle = std::chrono::seconds(6);   // length of the measurement without requests
-    Time busy = std::chrono::seconds(12);  // length of the measurement with requests
-    std::size_t changes = 100;             // number of endpoint changes published in one burst
+    double popularity_exponent = 1.4;               // exponent of the Zipf distribution of requests over functions
+    double requests_per_s = 103;                    // requests per second to each process
+    Time idle_duration = std::chrono::seconds(6);   // length of the measurement without requests
+    Time busy_duration = std::chrono::seconds(12);  // length of the measurement with requests
+    std::size_t changes = 100;                      // number of endpoint changes published in one burst
     std::uint64_t seed = 1;
 };
 
--- a/scale/platform_runner.cpp
+++ b/scale/platform_runner.cpp
@@ -160,9 +160,9 @@
     const double log_bytes_before = mean_log_bytes();
     const InvokerCounts counts_before = invoker_counts();
     const std::uint64_t discovery_bytes_before = discovery_.bytes_sent();
-    co_await loop_.sleep(case_.idle);
+    co_await loop_.sleep(case_.idle_duration);
     const ProcessUsage after = mean_usage();
-    const double duration_s = seconds(case_.idle);
+    const double duration_s = seconds(case_.idle_duration);
     const double invoker_bytes = static_cast<double>(invoker_counts().bytes - counts_before.bytes);
     const double discovery_bytes = static_cast<double>(discovery_.bytes_sent() - discovery_bytes_before);
     add_measurement("idle_resident", "bytes", after.resident_bytes);
@@ -183,7 +183,7 @@
 }
 
 net::Task<> PlatformRunner::measure_busy() {
-    const net::Time sending_end = loop_.now() + settle_time + case_.busy;
+    const net::Time sending_end = loop_.now() + settle_time + case_.busy_duration;
     for (std::size_t i = 0; i < clients_.size(); ++i) {
         co_await clients_[i]->open(connections_per_client);
         loop_.spawn(send_requests(i, sending_end));
@@ -192,7 +192,7 @@
     const ProcessUsage before = mean_usage();
     const double log_bytes_before = mean_log_bytes();
     const InvokerCounts counts_before = invoker_counts();
-    const net::Time duration = case_.busy - sending_margin;
+    const net::Time duration = case_.busy_duration - sending_margin;
     co_await loop_.sleep(duration);
     const double duration_s = seconds(duration);
     const ProcessUsage after = mean_usage();
--- a/scale/scheduler_host.cpp
+++ b/scale/scheduler_host.cpp
@@ -252,7 +252,7 @@
 void SchedulerHost::check_health(HostedInvoker& target) {
     ++counts_.health_checks;
     record_connection_use(target);
-    const bool answered = fleet_.answers(target.number);
+    const bool answered = fleet_.is_alive(target.number);
     const Time duration = answered ? network_round_trip : health_check_timeout;
     events_.schedule_at(events_.now() + duration, [this, invoker_number = target.number, answered] {
         if (!invokers_[invoker_number]) return;
--- a/scale/watcher_stub.cpp
+++ b/scale/watcher_stub.cpp
@@ -17,8 +17,8 @@
 constexpr int max_backoff_doublings = 6;
 
 net::Time backoff(int failures, Pcg& random) {
-    const double doubled_s = initial_backoff_s * (1 << std::min(failures, max_backoff_doublings));
-    const double backoff_s = std::min(max_backoff_s, doubled_s) * (0.5 + random.next());
+    const double uncapped_backoff_s = initial_backoff_s * (1 << std::min(failures, max_backoff_doublings));
+    const double backoff_s = std::min(max_backoff_s, uncapped_backoff_s) * (0.5 + random.next());
     return net::Time(static_cast<net::Time::rep>(backoff_s * 1e6));
 }
 
