--- a/src/cli/alerts.hpp
+++ b/src/cli/alerts.hpp
@@ -1,4 +1,5 @@
-/// The commands `alerts rules` and `alerts test`, which write alert rules and try them on recorded samples.
+/// The commands `alerts rules`, which prints alert rules, and `alerts test`, which evaluates them over recorded
+/// samples.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,7 +7,8 @@
 
 namespace plumkeel::cli {
 
-/// Adds `alerts` with its commands; the returned function runs the one that was given and returns the exit status.
+/// Adds `alerts` and its subcommands to the command line. The returned function runs the subcommand that was given and
+/// returns the exit status.
 std::function<int()> add_alerts(CLI::App& app);
 
 }  // namespace plumkeel::cli
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -17,37 +17,37 @@
 namespace field = protocol::field;
 
 constexpr Time status_timeout = 5s;
-constexpr Time send_margin = 2s;  // beyond the request's own time, for the response to arrive
+constexpr Time response_margin = 2s;  // added to the request's remaining time, for the response to arrive
 constexpr unsigned http_ok = 200;
 
-// Words of the outcome header.
-constexpr std::string_view succeeded_word = "honoured", rejected_word = "bounced";
+// Values of the response's outcome header.
+constexpr std::string_view succeeded_outcome = "honoured", rejected_outcome = "bounced";
 
 using Response = http::beast_http::response<http::beast_http::string_body>;
 
-// The response; nothing if there was none, after the reason was printed.
+// Sends one HTTP request and waits for the response. Without a response, prints the reason and returns nothing.
 std::optional<Response> exchange(const std::string& gateway, std::string head, std::string body, Time timeout) {
     const auto address = net::Address::parse(gateway);
     if (!address) throw ConfigError("--at: found \"" + gateway + "\", expected an address such as 127.0.0.1:7400");
     net::SocketEventLoop loop;
-    http::ExchangeResult exchanged;
+    http::ExchangeResult result;
     auto run = [&]() -> net::Task<> {
-        exchanged = co_await http::exchange(loop, *address, std::move(head), std::move(body), timeout);
+        result = co_await http::exchange(loop, *address, std::move(head), std::move(body), timeout);
         loop.stop();
     };
     loop.spawn(run());
     loop.run();
-    if (!exchanged.error) return std::move(exchanged.response);
-    std::cerr << "plumkeel: no response from " << gateway << ": " << exchanged.error.message() << '\n';
+    if (!result.error) return std::move(result.response);
+    std::cerr << "plumkeel: no response from " << gateway << ": " << result.error.message() << '\n';
     return {};
 }
 
-std::string read_body(const std::string& file) {
-    if (file.empty()) return {};
-    if (file == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
-    std::ifstream in(file, std::ios::binary);
-    if (!in) throw ConfigError(file + ": the file can't be read");
-    return {std::istreambuf_iterator<char>(in), {}};
+std::string read_body(const std::string& path) {
+    if (path.empty()) return {};
+    if (path == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
+    std::ifstream input(path, std::ios::binary);
+    if (!input) throw ConfigError(path + ": the file can't be read");
+    return {std::istreambuf_iterator<char>(input), {}};
 }
 
 std::string request_head(const std::string& address, const SendOptions& options, Time remaining,
@@ -89,14 +89,14 @@
     const Time remaining = parse_duration(options.remaining);
     std::string body = read_body(options.body_file);
     std::string head = request_head(address, options, remaining, body.size());
-    const auto response = exchange(address, std::move(head), std::move(body), remaining + send_margin);
+    const auto response = exchange(address, std::move(head), std::move(body), remaining + response_margin);
     if (!response) return no_response;
     print_outcome(*response);
     std::cout << response->body();
     if (!http::field(*response, field::rejection_reason).empty()) return request_refused;
     const std::string_view outcome = http::field(*response, field::outcome);
-    if (outcome == succeeded_word) return success;
-    return outcome == rejected_word ? request_rejected : request_failed;
+    if (outcome == succeeded_outcome) return success;
+    return outcome == rejected_outcome ? request_rejected : request_failed;
 }
 
 }  // namespace plumkeel::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-/// The `plumkeel` program: one subcommand a task.
+/// The `plumkeel` program, which has one subcommand for each task.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <functional>
@@ -22,17 +22,17 @@
 
 constexpr int exit_error = 2;
 
-/// Runs the command that was given and returns the exit status; empty if another command was given.
+/// Runs one subcommand and returns its exit status; returns nothing if the command line names another subcommand.
 using Command = std::function<std::optional<int>()>;
 
 std::map<std::string, std::string> parse_variables(const std::vector<std::string>& assignments) {
-    std::map<std::string, std::string> out;
+    std::map<std::string, std::string> values_by_name;
     for (const std::string& assignment : assignments) {
         const auto equals = assignment.find('=');
         if (equals == std::string::npos) throw ConfigError("--var: found \"" + assignment + "\", expected NAME=VALUE");
-        out[assignment.substr(0, equals)] = assignment.substr(equals + 1);
+        values_by_name[assignment.substr(0, equals)] = assignment.substr(equals + 1);
     }
-    return out;
+    return values_by_name;
 }
 
 struct SettingsOptions {
@@ -42,7 +42,7 @@
 };
 
 void add_settings_options(CLI::App& command, SettingsOptions& options) {
-    command.add_option("settings", options.file, "Jsonnet template")->required();
+    command.add_option("settings", options.file, "settings file, a Jsonnet template")->required();
     command.add_option("--var", options.variables, "NAME=VALUE, read in the template as std.extVar(NAME)");
 }
 
@@ -51,7 +51,7 @@
     const auto options = std::make_shared<SettingsOptions>();
     const auto seed = std::make_shared<std::optional<std::uint64_t>>();
     add_settings_options(*command, *options);
-    command->add_option("--seed", *seed, "of the scheduler's random numbers; random if left out");
+    command->add_option("--seed", *seed, "seed of the scheduler's random numbers; a random seed if not given");
     return [=]() -> std::optional<int> {
         if (!*command) return {};
         return cli::serve(options->load(), *seed);
@@ -59,7 +59,7 @@
 }
 
 Command add_check(CLI::App& app) {
-    CLI::App* command = app.add_subcommand("check", "load settings and print what is wrong with them");
+    CLI::App* command = app.add_subcommand("check", "load settings and report errors in them");
     const auto options = std::make_shared<SettingsOptions>();
     add_settings_options(*command, *options);
     return [=]() -> std::optional<int> {
@@ -74,7 +74,9 @@
     CLI::App* command = app.add_subcommand("platform", "run a gateway on the platform until SIGTERM");
     const auto config = std::make_shared<std::string>();
     const auto log_level = std::make_shared<std::string>("info");
-    command->add_option("--config", *config, "the platform's configuration, JSON")->envname("EDGE_CONFIG")->required();
+    command->add_option("--config", *config, "file with the platform's configuration (JSON)")
+        ->envname("EDGE_CONFIG")
+        ->required();
     command->add_option("--log", *log_level, "least severe level that is logged")
         ->check(CLI::IsMember({"debug", "info", "warn", "error"}))
         ->envname("PLUMKEEL_LOG");
@@ -106,14 +108,15 @@
     const auto options = std::make_shared<cli::SendOptions>();
     add_address_option(*command, *address);
     command->add_option("function", options->function)->required();
-    command->add_option("--use-case", options->request_class, "the request's class")->required();
-    command->add_option("--body", options->body_file, "a file, or - for the standard input");
+    command->add_option("--use-case", options->request_class, "request class")->required();
+    command->add_option("--body", options->body_file, "file with the request body, or - for standard input");
     command->add_option("--tenant", options->tenant);
-    command->add_option("--time-left", options->remaining, "such as 4s")->capture_default_str();
+    command->add_option("--time-left", options->remaining, "time until the request's deadline, such as 4s")
+        ->capture_default_str();
     command->add_option("--lanes", options->concurrency, "requests that one copy of the function runs at once");
-    command->add_option("--memory", options->memory_mb, "MB of a loaded copy");
+    command->add_option("--memory", options->memory_mb, "memory of one loaded copy of the function, in MB");
     command->add_option("--mark", options->idempotency_key, "idempotency key of a deduplicated request");
-    command->add_flag("--again", options->is_client_retry, "this request is a retry");
+    command->add_flag("--again", options->is_client_retry, "mark the request as a retry by the client");
     return [=]() -> std::optional<int> {
         if (!*command) return {};
         return cli::send(*address, *options);
@@ -123,7 +126,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);  // the reader of the log or of the output may end first
+    std::signal(SIGPIPE, SIG_IGN);  // writing to a closed pipe or socket must not end the process
     CLI::App app("plumkeel: a gateway that runs requests on invokers, which load functions on demand");
     app.require_subcommand(1);
     std::vector<Command> commands{add_serve(app), add_check(app), add_platform(app), add_status(app), add_send(app)};
--- a/src/cli/progress.cpp
+++ b/src/cli/progress.cpp
@@ -8,7 +8,7 @@
 namespace plumkeel::cli {
 namespace {
 
-constexpr int bar_width = 40;
+constexpr int bar_width_columns = 40;
 
 }  // namespace
 
@@ -18,12 +18,13 @@
     if (drawn_percent_ >= 0) fmt::print(stderr, "\r\033[K");
 }
 
-void Progress::update(double share) {
-    const int percent = static_cast<int>(share * 100);
+void Progress::update(double completed_share) {
+    const int percent = static_cast<int>(completed_share * 100);
     if (!is_terminal_ || percent == drawn_percent_) return;
     drawn_percent_ = percent;
-    const int done = percent * bar_width / 100;
-    fmt::print(stderr, "\r{} [{:#<{}}{:.<{}}] {:3}%", label_, "", done, "", bar_width - done, percent);
+    const int filled_columns = percent * bar_width_columns / 100;
+    fmt::print(stderr, "\r{} [{:#<{}}{:.<{}}] {:3}%", label_, "", filled_columns, "",
+               bar_width_columns - filled_columns, percent);
     std::fflush(stderr);
 }
 
--- a/src/cli/progress.hpp
+++ b/src/cli/progress.hpp
@@ -6,7 +6,7 @@
 
 namespace plumkeel::cli {
 
-/// Draws on the standard error if that is a terminal, else does nothing. The bar is wiped on destruction.
+/// A progress bar on standard error, drawn only if that is a terminal. The destructor erases the bar.
 class Progress {
 public:
     explicit Progress(std::string label);
@@ -14,8 +14,8 @@
     Progress(const Progress&) = delete;
     Progress& operator=(const Progress&) = delete;
 
-    /// `share` of the work is done, from 0 to 1. Draws only if the percentage has changed.
-    void update(double share);
+    /// Shows that `completed_share` of the work, from 0 to 1, is done. Redraws only if the percentage has changed.
+    void update(double completed_share);
 
 private:
     const std::string label_;
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -26,12 +26,13 @@
 void print_listen_error(const std::string& listen, const net::Error& error) {
     std::string reason = error.message();
     if (error == net::asio::error::address_in_use)
-        if (const std::string holder = net::listening_process(net::Address::parse(listen)->port); !holder.empty())
-            reason += ": held by " + holder;
+        if (const std::string process = net::listening_process(net::Address::parse(listen)->port); !process.empty())
+            reason += ": used by " + process;
     std::cerr << "plumkeel: can't listen on " << listen << ": " << reason << '\n';
 }
 
-// Null if the metrics are off or have no receiver. Its notices arrive on its own thread and are logged on the loop's.
+// Starts the remote write of metrics. Returns null if metrics are off or no receiver is configured. The exporter
+// reports events on its own thread; they are posted to the event loop, which logs them.
 std::unique_ptr<remote_write::Exporter> start_exporter(const remote_write::ExporterConfig& config, web::Server& server,
                                                        net::SocketEventLoop& loop, Log& log) {
     if (!server.metrics() || config.receivers.empty()) return nullptr;
@@ -47,18 +48,18 @@
 }  // namespace
 
 int serve(const GatewayConfig& config, std::optional<std::uint64_t> seed) {
-    // Writing to a file at its size limit is an error of that write, not the end of the process.
+    // With SIGXFSZ ignored, writing to a file beyond its size limit fails with an error instead of ending the process.
     std::signal(SIGXFSZ, SIG_IGN);
     net::SocketEventLoop loop;
     Log log(loop, config.log);
-    const std::uint64_t used_seed = seed ? *seed : random_seed();
+    const std::uint64_t effective_seed = seed ? *seed : random_seed();
     std::unique_ptr<trace::Recorder> recorder;
     trace::RecordCallback on_record;
     if (!config.trace.folder.empty()) {
         recorder = std::make_unique<trace::Recorder>(config.trace, config.name, loop.wall_clock());
         on_record = [&recorder](const trace::Record& record) { recorder->offer(record); };
     }
-    web::Server server(loop, config, log, used_seed, std::move(on_record));
+    web::Server server(loop, config, log, effective_seed, std::move(on_record));
     server.set_snapshot_extension([&](metrics::MetricSnapshot& snapshot) {
         if (recorder) snapshot.dropped_trace_records = static_cast<double>(recorder->dropped());
     });
@@ -66,8 +67,9 @@
         print_listen_error(config.listen, error);
         return 1;
     }
-    log.write(Log::Level::info, "server_started",
-              {{"listen", server.address().to_string()}, {"name", config.name}, {"seed", std::to_string(used_seed)}});
+    log.write(
+        Log::Level::info, "server_started",
+        {{"listen", server.address().to_string()}, {"name", config.name}, {"seed", std::to_string(effective_seed)}});
     std::function<void()> flush_recorder = [&] {
         recorder->flush();
         loop.call_at(loop.now() + recorder_flush_interval, flush_recorder);
--- a/src/cli/serve.hpp
+++ b/src/cli/serve.hpp
@@ -1,4 +1,4 @@
-/// The `serve` command: a gateway for HTTP clients and invokers on sockets.
+/// The command `serve`, which runs a gateway that HTTP clients and invokers reach over sockets.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace plumkeel::cli {
 
-/// Serves until SIGTERM or SIGINT. `seed` sets the scheduler's random numbers; random if absent. Returns the exit
-/// status.
+/// Runs the gateway until SIGTERM or SIGINT. `seed` is the seed of the scheduler's random numbers; a random one is used
+/// if absent. Returns the exit status.
 int serve(const GatewayConfig& config, std::optional<std::uint64_t> seed);
 
 }  // namespace plumkeel::cli
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -7,18 +7,19 @@
 namespace plumkeel::cli {
 namespace {
 
-using Command = int (*)(const TraceOptions&);
+using CommandHandler = int (*)(const TraceOptions&);
 
-/// Adds the commands; all of them share one set of options, as only one is run.
+/// Adds the subcommands of `trace`. They share one set of options, because only one subcommand runs.
 class TraceCommandLine {
 public:
-    explicit TraceCommandLine(CLI::App& app) : trace_(app.add_subcommand("trace", "read traces")) {
-        trace_->require_subcommand(1);
+    explicit TraceCommandLine(CLI::App& app)
+        : trace_command_(app.add_subcommand("trace", "inspect, convert and replay trace files")) {
+        trace_command_->require_subcommand(1);
         add_reading_commands();
         add_deriving_commands();
         add_replay_command();
         for (const auto& [command, handler] : commands_)
-            command->add_option("files", options_.files, "in any order")->required();
+            command->add_option("files", options_.files, "trace files, in any order")->required();
     }
 
     int run() const {
@@ -28,35 +29,41 @@
     }
 
 private:
-    CLI::App& add(const char* name, const char* description, Command handler) {
-        CLI::App* command = trace_->add_subcommand(name, description);
+    CLI::App& add(const char* name, const char* description, CommandHandler handler) {
+        CLI::App* command = trace_command_->add_subcommand(name, description);
         commands_.emplace_back(command, handler);
         return *command;
     }
 
     void add_reading_commands() {
-        add("verify", "say what the files hold, and what is damaged", verify_traces);
+        add("verify", "print what the files contain and which parts are damaged", verify_traces);
 
-        CLI::App& show = add("show", "what happened to one request", show_request);
-        show.add_option("request", options_.request, "as in plumkeel-job, or NUMBER@CONTROLLER")->required();
-        show.add_flag("--reasons", options_.reasons, "replay the trace, to show the candidate invokers");
+        CLI::App& show = add("show", "print what happened to one request", show_request);
+        show.add_option("request", options_.request,
+                        "NUMBER, as in the response header plumkeel-job, or NUMBER@CONTROLLER")
+            ->required();
+        show.add_flag("--reasons", options_.show_candidates, "replay the trace to show the candidate invokers");
 
-        CLI::App& find = add("find", "a line for each request that matches", find_requests);
-        find.add_option("--limit", options_.limit, "stop after so many")->capture_default_str();
+        CLI::App& find = add("find", "print one line for each matching request", find_requests);
+        find.add_option("--limit", options_.max_requests, "greatest number of requests to print")
+            ->capture_default_str();
         add_filter(find);
         add_offset(find);
 
         CLI::App& summarize =
-            add("summarise", "outcomes, latencies and attempts, in all and over time", summarize_trace);
+            add("summarise", "print outcomes, latencies and attempts, in total and over time", summarize_trace);
         summarize.alias("summarize");
-        summarize.add_option("--svg", options_.svg, "draw a chart in this file");
-        summarize.add_option("--top", options_.top, "rows of a table")->capture_default_str();
-        summarize.add_option("--step", options_.step, "of the table over time")->capture_default_str();
+        summarize.add_option("--svg", options_.svg_file, "file to draw a chart in (SVG)");
+        summarize.add_option("--top", options_.max_rows, "greatest number of rows in each table")
+            ->capture_default_str();
+        summarize.add_option("--step", options_.step, "duration that one row of the table over time covers")
+            ->capture_default_str();
         add_filter(summarize);
         add_offset(summarize);
 
-        CLI::App& export_command = add("export", "the requests that match, for other tools", export_requests);
-        export_command.add_option("--format", options_.format, "json: a line a request; chrome: trace events")
+        CLI::App& export_command =
+            add("export", "write the matching requests in a format for other tools", export_requests);
+        export_command.add_option("--format", options_.format, "json: one line per request; chrome: trace events")
             ->capture_default_str();
         add_output(export_command);
         add_filter(export_command);
@@ -64,28 +71,31 @@
     }
 
     void add_deriving_commands() {
-        CLI::App& cut = add("cut", "a file with the requests that match", cut_trace);
+        CLI::App& cut = add("cut", "write a trace file with the matching requests", cut_trace);
         add_output(cut);
         add_filter(cut);
         add_offset(cut);
 
-        CLI::App& merge = add("merge", "a file with several controllers' traces", merge_controllers);
+        CLI::App& merge = add("merge", "merge the traces of several controllers into one file", merge_controllers);
         add_output(merge);
         add_offset(merge);
 
-        CLI::App& anonymise = add("anonymise", "a file without names", pseudonymize_trace);
+        CLI::App& anonymise =
+            add("anonymise", "write a trace file with pseudonyms in place of names", pseudonymize_trace);
         anonymise.alias("pseudonymize");
         anonymise.add_option("--key", options_.key_file,
-                             "a file whose first line is the key; a random key if left out");
+                             "file whose first line is the key of the pseudonyms; a random key if not given");
         add_output(anonymise);
         add_offset(anonymise);
     }
 
     void add_replay_command() {
-        CLI::App& redecide = add("redecide", "replay the traces and compare all decisions", replay_traces);
+        CLI::App& redecide =
+            add("redecide", "replay the traces and compare the decisions with the recorded ones", replay_traces);
         redecide.alias("replay");
-        redecide.add_option("--change", options_.changes,
-                            "NAME=VALUE of a safety rule or a capability, as in the settings");
+        redecide.add_option(
+            "--change", options_.setting_changes,
+            "NAME=VALUE, replaces the recorded value of a safety rule or capability; names as in the settings");
     }
 
     void add_output(CLI::App& command) {
@@ -93,30 +103,31 @@
     }
 
     void add_offset(CLI::App& command) {
-        command.add_option("--offset", options_.offsets,
-                           "CONTROLLER=DURATION to add to its clock; merge estimates them if none is given");
+        command.add_option(
+            "--offset", options_.clock_offsets,
+            "CONTROLLER=DURATION, added to that controller's clock; merge estimates the offsets if none is given");
     }
 
     void add_filter(CLI::App& command) {
         command.add_option("--from", options_.from,
-                           "requests received at or after this time from the trace's start, as 90s or 5m");
-        command.add_option("--to", options_.to, "and before this");
+                           "only requests received at or after this time since the trace's start, such as 90s or 5m");
+        command.add_option("--to", options_.to, "only requests received before this time since the trace's start");
         command.add_option("--use-case,--request-class", options_.filter.request_class);
         command.add_option("--tenant", options_.filter.tenant);
         command.add_option("--function", options_.filter.function);
-        command.add_option("--invoker", options_.filter.invoker, "that any of the request's attempts went to");
+        command.add_option("--invoker", options_.filter.invoker, "only requests with an attempt at this invoker");
         command.add_option("--outcome", options_.outcome, std::string(trace_analysis::outcome_filter_words));
     }
 
-    CLI::App* trace_;
+    CLI::App* trace_command_;
     TraceOptions options_;
-    std::vector<std::pair<CLI::App*, Command>> commands_;
+    std::vector<std::pair<CLI::App*, CommandHandler>> commands_;
 };
 
 }  // namespace
 
 std::function<int()> add_trace(CLI::App& app) {
-    // CLI11 keeps pointers to the options until the command line is parsed.
+    // CLI11 holds pointers to the option fields, so they must exist until the command line is parsed.
     const auto command_line = std::make_shared<TraceCommandLine>(app);
     return [command_line] { return command_line->run(); };
 }
--- a/src/cli/trace_commands.hpp
+++ b/src/cli/trace_commands.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands of `plumkeel trace`. Each returns the exit status and throws trace::TraceError or ConfigError.
+/// The subcommands of `plumkeel trace`. Each returns the exit status and throws trace::TraceError or ConfigError.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +10,22 @@
 
 namespace plumkeel::cli {
 
-/// What the command line said; each command uses the options that it has.
+/// Options of the `trace` subcommands; each subcommand uses only the options that it accepts.
 struct TraceOptions {
     std::vector<std::string> files;
-    std::vector<std::string> changes;  ///< NAME=VALUE
-    std::vector<std::string> offsets;  ///< CONTROLLER=DURATION
-    std::string request;               ///< NUMBER or NUMBER@CONTROLLER
-    std::string from, to, outcome;     ///< As given; see filter_of.
-    std::string output, svg, key_file, format = "json", step = "10s";
-    trace_analysis::HistoryFilter filter;  ///< But for `from`, `to` and `outcome`.
-    std::size_t limit = 1000;
-    std::size_t top = 15;
-    bool reasons{};
+    std::vector<std::string> setting_changes;  ///< Arguments of --change: NAME=VALUE.
+    std::vector<std::string> clock_offsets;    ///< Arguments of --offset: CONTROLLER=DURATION.
+    std::string request;                       ///< The request to show: NUMBER or NUMBER@CONTROLLER.
+    std::string from, to, outcome;             ///< Texts of --from, --to and --outcome; make_filter parses them.
+    std::string output, svg_file, key_file, format = "json", step = "10s";
+    trace_analysis::HistoryFilter filter;  ///< Without `from`, `to` and `outcome`, which make_filter adds.
+    std::size_t max_requests = 1000;       ///< Greatest number of requests that `find` prints.
+    std::size_t max_rows = 15;             ///< Greatest number of rows in each table of `summarise`.
+    bool show_candidates{};                ///< `show` replays the trace to find the candidate invokers.
 };
 
-/// The filter with all that the options say.
-trace_analysis::HistoryFilter filter_of(const TraceOptions& options);
+/// Returns `options.filter` with the parsed values of --from, --to and --outcome added.
+trace_analysis::HistoryFilter make_filter(const TraceOptions& options);
 
 int verify_traces(const TraceOptions& options);
 int show_request(const TraceOptions& options);
--- a/src/cli/trace_derive.cpp
+++ b/src/cli/trace_derive.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `plumkeel trace cut`, `merge` and `anonymise`: files derived from others.
+/// `plumkeel trace cut`, `merge` and `anonymise`, which write a trace file derived from other trace files.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -21,7 +21,7 @@
 using trace::Time;
 using trace_analysis::ControllerTrace;
 
-// Stored in the files, see TraceOutput.
+// Descriptions of how a trace file was derived; TraceOutput stores them in the file.
 constexpr const char* cut_derivation = "a cut";
 constexpr const char* merged_derivation = "merged of several controllers";
 constexpr const char* pseudonymized_derivation = "without its names";
@@ -41,55 +41,56 @@
     return requests;
 }
 
-/// Clock offsets by what the controllers have in common; prints them.
+/// Estimates the clock offset of each controller from events that the first controller also recorded, and prints it.
 std::vector<Time> estimate_and_print_offsets(const std::vector<ControllerTrace*>& traces) {
     const auto estimates = trace_analysis::estimate_offsets(traces);
     std::vector<Time> offsets;
     for (const trace_analysis::ClockOffset& estimate : estimates) offsets.push_back(estimate.offset);
-    const std::string& first = traces.front()->controller();
+    const std::string& first_controller = traces.front()->controller();
     for (std::size_t i = 1; i < traces.size(); ++i) {
         const trace_analysis::ClockOffset& estimate = estimates[i];
         if (estimate.events)
             fmt::print(
-                "{}: its clock is corrected by {:+.1f} ms, by {} events that {} saw too (median deviation "
+                "{}: clock corrected by {:+.1f} ms, estimated from {} events that {} also recorded (median deviation "
                 "{:.1f} ms)\n",
-                traces[i]->controller(), to_seconds(estimate.offset) * 1e3, estimate.events, first,
+                traces[i]->controller(), to_seconds(estimate.offset) * 1e3, estimate.events, first_controller,
                 to_seconds(estimate.deviation) * 1e3);
         else
-            fmt::print("{}: too few events that {} saw too; its clock is not corrected\n", traces[i]->controller(),
-                       first);
+            fmt::print("{}: clock not corrected: too few events that {} also recorded\n", traces[i]->controller(),
+                       first_controller);
     }
     return offsets;
 }
 
-/// The first line of the key file. Without one, a random key: the tokens then match those of no other file.
+/// Returns the first line of the key file. Without a key file, returns a random key, so that the pseudonyms differ from
+/// those of every other file.
 std::string read_key(const std::string& key_file) {
     std::string key;
     if (!key_file.empty()) {
-        std::ifstream in(key_file);
-        if (!std::getline(in, key)) throw trace::TraceError(key_file + ": cannot be read, or its first line is empty");
+        std::ifstream file(key_file);
+        if (!std::getline(file, key)) throw trace::TraceError(key_file + ": the key file can't be read or is empty");
         return key;
     }
-    std::random_device random;
-    for (int i = 0; i < random_key_bytes; ++i) key.push_back(static_cast<char>(random()));
+    std::random_device random_source;
+    for (int i = 0; i < random_key_bytes; ++i) key.push_back(static_cast<char>(random_source()));
     return key;
 }
 
 }  // namespace
 
 int cut_trace(const TraceOptions& options) {
-    const trace_analysis::HistoryFilter filter = filter_of(options);
+    const trace_analysis::HistoryFilter filter = make_filter(options);
     const std::unordered_set<std::uint64_t> requests = matching_requests(options, filter);
     TraceInput input(options);
     TraceOutput output(options.output, input.stream().start_time(), cut_derivation);
-    const auto is_wanted = [&](const Record& record) {
+    const auto is_included = [&](const Record& record) {
         if (record.type == trace::actions || record.type == trace::wake) return false;
         if (trace::is_name_type(record.type) && record.type != trace::gap) return true;
         if (record.request) return requests.count(record.request) > 0;
         return (!filter.from || record.at >= *filter.from) && (!filter.to || record.at < *filter.to);
     };
     input.for_each("cutting", [&](const Record& record) {
-        if (is_wanted(record)) output.add(record);
+        if (is_included(record)) output.add(record);
         return true;
     });
     fmt::print("{}: {} requests, {} records\n", options.output, requests.size(), output.finish());
@@ -98,12 +99,12 @@
 
 int merge_controllers(const TraceOptions& options) {
     const auto traces = trace_analysis::open_traces(options.files, trace_analysis::open_file_source());
-    std::vector<ControllerTrace*> all;
-    for (const auto& trace : traces) all.push_back(trace.get());
-    const std::vector<Time> offsets = options.offsets.empty()
-                                          ? estimate_and_print_offsets(all)
-                                          : parse_offsets(options.offsets, TraceInput(options).traces());
-    trace_analysis::MergedStream stream(all, offsets);
+    std::vector<ControllerTrace*> trace_pointers;
+    for (const auto& trace : traces) trace_pointers.push_back(trace.get());
+    const std::vector<Time> offsets = options.clock_offsets.empty()
+                                          ? estimate_and_print_offsets(trace_pointers)
+                                          : parse_clock_offsets(options.clock_offsets, TraceInput(options).traces());
+    trace_analysis::MergedStream stream(trace_pointers, offsets);
     TraceOutput output(options.output, stream.start_time(), merged_derivation);
     Progress progress("merging");
     std::uint64_t count = 0;
@@ -111,7 +112,7 @@
         output.add(*record);
         if (++count % records_per_progress_update == 0) progress.update(stream.progress());
     }
-    fmt::print("{}: {} controllers, {} records\n", options.output, all.size(), output.finish());
+    fmt::print("{}: {} controllers, {} records\n", options.output, trace_pointers.size(), output.finish());
     return 0;
 }
 
--- a/src/cli/trace_export.cpp
+++ b/src/cli/trace_export.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `plumkeel trace export`.
+/// `plumkeel trace export`, which writes requests in a format for other tools.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -16,7 +16,7 @@
 using trace_analysis::NameTable;
 using trace_analysis::RequestHistory;
 
-/// One JSON object a line. Returns the number of requests.
+/// Writes each matching request as a JSON object on its own line. Returns the number of requests.
 std::uint64_t export_json(TraceInput& input, const trace_analysis::HistoryFilter& filter, std::ostream& out) {
     std::uint64_t requests = 0;
     for_each_history(input, filter, "exporting", [&](const RequestHistory& history, const NameTable& names) {
@@ -27,10 +27,10 @@
     return requests;
 }
 
-/// One JSON array of trace events. Returns the number of requests.
+/// Writes the matching requests as a JSON array of Chrome trace events. Returns the number of requests.
 std::uint64_t export_chrome(TraceInput& input, const trace_analysis::HistoryFilter& filter, std::ostream& out) {
     std::uint64_t requests = 0;
-    trace_analysis::Summary summary;  // for its annotations
+    trace_analysis::Summary summary;  // used only to collect annotations
     out << "[\n";
     for_each_history(
         input, filter, "exporting",
@@ -42,28 +42,28 @@
         [&](const trace::Record& record, const NameTable& names) { summary.add_annotations(record, names); });
     for (const trace_analysis::Annotation& annotation : summary.annotations())
         out << trace_analysis::to_chrome_event(annotation.at, annotation.what);
-    out << "{}]\n";  // ends the list, whose entries all have a comma behind them
+    out << "{}]\n";  // the empty object ends the array, as a comma follows each event
     return requests;
 }
 
 }  // namespace
 
 int export_requests(const TraceOptions& options) {
-    const trace_analysis::HistoryFilter filter = filter_of(options);
+    const trace_analysis::HistoryFilter filter = make_filter(options);
     if (options.format != "json" && options.format != "chrome")
         throw trace::TraceError("--format " + options.format + ": must be json or chrome");
-    const bool to_standard_output = options.output == "-";
+    const bool is_standard_output = options.output == "-";
     std::ofstream file;
-    if (!to_standard_output) {
+    if (!is_standard_output) {
         file.open(options.output);
-        if (!file) throw trace::TraceError(options.output + ": cannot be written");
+        if (!file) throw trace::TraceError(options.output + ": the file can't be opened for writing");
     }
-    std::ostream& out = to_standard_output ? std::cout : file;
+    std::ostream& out = is_standard_output ? std::cout : file;
     TraceInput input(options, filter.from);
     const std::uint64_t requests =
         options.format == "chrome" ? export_chrome(input, filter, out) : export_json(input, filter, out);
     out.flush();
-    if (!out) throw trace::TraceError(options.output + ": could not be written completely");
+    if (!out) throw trace::TraceError(options.output + ": writing the file failed");
     fmt::print(stderr, "{} requests\n", requests);
     return 0;
 }
--- a/src/cli/trace_input.cpp
+++ b/src/cli/trace_input.cpp
@@ -21,7 +21,7 @@
 using trace_analysis::RequestHistory;
 
 constexpr std::uint64_t records_per_progress_update = 4096;
-/// A request ends at its deadline; its last records may come this much later.
+/// Records of a request may be written this long after its deadline.
 constexpr Time deadline_tolerance = std::chrono::seconds(1);
 
 Time parse_signed_duration(const std::string& text) {
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-double to_seconds(Time t) {
-    return static_cast<double>(t.count()) / 1e6;
+double to_seconds(Time duration) {
+    return static_cast<double>(duration.count()) / 1e6;
 }
 
 void print_damage(const std::string& file, const trace::Reader& reader) {
@@ -41,7 +41,7 @@
                    damage.before ? fmt::format(", before {:.3f} s", to_seconds(*damage.before)) : "");
 }
 
-trace_analysis::HistoryFilter filter_of(const TraceOptions& options) {
+trace_analysis::HistoryFilter make_filter(const TraceOptions& options) {
     trace_analysis::HistoryFilter filter = options.filter;
     if (!options.from.empty()) filter.from = parse_duration(options.from);
     if (!options.to.empty()) filter.to = parse_duration(options.to);
@@ -49,17 +49,17 @@
     return filter;
 }
 
-std::vector<Time> parse_offsets(const std::vector<std::string>& arguments,
-                                const std::vector<std::unique_ptr<ControllerTrace>>& traces) {
+std::vector<Time> parse_clock_offsets(const std::vector<std::string>& arguments,
+                                      const std::vector<std::unique_ptr<ControllerTrace>>& traces) {
     std::vector<Time> offsets(traces.size());
     for (const std::string& argument : arguments) {
         const auto equals = argument.find('=');
-        const auto trace = std::find_if(traces.begin(), traces.end(), [&](const auto& each) {
-            return equals != std::string::npos && each->controller() == argument.substr(0, equals);
+        const auto trace = std::find_if(traces.begin(), traces.end(), [&](const auto& candidate) {
+            return equals != std::string::npos && candidate->controller() == argument.substr(0, equals);
         });
         if (trace == traces.end())
             throw trace::TraceError("--offset " + argument +
-                                    ": not CONTROLLER=DURATION, or the files hold no such controller");
+                                    ": must be CONTROLLER=DURATION, with a controller whose trace was given");
         offsets[static_cast<std::size_t>(trace - traces.begin())] = parse_signed_duration(argument.substr(equals + 1));
     }
     return offsets;
@@ -71,9 +71,10 @@
         traces_.front()->rewind(from);
         return;
     }
-    std::vector<ControllerTrace*> all;
-    for (const auto& trace : traces_) all.push_back(trace.get());
-    merged_ = std::make_unique<trace_analysis::MergedStream>(all, parse_offsets(options.offsets, traces_), from);
+    std::vector<ControllerTrace*> trace_pointers;
+    for (const auto& trace : traces_) trace_pointers.push_back(trace.get());
+    merged_stream_ = std::make_unique<trace_analysis::MergedStream>(
+        trace_pointers, parse_clock_offsets(options.clock_offsets, traces_), from);
 }
 
 TraceInput::~TraceInput() {
@@ -82,7 +83,7 @@
 }
 
 trace_analysis::RecordStream& TraceInput::stream() {
-    if (merged_) return *merged_;
+    if (merged_stream_) return *merged_stream_;
     return *traces_.front();
 }
 
--- a/src/cli/trace_input.hpp
+++ b/src/cli/trace_input.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The trace files that a command was given, as one stream.
+/// Reads the trace files given to a command as one stream of records.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,18 @@
 
 namespace plumkeel::cli {
 
-/// Prints what the reader found damaged, to the standard error.
+/// Prints the damaged parts that the reader found to standard error.
 void print_damage(const std::string& file, const trace::Reader& reader);
 
-double to_seconds(trace::Time t);
+double to_seconds(trace::Time duration);
 
-/// The clock offsets that the command line gave, one for each trace. Throws TraceError.
-std::vector<trace::Time> parse_offsets(const std::vector<std::string>& arguments,
-                                       const std::vector<std::unique_ptr<trace_analysis::ControllerTrace>>& traces);
+/// Parses CONTROLLER=DURATION arguments. Returns one clock offset for each trace, 0 if none is given. Throws
+/// TraceError.
+std::vector<trace::Time> parse_clock_offsets(
+    const std::vector<std::string>& arguments,
+    const std::vector<std::unique_ptr<trace_analysis::ControllerTrace>>& traces);
 
-/// Opens the files; several controllers' traces are merged. Damage is printed on destruction.
+/// Opens the files and merges the traces of several controllers. The destructor prints the damaged parts of the files.
 class TraceInput {
 public:
     using RecordVisitor = std::function<bool(const trace::Record&)>;
@@ -35,17 +37,17 @@
     trace_analysis::RecordStream& stream();
     std::vector<std::unique_ptr<trace_analysis::ControllerTrace>>& traces() { return traces_; }
 
-    /// All records, with a progress bar; `visitor` returns false to stop.
+    /// Calls `visitor` for each record and draws a progress bar; `visitor` returns false to stop.
     void for_each(const char* label, const RecordVisitor& visitor);
 
 private:
     std::vector<std::unique_ptr<trace_analysis::ControllerTrace>> traces_;
-    std::unique_ptr<trace_analysis::RecordStream> merged_;
+    std::unique_ptr<trace_analysis::RecordStream> merged_stream_;
 };
 
-/// Calls `on_history` for the histories that match, in the order in which they ended; it returns false to stop. Stops
-/// by itself where no later record can concern a request within the filter's time. `on_record`, if any, gets every
-/// record on the way.
+/// Calls `on_history` for each request history that matches the filter, in the order in which the requests ended;
+/// `on_history` returns false to stop. Reading also stops at the first record that is too late to belong to a request
+/// received before the filter's end. `on_record`, if given, is called for every record read.
 void for_each_history(
     TraceInput& input, const trace_analysis::HistoryFilter& filter, const char* label,
     const std::function<bool(const trace_analysis::RequestHistory&, const trace_analysis::NameTable&)>& on_history,
--- a/src/cli/trace_inspect.cpp
+++ b/src/cli/trace_inspect.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `plumkeel trace verify` and `find`.
+/// `plumkeel trace verify`, which checks trace files, and `find`, which lists requests.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -20,8 +20,8 @@
 
 struct FileContents {
     std::uint64_t records{}, gaps{};
-    std::optional<Time> first;
-    Time last{};
+    std::optional<Time> first_at;
+    Time last_at{};
     std::string derivation;
 };
 
@@ -31,8 +31,8 @@
     for (std::size_t block = 0; block < reader.blocks().size();) {
         for (const Record& record : reader.next_block(block)) {
             ++contents.records;
-            if (!contents.first) contents.first = record.at;
-            contents.last = record.at;
+            if (!contents.first_at) contents.first_at = record.at;
+            contents.last_at = record.at;
             contents.gaps += record.type == trace::gap;
             if (record.type == trace::resumed)
                 contents.derivation = trace::unpack<trace::Resumed>(record.body).derivation;
@@ -51,10 +51,10 @@
         trace::Reader reader(source);
         const FileContents contents = read_contents(name, reader);
         fmt::print("{}: {} records in {} blocks, {:.3f} to {:.3f} s, {}{}{}\n", name, contents.records,
-                   reader.blocks().size(), to_seconds(contents.first.value_or(Time{})), to_seconds(contents.last),
+                   reader.blocks().size(), to_seconds(contents.first_at.value_or(Time{})), to_seconds(contents.last_at),
                    reader.finished() ? "finished" : "not finished",
                    contents.derivation.empty() ? "" : ", " + contents.derivation,
-                   contents.gaps ? fmt::format(", {} gaps where the recorder dropped", contents.gaps) : "");
+                   contents.gaps ? fmt::format(", {} gaps where the recorder dropped records", contents.gaps) : "");
         std::fflush(stdout);
         print_damage(name, reader);
         if (!reader.damage().empty()) status = 1;
@@ -63,16 +63,17 @@
 }
 
 int find_requests(const TraceOptions& options) {
-    const trace_analysis::HistoryFilter filter = filter_of(options);
+    const trace_analysis::HistoryFilter filter = make_filter(options);
     TraceInput input(options, filter.from);
-    std::size_t found = 0;
+    std::size_t found_requests = 0;
     for_each_history(input, filter, "finding",
                      [&](const trace_analysis::RequestHistory& history, const trace_analysis::NameTable& names) {
                          std::cout << trace_analysis::format_line(history, names) << '\n';
-                         return ++found < options.limit;
+                         return ++found_requests < options.max_requests;
                      });
-    fmt::print("{} requests{}\n", found, found == options.limit ? ", and perhaps more: see --limit" : "");
-    return found ? 0 : 1;
+    fmt::print("{} requests{}\n", found_requests,
+               found_requests == options.max_requests ? ", and perhaps more: see --limit" : "");
+    return found_requests ? 0 : 1;
 }
 
 }  // namespace plumkeel::cli
--- a/src/cli/trace_replay.cpp
+++ b/src/cli/trace_replay.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `plumkeel trace redecide`: replays traces and compares the decisions.
+/// `plumkeel trace redecide`, which replays traces and compares the decisions with the recorded ones.
 #include <fmt/format.h>
 
 #include <map>
@@ -20,12 +20,12 @@
 
 constexpr std::uint64_t records_per_progress_update = 4096;
 
-using Field = std::variant<Time*, double*, int*, bool*>;
+using SettingField = std::variant<Time*, double*, int*, bool*>;
 
-/// What --change may alter, by the names that the settings file gives them.
-std::map<std::string, Field> changeable_fields(trace::SchedulerSettings& start) {
-    Capabilities& capabilities = start.capabilities;
-    SafetyRules& rules = start.rules;
+/// The settings that --change may replace, by their names in the settings file.
+std::map<std::string, SettingField> changeable_fields(trace::SchedulerSettings& settings) {
+    Capabilities& capabilities = settings.capabilities;
+    SafetyRules& rules = settings.rules;
     return {
         {"keep_alive", &capabilities.keep_alive},
         {"tick", &capabilities.clock_resolution},
@@ -64,21 +64,23 @@
     field = value == "true";
 }
 
-void apply_change(trace::SchedulerSettings& start, const std::string& change) {
+void apply_change(trace::SchedulerSettings& settings, const std::string& change) {
     const auto equals = change.find('=');
     if (equals == std::string::npos) throw ConfigError("--change " + change + ": must be NAME=VALUE");
     const std::string name = change.substr(0, equals), value = change.substr(equals + 1);
-    const std::map<std::string, Field> fields = changeable_fields(start);
+    const std::map<std::string, SettingField> fields = changeable_fields(settings);
     const auto field = fields.find(name);
-    if (field == fields.end()) throw ConfigError("--change " + change + ": there is no setting of that name to change");
+    if (field == fields.end())
+        throw ConfigError("--change " + change + ": no setting of this name can be changed in a replay");
     try {
         std::visit([&](auto* target) { parse_into(*target, value); }, field->second);
     } catch (const std::logic_error&) {
-        throw ConfigError("--change " + change + ": '" + value + "' is not a valid value");
+        throw ConfigError("--change " + change + ": '" + value +
+                          "' is not valid: expected a number, or true or false for a boolean setting");
     }
 }
 
-/// Replays until the end, or until a record that cannot be replayed. Returns why it stopped early.
+/// Replays the trace until its end or the first record that can't be replayed. Returns the reason for an early stop.
 std::optional<std::string> replay(ControllerTrace& trace, trace::Replayer& replayer) {
     trace.rewind();
     Progress progress("replaying " + trace.controller());
@@ -95,10 +97,11 @@
 }
 
 void print_differences(const trace::Comparison& comparison) {
-    const trace::Difference& first = *comparison.first;
-    fmt::print(
-        "  the first at call {}, {:.6f} s{}\n  recorded: {}\n  replayed: {}\n", first.call, to_seconds(first.record.at),
-        first.record.request ? fmt::format(", request {}", first.record.request) : "", first.recorded, first.replayed);
+    const trace::Difference& first_difference = *comparison.first;
+    fmt::print("  first difference: call {}, {:.6f} s{}\n  recorded: {}\n  replayed: {}\n", first_difference.call,
+               to_seconds(first_difference.record.at),
+               first_difference.record.request ? fmt::format(", request {}", first_difference.record.request) : "",
+               first_difference.recorded, first_difference.replayed);
     for (const auto& [request, paths] : comparison.diverged)
         fmt::print("  request {}: recorded {}; replayed {}\n", request, paths.recorded, paths.replayed);
     if (comparison.different_requests > comparison.diverged.size())
@@ -110,10 +113,10 @@
 int replay_traces(const TraceOptions& options) {
     int status = 0;
     for (const auto& trace : trace_analysis::open_traces(options.files, trace_analysis::open_file_source())) {
-        trace::Replayer replayer([&](trace::SchedulerSettings& start) {
-            for (const std::string& change : options.changes) apply_change(start, change);
+        trace::Replayer replayer([&](trace::SchedulerSettings& settings) {
+            for (const std::string& change : options.setting_changes) apply_change(settings, change);
         });
-        const std::optional<std::string> stopped = replay(*trace, replayer);
+        const std::optional<std::string> stop_reason = replay(*trace, replayer);
         for (const auto& file : trace->files()) print_damage(file.name, *file.reader);
         const trace::Comparison comparison = replayer.compare();
         const std::string verdict = comparison.first
@@ -121,9 +124,9 @@
                                                       comparison.different_calls, comparison.different_requests)
                                         : "identical";
         fmt::print("{}: {} calls, {} requests: {}{}\n", trace->controller(), comparison.calls, comparison.requests,
-                   verdict, stopped ? "; " + *stopped : "");
+                   verdict, stop_reason ? "; " + *stop_reason : "");
         if (comparison.first) print_differences(comparison);
-        if (comparison.first || stopped) status = 1;
+        if (comparison.first || stop_reason) status = 1;
     }
     return status;
 }
--- a/src/cli/trace_summarize.cpp
+++ b/src/cli/trace_summarize.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `plumkeel trace summarise`.
+/// `plumkeel trace summarise`, which prints tables of outcomes, latencies and attempts.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -19,22 +19,23 @@
 using trace_analysis::SecondStats;
 using trace_analysis::Summary;
 
-constexpr const char* request_row =
+constexpr const char* request_row_format =
     "{:<22} {:>9} {:>9} {:>7} {:>8} {:>7} {:>9} {:>7} {:>12} {:>9} {:>9} {:>9} {:>10}\n";
-constexpr const char* invoker_row = "{:<22} {:>9} {:>9} {:>9} {:>9} {:>11} {:>9} {:>9} {:>6} {:>9} {:>6} {:>9} {:>9}\n";
-constexpr const char* time_row = "{:<22} {:>9} {:>9} {:>7} {:>8} {:>7} {:>9} {:>9}\n";
+constexpr const char* invoker_row_format =
+    "{:<22} {:>9} {:>9} {:>9} {:>9} {:>11} {:>9} {:>9} {:>6} {:>9} {:>6} {:>9} {:>9}\n";
+constexpr const char* time_row_format = "{:<22} {:>9} {:>9} {:>7} {:>8} {:>7} {:>9} {:>9}\n";
 
-std::string format_ms(Time t) {
-    return fmt::format("{:.1f}", to_seconds(t) * 1e3);
+std::string format_ms(Time duration) {
+    return fmt::format("{:.1f}", to_seconds(duration) * 1e3);
 }
 
-std::string format_share(std::uint64_t part, std::uint64_t all) {
-    return all ? fmt::format("{:.1f}%", 100.0 * static_cast<double>(part) / static_cast<double>(all)) : "-";
+std::string format_share(std::uint64_t part, std::uint64_t total) {
+    return total ? fmt::format("{:.1f}%", 100.0 * static_cast<double>(part) / static_cast<double>(total)) : "-";
 }
 
 void print_request_heading(const char* title) {
     fmt::print("\n");
-    fmt::print(request_row, title, "requests", "in time", "late", "rejected", "failed", "cancelled", "open",
+    fmt::print(request_row_format, title, "requests", "in time", "late", "rejected", "failed", "cancelled", "open",
                "attempts/req", "p50 ms", "p99 ms", "p99.9 ms", "parked p99");
 }
 
@@ -42,7 +43,7 @@
     const OutcomeCounts& counts = stats.outcomes;
     const double attempts_per_request =
         counts.total() ? static_cast<double>(stats.attempts) / static_cast<double>(counts.total()) : 0;
-    fmt::print(request_row, name.empty() ? "(none)" : name, counts.total(),
+    fmt::print(request_row_format, name.empty() ? "(none)" : name, counts.total(),
                format_share(counts.succeeded, counts.total()), counts.late, counts.rejected, counts.failed,
                counts.cancelled, counts.unfinished, fmt::format("{:.2f}", attempts_per_request),
                format_ms(stats.duration.quantile(0.5)), format_ms(stats.duration.quantile(0.99)),
@@ -50,23 +51,23 @@
 }
 
 void print_invoker_row(const std::string& name, const AttemptStats& stats) {
-    fmt::print(invoker_row, name, stats.sent, format_share(stats.succeeded, stats.sent), stats.rejected,
+    fmt::print(invoker_row_format, name, stats.sent, format_share(stats.succeeded, stats.sent), stats.rejected,
                stats.connection_lost, stats.unreachable, stats.timed_out, stats.cancelled, stats.other, stats.in_flight,
                stats.loads, format_ms(stats.duration.quantile(0.5)), format_ms(stats.duration.quantile(0.99)));
 }
 
-/// The rows with the greatest `size`, at most `top`.
+/// Prints the rows with the greatest `size` in descending order, at most `max_rows` of them.
 template <class Stats, class Size, class Print>
-void print_rows(const std::map<std::string, Stats>& rows, std::size_t top, Size size, Print print) {
+void print_rows(const std::map<std::string, Stats>& rows, std::size_t max_rows, Size size, Print print) {
     std::vector<std::pair<std::uint64_t, const std::pair<const std::string, Stats>*>> by_size;
     for (const auto& row : rows) by_size.emplace_back(size(row.second), &row);
     std::stable_sort(by_size.begin(), by_size.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
-    for (std::size_t i = 0; i < std::min(top, by_size.size()); ++i)
+    for (std::size_t i = 0; i < std::min(max_rows, by_size.size()); ++i)
         print(by_size[i].second->first, by_size[i].second->second);
-    if (by_size.size() > top) fmt::print("and {} more: see --top\n", by_size.size() - top);
+    if (by_size.size() > max_rows) fmt::print("and {} more rows: see --top\n", by_size.size() - max_rows);
 }
 
-void print_request_tables(const Summary& summary, std::size_t top) {
+void print_request_tables(const Summary& summary, std::size_t max_rows) {
     print_request_heading("");
     print_request_row("all", summary.all());
     for (const auto& [title, rows] : {std::pair{"by request class", &summary.request_classes()},
@@ -74,21 +75,22 @@
                                       {"by function", &summary.functions()}}) {
         print_request_heading(title);
         print_rows(
-            *rows, top, [](const RequestStats& stats) { return stats.outcomes.total(); }, print_request_row);
+            *rows, max_rows, [](const RequestStats& stats) { return stats.outcomes.total(); }, print_request_row);
     }
 }
 
-void print_invoker_table(const Summary& summary, std::size_t top) {
+void print_invoker_table(const Summary& summary, std::size_t max_rows) {
     fmt::print("\n");
-    fmt::print(invoker_row, "by invoker", "attempts", "succeeded", "rejected", "conn.lost", "unreachable", "timed out",
-               "cancelled", "other", "in flight", "loads", "p50 ms", "p99 ms");
+    fmt::print(invoker_row_format, "by invoker", "attempts", "succeeded", "rejected", "conn.lost", "unreachable",
+               "timed out", "cancelled", "other", "in flight", "loads", "p50 ms", "p99 ms");
     print_rows(
-        summary.invokers(), top, [](const AttemptStats& stats) { return stats.sent; }, print_invoker_row);
+        summary.invokers(), max_rows, [](const AttemptStats& stats) { return stats.sent; }, print_invoker_row);
 }
 
 void print_time_table(const Summary& summary, Time step) {
     fmt::print("\n");
-    fmt::print(time_row, "over time", "received", "in time", "late", "rejected", "failed", "cancelled", "parked");
+    fmt::print(time_row_format, "over time", "received", "in time", "late", "rejected", "failed", "cancelled",
+               "parked");
     const std::vector<SecondStats>& seconds = summary.seconds();
     const auto step_s = std::max<std::size_t>(1, static_cast<std::size_t>(step / std::chrono::seconds(1)));
     for (std::size_t from = 0; from < seconds.size(); from += step_s) {
@@ -99,7 +101,7 @@
             received += seconds[i].received;
             parked = std::max(parked, seconds[i].parked);
         }
-        fmt::print(time_row, fmt::format("{} to {} s", from, from + step_s), received,
+        fmt::print(time_row_format, fmt::format("{} to {} s", from, from + step_s), received,
                    format_share(ended.succeeded, ended.total()), ended.late, ended.rejected, ended.failed,
                    ended.cancelled, parked);
     }
@@ -115,12 +117,12 @@
         ended.cancelled);
 }
 
-void print_annotations(const Summary& summary, std::size_t max) {
+void print_annotations(const Summary& summary, std::size_t max_lines) {
     const std::vector<trace_analysis::Annotation>& annotations = summary.annotations();
     if (!annotations.empty()) fmt::print("\nevents\n");
-    for (std::size_t i = 0; i < std::min(max, annotations.size()); ++i)
+    for (std::size_t i = 0; i < std::min(max_lines, annotations.size()); ++i)
         fmt::print("{:12.3f} s  {}\n", to_seconds(annotations[i].at), annotations[i].what);
-    if (annotations.size() > max) fmt::print("and {} more\n", annotations.size() - max);
+    if (annotations.size() > max_lines) fmt::print("and {} more events\n", annotations.size() - max_lines);
 }
 
 std::string chart_title(TraceInput& input, const Summary& summary) {
@@ -132,7 +134,7 @@
 }  // namespace
 
 int summarize_trace(const TraceOptions& options) {
-    const trace_analysis::HistoryFilter filter = filter_of(options);
+    const trace_analysis::HistoryFilter filter = make_filter(options);
     const Time step = parse_duration(options.step);
     TraceInput input(options, filter.from);
     Summary summary;
@@ -147,17 +149,17 @@
         });
     summary.finish();
     if (summary.all().outcomes.total() == 0) {
-        fmt::print(stderr, "plumkeel: no request matches\n");
+        fmt::print(stderr, "plumkeel: no request in the traces matches the filter\n");
         return 1;
     }
-    print_request_tables(summary, options.top);
-    print_invoker_table(summary, options.top);
+    print_request_tables(summary, options.max_rows);
+    print_invoker_table(summary, options.max_rows);
     print_time_table(summary, step);
     print_worst_period(summary);
-    print_annotations(summary, options.top * 2);
-    if (!options.svg.empty()) {
-        trace_analysis::draw_summary(summary, chart_title(input, summary), options.svg);
-        fmt::print("\nchart written to {}\n", options.svg);
+    print_annotations(summary, options.max_rows * 2);
+    if (!options.svg_file.empty()) {
+        trace_analysis::draw_summary(summary, chart_title(input, summary), options.svg_file);
+        fmt::print("\nchart written to {}\n", options.svg_file);
     }
     return 0;
 }
