--- a/scenarios/alerts/frozen.jsonnet
+++ b/scenarios/alerts/frozen.jsonnet
@@ -1,4 +1,4 @@
-// A controller stands still for a second and a half.
+// A controller process is paused for 1.5 seconds.
 (import 'quiet.jsonnet') {
   happenings: [
     { at: '12s', kind: 'freeze', who: ['c2'], lasts: '1500ms' },
--- a/scenarios/alerts/mild.jsonnet
+++ b/scenarios/alerts/mild.jsonnet
@@ -1,4 +1,5 @@
-// A mild day: one invoker dies and comes back cold, one pauses now and then, two are replaced. No alert may fire.
+// Minor faults that must not fire an alert: one invoker crashes and restarts cold, one pauses for 80 ms every
+// 2 seconds, and two are replaced.
 (import 'quiet.jsonnet') {
   happenings: [
     { at: '8s', kind: 'crash', who: ['i3'], notice: '1s', lasts: '5s' },
--- a/scenarios/alerts/store-slow.jsonnet
+++ b/scenarios/alerts/store-slow.jsonnet
@@ -1,4 +1,4 @@
-// The store takes thirty times as long, and a rolling replacement makes everyone fetch.
+// The function store becomes thirty times slower while a rolling replacement makes invokers fetch their functions again.
 (import 'quiet.jsonnet') {
   happenings: [
     { at: '12s', kind: 'command', who: 'store', say: 'slow factor=30', 'then': 'slow factor=1', lasts: '10s' },
--- a/scenarios/bad-day.jsonnet
+++ b/scenarios/bad-day.jsonnet
@@ -1,6 +1,6 @@
-// A bad day: three controllers, fourteen invokers, all three kinds of use case, and over twenty seconds crash
-// with cold return, silence, answers lost, a slow store, a rolling replacement, a late list, a tenant's burst,
-// a killed controller and a short stall of another, overlapping.
+// Three controllers and fourteen invokers run requests of three classes under overlapping faults: invokers that crash
+// and restart cold, an unreachable invoker, lost responses, a slow function store, a rolling replacement, a delayed
+// endpoint list, a burst of one tenant, a killed controller and a paused controller.
 local invoker(i) = {
   name: 'i%d' % i,
   zone: if i <= 7 then 'a' else 'b',
--- a/scenarios/fresh-fleet.jsonnet
+++ b/scenarios/fresh-fleet.jsonnet
@@ -1,5 +1,5 @@
-// A fresh fleet: all invokers start cold with the day, under three controllers that see each other's work only in
-// load reports. Together they must push none over, and a favourite draws all of them to one.
+// All invokers start cold, and one function gets 40% of the requests for 4 seconds. The three controllers know each other's
+// load only from the load reports of the invokers; together they must not overload an invoker.
 (import 'bad-day.jsonnet') {
   length: '10s',
   fresh: true,
--- a/scenarios/killed-when-full.jsonnet
+++ b/scenarios/killed-when-full.jsonnet
@@ -1,4 +1,5 @@
-// All controllers are killed with hundreds of jobs open, and come back on their ports at once; later one more.
+// All controllers are killed while hundreds of requests are open, and restart on the same ports after 50 ms. Later, one
+// controller is killed again.
 (import 'bad-day.jsonnet') {
   length: '10s',
   clients+: { rate: 400, retries: 0, impatient: 0 },
--- a/scenarios/short-day.jsonnet
+++ b/scenarios/short-day.jsonnet
@@ -1,5 +1,5 @@
-// A few seconds of trouble for the tests: the bad day's deployment and a part of its happenings. What it judges is
-// who sent what in which order; the slack is wide, so that the verdict does not rest on the machine's speed.
+// A six-second scenario for the tests: the deployment of bad-day.jsonnet with some of its faults. The auditor's time
+// tolerance (slack) is large, so that the verdict does not depend on the speed of the machine.
 (import 'bad-day.jsonnet') {
   length: '6s',
   slack: '1500ms',
