--- a/emulator/promql/aggregation.cpp
+++ b/emulator/promql/aggregation.cpp
@@ -9,15 +9,15 @@
 
 using Kind = Aggregation::Kind;
 
-constexpr std::pair<std::string_view, Kind> names[] = {
+constexpr std::pair<std::string_view, Kind> kinds_by_name[] = {
     {"sum", Kind::sum}, {"max", Kind::max}, {"min", Kind::min}, {"avg", Kind::avg}, {"count", Kind::count},
 };
 
 }  // namespace
 
-std::optional<Kind> Aggregation::find(std::string_view name) {
-    const auto* const it = std::ranges::find_if(names, [&](const auto& each) { return each.first == name; });
-    if (it == std::end(names)) return {};
+std::optional<Kind> Aggregation::find_kind(std::string_view name) {
+    const auto* const it = std::ranges::find_if(kinds_by_name, [&](const auto& entry) { return entry.first == name; });
+    if (it == std::end(kinds_by_name)) return {};
     return it->second;
 }
 
@@ -28,7 +28,7 @@
     ++count;
 }
 
-double Aggregation::result(const Group& group) const {
+double Aggregation::group_value(const Group& group) const {
     const auto count = static_cast<double>(group.count);
     switch (kind_) {
         case Kind::sum:
@@ -45,13 +45,13 @@
     return count;
 }
 
-Vector Aggregation::evaluate(const Database& data, std::int64_t ms) const {
+Vector Aggregation::evaluate(const Database& database, std::int64_t time_ms) const {
     std::map<Labels, Group> groups;
-    for (const VectorElement& element : operand_->evaluate(data, ms))
-        groups[grouping_.select(element.labels)].add(element.value);
-    Vector vector;
-    for (const auto& [labels, group] : groups) vector.push_back({labels, result(group)});
-    return vector;
+    for (const VectorElement& element : operand_->evaluate(database, time_ms))
+        groups[grouping_labels_.select(element.labels)].add(element.value);
+    Vector result;
+    for (const auto& [labels, group] : groups) result.push_back({labels, group_value(group)});
+    return result;
 }
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/aggregation.hpp
+++ b/emulator/promql/aggregation.hpp
@@ -1,4 +1,4 @@
-/// Aggregation over the elements of an instant vector: sum, max, min, avg, count.
+/// The PromQL aggregation operators sum, max, min, avg and count.
 #pragma once
 
 #include <optional>
@@ -13,12 +13,12 @@
 class Aggregation : public Expression {
 public:
     enum class Kind { sum, max, min, avg, count };
-    /// Empty where no aggregation has the name.
-    static std::optional<Kind> find(std::string_view name);
+    /// Returns nullopt if no aggregation operator has this name.
+    static std::optional<Kind> find_kind(std::string_view name);
 
-    Aggregation(Kind kind, LabelSelection grouping, ExpressionPtr operand)
-        : kind_(kind), grouping_(std::move(grouping)), operand_(std::move(operand)) {}
-    Vector evaluate(const Database& data, std::int64_t ms) const override;
+    Aggregation(Kind kind, LabelSelection grouping_labels, ExpressionPtr operand)
+        : kind_(kind), grouping_labels_(std::move(grouping_labels)), operand_(std::move(operand)) {}
+    Vector evaluate(const Database& database, std::int64_t time_ms) const override;
 
 private:
     struct Group {
@@ -26,10 +26,10 @@
         std::size_t count{};
         void add(double value);
     };
-    double result(const Group& group) const;
+    double group_value(const Group& group) const;
 
     const Kind kind_;
-    const LabelSelection grouping_;
+    const LabelSelection grouping_labels_;
     const ExpressionPtr operand_;
 };
 
--- a/emulator/promql/alert_rules.cpp
+++ b/emulator/promql/alert_rules.cpp
@@ -13,19 +13,17 @@
 namespace plumkeel::promql {
 namespace {
 
-// ---------------------------------------------------------------- reading
-
 std::int64_t read_duration_ms(const YAML::Node& node, const std::string& field, std::int64_t min_ms) {
-    const std::optional<double> duration = parse_duration_ms(node.as<std::string>());
-    if (!duration || *duration < static_cast<double>(min_ms))
+    const std::optional<double> duration_ms = parse_duration_ms(node.as<std::string>());
+    if (!duration_ms || *duration_ms < static_cast<double>(min_ms))
         throw Error(field + ": expected a duration of at least " + std::to_string(min_ms) + " ms such as 30s, found '" +
                     node.as<std::string>() + "'");
-    return static_cast<std::int64_t>(*duration);
+    return static_cast<std::int64_t>(*duration_ms);
 }
 
 Labels read_labels(const YAML::Node& node) {
     Labels labels;
-    for (const auto& item : node) labels[item.first.as<std::string>()] = item.second.as<std::string>();
+    for (const auto& entry : node) labels[entry.first.as<std::string>()] = entry.second.as<std::string>();
     return labels;
 }
 
@@ -49,24 +47,22 @@
         if (rule["alert"]) file.rules.push_back(read_rule(rule, name));
 }
 
-// ---------------------------------------------------------------- evaluation
-
-// The alerts of one rule.
-class AlertTracker {
+// Evaluates one alert rule and stores the state of its alerts.
+class RuleEvaluator {
 public:
-    explicit AlertTracker(const AlertRule& rule) : rule_(rule), query_(rule.expr) {}
+    explicit RuleEvaluator(const AlertRule& rule) : rule_(rule), query_(rule.expr) {}
 
-    void evaluate(const Database& data, std::int64_t ms, std::vector<AlertTransition>& transitions) {
-        std::set<Labels> active;
-        for (const VectorElement& element : query_.at(data, ms)) {
+    void evaluate(const Database& database, std::int64_t time_ms, std::vector<AlertTransition>& transitions) {
+        std::set<Labels> active_labels;
+        for (const VectorElement& element : query_.evaluate(database, time_ms)) {
             const Labels labels = without_metric_name(element.labels);
-            active.insert(labels);
-            update(labels, element.value, ms, transitions);
+            active_labels.insert(labels);
+            update_alert(labels, element.value, time_ms, transitions);
         }
-        std::erase_if(alerts_, [&](const auto& item) {
-            const auto& [labels, alert] = item;
-            if (active.contains(labels)) return false;
-            if (alert.firing) transitions.push_back({ms, rule_.name, labels, AlertState::resolved, 0});
+        std::erase_if(alerts_, [&](const auto& entry) {
+            const auto& [labels, alert] = entry;
+            if (active_labels.contains(labels)) return false;
+            if (alert.firing) transitions.push_back({time_ms, rule_.name, labels, AlertState::resolved, 0});
             return true;
         });
     }
@@ -77,13 +73,15 @@
         bool firing{};
     };
 
-    void update(const Labels& labels, double value, std::int64_t ms, std::vector<AlertTransition>& transitions) {
-        const auto [it, added] = alerts_.try_emplace(labels, Alert{ms, false});
+    void update_alert(const Labels& labels, double value, std::int64_t time_ms,
+                      std::vector<AlertTransition>& transitions) {
+        const auto [it, is_new] = alerts_.try_emplace(labels, Alert{time_ms, false});
         Alert& alert = it->second;
-        if (added && rule_.for_ms > 0) transitions.push_back({ms, rule_.name, labels, AlertState::pending, value});
-        if (alert.firing || ms - alert.active_since_ms < rule_.for_ms) return;
+        if (is_new && rule_.for_ms > 0)
+            transitions.push_back({time_ms, rule_.name, labels, AlertState::pending, value});
+        if (alert.firing || time_ms - alert.active_since_ms < rule_.for_ms) return;
         alert.firing = true;
-        transitions.push_back({ms, rule_.name, labels, AlertState::firing, value});
+        transitions.push_back({time_ms, rule_.name, labels, AlertState::firing, value});
     }
 
     const AlertRule& rule_;
@@ -97,7 +95,8 @@
     RuleFile file;
     try {
         const YAML::Node root = YAML::Load(text);
-        if (!root["groups"] || !root["groups"].IsSequence()) throw Error("rule file: 'groups' must be a list");
+        if (!root["groups"] || !root["groups"].IsSequence())
+            throw Error("rule file: the key 'groups' is missing or is not a list");
         for (const YAML::Node& group : root["groups"]) read_group(group, file);
     } catch (const YAML::Exception& error) {
         throw Error(std::string("rule file: ") + error.what());
@@ -117,13 +116,13 @@
     return "resolved";
 }
 
-std::vector<AlertTransition> evaluate_rules(const RuleFile& file, const Database& data) {
+std::vector<AlertTransition> evaluate_rules(const RuleFile& file, const Database& database) {
     std::vector<AlertTransition> transitions;
-    std::vector<AlertTracker> trackers;
-    trackers.reserve(file.rules.size());
-    for (const AlertRule& rule : file.rules) trackers.emplace_back(rule);
-    for (std::int64_t ms = data.first_ms(); ms <= data.last_ms(); ms += file.interval_ms)
-        for (AlertTracker& tracker : trackers) tracker.evaluate(data, ms, transitions);
+    std::vector<RuleEvaluator> evaluators;
+    evaluators.reserve(file.rules.size());
+    for (const AlertRule& rule : file.rules) evaluators.emplace_back(rule);
+    for (std::int64_t time_ms = database.first_ms(); time_ms <= database.last_ms(); time_ms += file.interval_ms)
+        for (RuleEvaluator& evaluator : evaluators) evaluator.evaluate(database, time_ms, transitions);
     return transitions;
 }
 
--- a/emulator/promql/alert_rules.hpp
+++ b/emulator/promql/alert_rules.hpp
@@ -1,4 +1,4 @@
-/// Alert rules of a Prometheus rule file, and their evaluation over samples.
+/// Reads the alert rules of a Prometheus rule file and evaluates them over recorded samples.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,32 @@
 
 struct AlertRule {
     std::string group, name, expr;
-    std::int64_t for_ms{};  ///< how long the expression must hold before the alert fires
+    std::int64_t for_ms{};  ///< how long an alert must be active before it fires
     Labels labels, annotations;
 };
 
 struct RuleFile {
-    std::int64_t interval_ms = 1000;  ///< between two evaluations
+    std::int64_t interval_ms = 1000;  ///< time between two evaluations of every rule
     std::vector<AlertRule> rules;
 };
 
-/// Reads the text of a rule file (YAML); recording rules are ignored. Throws Error that names the rule.
+/// Parses a rule file in YAML and ignores its recording rules. Throws Error if the file or an expression is invalid.
 RuleFile read_rules(const std::string& text);
 
 enum class AlertState { pending, firing, resolved };
 
 std::string_view to_string(AlertState state);
 
-/// A change of state of one alert, which is identified by its rule and its labels.
+/// A change of the state of an alert. An alert is identified by its rule and its labels.
 struct AlertTransition {
     std::int64_t ms{};
     std::string rule;
     Labels labels;
     AlertState state{};
-    double value{};  ///< of the expression; 0 once resolved
+    double value{};  ///< value of the rule's expression; 0 if the alert is resolved
 };
 
-/// Evaluates the rules at the file's interval, from the oldest sample to the newest.
-std::vector<AlertTransition> evaluate_rules(const RuleFile& file, const Database& data);
+/// Evaluates the rules every `interval_ms`, from the oldest sample in the database to the newest.
+std::vector<AlertTransition> evaluate_rules(const RuleFile& file, const Database& database);
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/database.cpp
+++ b/emulator/promql/database.cpp
@@ -7,7 +7,7 @@
 namespace plumkeel::promql {
 namespace {
 
-constexpr std::uint64_t stale_marker_bits = 0x7ff0000000000002;  // StaleNaN of Prometheus' model/value package
+constexpr std::uint64_t stale_marker_bits = 0x7ff0000000000002;  // StaleNaN in the source code of Prometheus
 
 }  // namespace
 
@@ -32,10 +32,10 @@
     series_by_name_[name].push_back(std::move(series));
 }
 
-const std::vector<Series>& Database::named(const std::string& metric_name) const {
-    static const std::vector<Series> none;
+const std::vector<Series>& Database::find_series(const std::string& metric_name) const {
+    static const std::vector<Series> no_series;
     const auto it = series_by_name_.find(metric_name);
-    return it == series_by_name_.end() ? none : it->second;
+    return it == series_by_name_.end() ? no_series : it->second;
 }
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/error.hpp
+++ b/emulator/promql/error.hpp
@@ -1,11 +1,11 @@
-/// The error of the PromQL evaluator.
+/// The exception that the PromQL parser and evaluator throw.
 #pragma once
 
 #include <stdexcept>
 
 namespace plumkeel::promql {
 
-/// An expression or a rule file can't be read or evaluated; what() names the position or the rule, and the cause.
+/// Thrown if an expression or a rule file is invalid or an expression can't be evaluated.
 struct Error : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/emulator/promql/expression.hpp
+++ b/emulator/promql/expression.hpp
@@ -1,4 +1,4 @@
-/// The syntax tree of a PromQL expression.
+/// Base class of the nodes of a PromQL syntax tree.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,9 @@
     Expression(const Expression&) = delete;
     virtual ~Expression() = default;
 
-    /// The value at one moment. A scalar is one element without labels. Throws Error.
-    virtual Vector evaluate(const Database& data, std::int64_t ms) const = 0;
+    /// Returns the value at `time_ms` milliseconds since the Unix epoch; a scalar is one element without labels. Throws
+    /// Error if the expression can't be evaluated.
+    virtual Vector evaluate(const Database& database, std::int64_t time_ms) const = 0;
     virtual bool is_scalar() const { return false; }
 };
 using ExpressionPtr = std::unique_ptr<Expression>;
--- a/emulator/promql/label_selection.cpp
+++ b/emulator/promql/label_selection.cpp
@@ -2,16 +2,16 @@
 
 namespace plumkeel::promql {
 
-Labels LabelSelection::select(const Labels& all) const {
-    if (type == Type::all_but) {
-        Labels selected = without_metric_name(all);
-        for (const std::string& label : labels) selected.erase(label);
-        return selected;
+Labels LabelSelection::select(const Labels& available_labels) const {
+    if (type == Type::exclude) {
+        Labels selected_labels = without_metric_name(available_labels);
+        for (const std::string& label : labels) selected_labels.erase(label);
+        return selected_labels;
     }
-    Labels selected;
+    Labels selected_labels;
     for (const std::string& label : labels)
-        if (const auto it = all.find(label); it != all.end()) selected.insert(*it);
-    return selected;
+        if (const auto it = available_labels.find(label); it != available_labels.end()) selected_labels.insert(*it);
+    return selected_labels;
 }
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/label_selection.hpp
+++ b/emulator/promql/label_selection.hpp
@@ -1,4 +1,4 @@
-/// Which labels an aggregation groups by, or an operator matches its two sides by.
+/// Selects the labels by which an aggregation groups series, or by which a binary operator matches series.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 struct LabelSelection {
     enum class Type {
-        only,     ///< the labels listed: `by`, `on`
-        all_but,  ///< all but those listed and the metric's name: `without`, `ignoring`
+        include,  ///< selects the listed labels: `by`, `on`
+        exclude,  ///< selects all labels except the listed ones and the metric name: `without`, `ignoring`
     };
     Type type{};
     std::vector<std::string> labels;
 
-    Labels select(const Labels& all) const;
+    Labels select(const Labels& available_labels) const;
 };
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/parser.hpp
+++ b/emulator/promql/parser.hpp
@@ -1,4 +1,4 @@
-/// Parses PromQL expressions.
+/// Parser for PromQL expressions.
 #pragma once
 
 #include <string_view>
@@ -7,7 +7,7 @@
 
 namespace plumkeel::promql {
 
-/// Throws Error with the position in the text.
+/// Throws Error if the text is not a valid PromQL expression.
 ExpressionPtr parse(std::string_view text);
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/query.hpp
+++ b/emulator/promql/query.hpp
@@ -1,6 +1,5 @@
-/// The subset of PromQL that the shipped alert rules use, by its documented semantics: selectors, ranges, rate and
-/// increase with counter resets and extrapolation, *_over_time, histogram_quantile, aggregation, arithmetic, comparison
-/// and set operators, staleness. Pure; it evaluates samples in memory.
+/// Evaluates a subset of PromQL over samples in memory: selectors, rate, increase, changes, *_over_time,
+/// histogram_quantile, absent, aggregations and binary operators.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +13,14 @@
 
 class Query {
 public:
-    /// Throws Error with the position in the text.
+    /// Throws Error if the text is not a valid PromQL expression.
     explicit Query(std::string_view text);
 
-    /// The instant vector at one moment; a scalar is one element without labels. Throws Error.
-    Vector at(const Database& data, std::int64_t ms) const { return expression_->evaluate(data, ms); }
+    /// Returns the instant vector at `time_ms` milliseconds since the Unix epoch; a scalar is one element without
+    /// labels. Throws Error if the expression can't be evaluated.
+    Vector evaluate(const Database& database, std::int64_t time_ms) const {
+        return expression_->evaluate(database, time_ms);
+    }
 
 private:
     ExpressionPtr expression_;
--- a/emulator/promql/range_function.cpp
+++ b/emulator/promql/range_function.cpp
@@ -9,7 +9,7 @@
 
 using Kind = RangeFunction::Kind;
 
-constexpr std::pair<std::string_view, Kind> names[] = {
+constexpr std::pair<std::string_view, Kind> kinds_by_name[] = {
     {"rate", Kind::rate},
     {"increase", Kind::increase},
     {"max_over_time", Kind::max_over_time},
@@ -20,11 +20,12 @@
     {"changes", Kind::changes},
 };
 
-double to_seconds(std::int64_t ms) {
-    return static_cast<double>(ms) / 1e3;
+double to_seconds(std::int64_t duration_ms) {
+    return static_cast<double>(duration_ms) / 1e3;
 }
 
-// Of a counter, over the time between its samples; a value below the one before means that the counter was reset.
+// Returns the increase of a counter from its first sample to its last. A decrease from one sample to the next means
+// that the counter was reset to 0.
 double sampled_increase(const std::vector<Sample>& samples) {
     double increase = samples.back().value - samples.front().value;
     double previous = samples.front().value;
@@ -35,30 +36,32 @@
     return increase;
 }
 
-// By the rule that Prometheus documents: the increase is extrapolated to the ends of the range where samples come near
-// them, else by half the distance between samples, and never to before the counter would have been zero. The result is
-// divided by `divisor`.
-std::optional<double> extrapolated_increase(const std::vector<Sample>& samples, std::int64_t from_ms,
-                                            std::int64_t to_ms, double divisor) {
-    constexpr double near_end_ratio = 1.1;  // of the distance between samples
+// Extrapolates the increase of a counter to the whole range as Prometheus does, and divides it by `divisor`. If the
+// distance from a range boundary to the nearest sample is below a threshold, the increase is extrapolated to the
+// boundary, else by half the average sample interval. It is not extrapolated to times at which the counter would be
+// negative.
+std::optional<double> extrapolated_increase(const std::vector<Sample>& samples, std::int64_t range_start_ms,
+                                            std::int64_t range_end_ms, double divisor) {
+    constexpr double extrapolation_threshold_ratio = 1.1;  // threshold as a multiple of the average sample interval
     if (samples.size() < 2) return {};
-    const Sample& first = samples.front();
-    const Sample& last = samples.back();
-    const double sampled_seconds = to_seconds(last.ms - first.ms);
+    const Sample& first_sample = samples.front();
+    const Sample& last_sample = samples.back();
+    const double sampled_seconds = to_seconds(last_sample.ms - first_sample.ms);
     if (sampled_seconds <= 0) return {};
     const double increase = sampled_increase(samples);
-    const double interval = sampled_seconds / static_cast<double>(samples.size() - 1);
-    double to_start = to_seconds(first.ms - from_ms);
-    const double to_end = to_seconds(to_ms - last.ms);
-    if (increase > 0 && first.value >= 0) to_start = std::min(to_start, sampled_seconds * (first.value / increase));
-    const double threshold = interval * near_end_ratio;
+    const double average_interval_seconds = sampled_seconds / static_cast<double>(samples.size() - 1);
+    double seconds_to_start = to_seconds(first_sample.ms - range_start_ms);
+    const double seconds_to_end = to_seconds(range_end_ms - last_sample.ms);
+    if (increase > 0 && first_sample.value >= 0)
+        seconds_to_start = std::min(seconds_to_start, sampled_seconds * (first_sample.value / increase));
+    const double threshold_seconds = average_interval_seconds * extrapolation_threshold_ratio;
     double covered_seconds = sampled_seconds;
-    covered_seconds += to_start < threshold ? to_start : interval / 2;
-    covered_seconds += to_end < threshold ? to_end : interval / 2;
+    covered_seconds += seconds_to_start < threshold_seconds ? seconds_to_start : average_interval_seconds / 2;
+    covered_seconds += seconds_to_end < threshold_seconds ? seconds_to_end : average_interval_seconds / 2;
     return increase * (covered_seconds / sampled_seconds / divisor);
 }
 
-double sum(const std::vector<Sample>& samples) {
+double sum_values(const std::vector<Sample>& samples) {
     double total = 0;
     for (const Sample& sample : samples) total += sample.value;
     return total;
@@ -72,36 +75,36 @@
 
 }  // namespace
 
-std::optional<Kind> RangeFunction::find(std::string_view name) {
-    const auto* const it = std::ranges::find_if(names, [&](const auto& each) { return each.first == name; });
-    if (it == std::end(names)) return {};
+std::optional<Kind> RangeFunction::find_kind(std::string_view name) {
+    const auto* const it = std::ranges::find_if(kinds_by_name, [&](const auto& entry) { return entry.first == name; });
+    if (it == std::end(kinds_by_name)) return {};
     return it->second;
 }
 
-Vector RangeFunction::evaluate(const Database& data, std::int64_t ms) const {
+Vector RangeFunction::evaluate(const Database& database, std::int64_t time_ms) const {
     Vector result;
-    for (const RangeElement& element : range_->evaluate_range(data, ms))
-        if (const std::optional<double> value = apply(element.samples, ms))
+    for (const RangeElement& element : range_selector_->evaluate_range(database, time_ms))
+        if (const std::optional<double> value = apply(element.samples, time_ms))
             result.push_back({without_metric_name(element.labels), *value});
     return result;
 }
 
-std::optional<double> RangeFunction::apply(const std::vector<Sample>& samples, std::int64_t ms) const {
+std::optional<double> RangeFunction::apply(const std::vector<Sample>& samples, std::int64_t time_ms) const {
     const auto count = static_cast<double>(samples.size());
-    const std::int64_t from_ms = ms - range_->range_ms();
+    const std::int64_t range_start_ms = time_ms - range_selector_->range_ms();
     switch (kind_) {
         case Kind::rate:
-            return extrapolated_increase(samples, from_ms, ms, to_seconds(ms - from_ms));
+            return extrapolated_increase(samples, range_start_ms, time_ms, to_seconds(time_ms - range_start_ms));
         case Kind::increase:
-            return extrapolated_increase(samples, from_ms, ms, 1);
+            return extrapolated_increase(samples, range_start_ms, time_ms, 1);
         case Kind::max_over_time:
             return std::ranges::max_element(samples, {}, &Sample::value)->value;
         case Kind::min_over_time:
             return std::ranges::min_element(samples, {}, &Sample::value)->value;
         case Kind::avg_over_time:
-            return sum(samples) / count;
+            return sum_values(samples) / count;
         case Kind::sum_over_time:
-            return sum(samples);
+            return sum_values(samples);
         case Kind::count_over_time:
             return count;
         case Kind::changes:
--- a/emulator/promql/range_function.hpp
+++ b/emulator/promql/range_function.hpp
@@ -1,4 +1,4 @@
-/// Functions of a range vector: rate, increase, changes and *_over_time.
+/// The PromQL functions rate, increase, changes and *_over_time, which take a range vector.
 #pragma once
 
 #include <memory>
@@ -21,17 +21,18 @@
         count_over_time,
         changes
     };
-    /// Empty where no function has the name.
-    static std::optional<Kind> find(std::string_view name);
+    /// Returns nullopt if no range function has this name.
+    static std::optional<Kind> find_kind(std::string_view name);
 
-    RangeFunction(Kind kind, std::unique_ptr<VectorSelector> range) : kind_(kind), range_(std::move(range)) {}
-    Vector evaluate(const Database& data, std::int64_t ms) const override;
+    RangeFunction(Kind kind, std::unique_ptr<VectorSelector> range_selector)
+        : kind_(kind), range_selector_(std::move(range_selector)) {}
+    Vector evaluate(const Database& database, std::int64_t time_ms) const override;
 
 private:
-    std::optional<double> apply(const std::vector<Sample>& samples, std::int64_t ms) const;
+    std::optional<double> apply(const std::vector<Sample>& samples, std::int64_t time_ms) const;
 
     const Kind kind_;
-    const std::unique_ptr<VectorSelector> range_;
+    const std::unique_ptr<VectorSelector> range_selector_;
 };
 
 }  // namespace plumkeel::promql
--- a/emulator/promql/selector.cpp
+++ b/emulator/promql/selector.cpp
@@ -8,7 +8,8 @@
 namespace plumkeel::promql {
 namespace {
 
-constexpr std::int64_t lookback_ms = std::int64_t{5} * 60 * 1000;  // Prometheus' default lookback delta
+// Samples of this age or older are left out of an instant vector. The value is the default of Prometheus.
+constexpr std::int64_t lookback_ms = std::int64_t{5} * 60 * 1000;
 
 }  // namespace
 
@@ -18,25 +19,25 @@
     try {
         pattern_ = std::regex(value_);
     } catch (const std::regex_error&) {
-        throw Error("'" + value_ + "' is not a regular expression");
+        throw Error("label matcher: '" + value_ + "' is not a valid regular expression");
     }
 }
 
 bool LabelMatcher::matches(const Labels& labels) const {
-    static const std::string missing;  // a missing label equals an empty one
+    static const std::string empty_value;  // PromQL treats a missing label as an empty one
     const auto it = labels.find(label_);
-    const std::string& actual = it == labels.end() ? missing : it->second;
+    const std::string& actual_value = it == labels.end() ? empty_value : it->second;
     switch (type_) {
         case Type::equal:
-            return actual == value_;
+            return actual_value == value_;
         case Type::not_equal:
-            return actual != value_;
+            return actual_value != value_;
         case Type::regex_match:
-            return std::regex_match(actual, pattern_);
+            return std::regex_match(actual_value, pattern_);
         case Type::regex_no_match:
             break;
     }
-    return !std::regex_match(actual, pattern_);
+    return !std::regex_match(actual_value, pattern_);
 }
 
 VectorSelector::VectorSelector(std::string metric_name, std::vector<LabelMatcher> matchers, std::int64_t range_ms)
@@ -46,27 +47,27 @@
     return std::ranges::all_of(matchers_, [&](const LabelMatcher& matcher) { return matcher.matches(series.labels); });
 }
 
-Vector VectorSelector::evaluate(const Database& data, std::int64_t ms) const {
-    if (range_ms_) throw Error(metric_name_ + ": expected an instant vector, found a range");
+Vector VectorSelector::evaluate(const Database& database, std::int64_t time_ms) const {
+    if (range_ms_) throw Error(metric_name_ + ": expected an instant vector, found a range vector");
     Vector result;
-    for (const Series& series : data.named(metric_name_)) {
+    for (const Series& series : database.find_series(metric_name_)) {
         if (!matches(series)) continue;
-        const auto end = std::ranges::upper_bound(series.samples, ms, {}, &Sample::ms);
+        const auto end = std::ranges::upper_bound(series.samples, time_ms, {}, &Sample::ms);
         if (end == series.samples.begin()) continue;
-        const Sample& newest = *(end - 1);
-        if (newest.ms > ms - lookback_ms && !is_stale_marker(newest.value))
-            result.push_back({series.labels, newest.value});
+        const Sample& newest_sample = *(end - 1);
+        if (newest_sample.ms > time_ms - lookback_ms && !is_stale_marker(newest_sample.value))
+            result.push_back({series.labels, newest_sample.value});
     }
     return result;
 }
 
-std::vector<RangeElement> VectorSelector::evaluate_range(const Database& data, std::int64_t ms) const {
+std::vector<RangeElement> VectorSelector::evaluate_range(const Database& database, std::int64_t time_ms) const {
     std::vector<RangeElement> result;
-    for (const Series& series : data.named(metric_name_)) {
+    for (const Series& series : database.find_series(metric_name_)) {
         if (!matches(series)) continue;
         std::vector<Sample> samples;
-        auto it = std::ranges::lower_bound(series.samples, ms - range_ms_, {}, &Sample::ms);
-        for (; it != series.samples.end() && it->ms <= ms; ++it)
+        auto it = std::ranges::lower_bound(series.samples, time_ms - range_ms_, {}, &Sample::ms);
+        for (; it != series.samples.end() && it->ms <= time_ms; ++it)
             if (!is_stale_marker(it->value)) samples.push_back(*it);
         if (!samples.empty()) result.push_back({series.labels, std::move(samples)});
     }
--- a/emulator/promql/selector.hpp
+++ b/emulator/promql/selector.hpp
@@ -1,4 +1,4 @@
-/// Selectors of series: label matchers, instant vectors and ranges.
+/// PromQL selectors, which select series by metric name and label matchers.
 #pragma once
 
 #include <regex>
@@ -13,7 +13,7 @@
 public:
     enum class Type { equal, not_equal, regex_match, regex_no_match };
 
-    /// Throws Error where the value is not a regular expression but should be.
+    /// Throws Error if `type` is a regex type and `value` is not a valid regular expression.
     LabelMatcher(std::string label, Type type, std::string value);
     bool matches(const Labels& labels) const;
     Type type() const { return type_; }
@@ -27,20 +27,21 @@
     std::regex pattern_;
 };
 
-/// One series of a range vector.
+/// One series of a range vector, with a reference to its labels in the database.
 struct RangeElement {
     const Labels& labels;
-    std::vector<Sample> samples;  ///< without staleness markers; at least one
+    std::vector<Sample> samples;  ///< at least one sample; contains no staleness markers
 };
 
 class VectorSelector : public Expression {
 public:
-    /// `range_ms` is 0 for an instant vector.
+    /// If `range_ms` is 0, the selector selects an instant vector, else a range vector.
     VectorSelector(std::string metric_name, std::vector<LabelMatcher> matchers, std::int64_t range_ms);
 
-    Vector evaluate(const Database& data, std::int64_t ms) const override;
-    /// The samples from `ms - range_ms()` to `ms`, both included; refers to the labels in `data`.
-    std::vector<RangeElement> evaluate_range(const Database& data, std::int64_t ms) const;
+    Vector evaluate(const Database& database, std::int64_t time_ms) const override;
+    /// Returns the samples from `time_ms - range_ms()` to `time_ms`, both inclusive. The result must not outlive
+    /// `database`.
+    std::vector<RangeElement> evaluate_range(const Database& database, std::int64_t time_ms) const;
     std::int64_t range_ms() const { return range_ms_; }
     const std::vector<LabelMatcher>& matchers() const { return matchers_; }
 
--- a/tests/alert_rules_test.cpp
+++ b/tests/alert_rules_test.cpp
@@ -1,4 +1,4 @@
-/// Reading and evaluation of alert rules.
+/// Tests that alert rules are parsed and evaluated.
 #include "emulator/promql/alert_rules.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace plumkeel::promql {
 namespace {
 
-constexpr const char* rules = R"(
+constexpr const char* rule_file_text = R"(
 groups:
 - name: g
   interval: 10s
@@ -20,18 +20,20 @@
 )";
 
 TEST(AlertRules, AlertIsPendingThenFiringThenResolved) {
-    Database data;
-    data.add(series({{"__name__", "g"}, {"n", "1"}}, {1, 9, 9, 9, 9, 1, 9, 1, 9, 9}));
-    const auto transitions = evaluate_rules(read_rules(rules), data);
-    std::string sequence;
+    Database database;
+    database.add(make_series({{"__name__", "g"}, {"n", "1"}}, {1, 9, 9, 9, 9, 1, 9, 1, 9, 9}));
+    const auto transitions = evaluate_rules(read_rules(rule_file_text), database);
+    std::string transition_sequence;
     for (const AlertTransition& transition : transitions)
-        sequence += std::to_string(transition.ms / 1000) + (transition.state == AlertState::pending  ? "p "
-                                                            : transition.state == AlertState::firing ? "f "
-                                                                                                     : "r ");
-    EXPECT_EQ(sequence, "10p 30f 50r 60p 80p ");  // an alert that flaps at its threshold never fires
+        transition_sequence += std::to_string(transition.ms / 1000) + (transition.state == AlertState::pending  ? "p "
+                                                                       : transition.state == AlertState::firing ? "f "
+                                                                                                                : "r ");
+    // Each entry is a time in seconds and a state: p for pending, f for firing, r for resolved. From 60 s and from 80
+    // s, the alert is active for less than 20 s, so it doesn't fire.
+    EXPECT_EQ(transition_sequence, "10p 30f 50r 60p 80p ");
 }
 
-TEST(AlertRules, ErrorsNameTheRule) {
+TEST(AlertRules, ErrorsContainRuleName) {
     try {
         read_rules("groups: [{name: g, rules: [{alert: Broken, expr: 'sum('}]}]");
         FAIL();
--- a/tests/promql_fixture.hpp
+++ b/tests/promql_fixture.hpp
@@ -1,4 +1,4 @@
-/// Shared by the tests of the PromQL evaluator.
+/// Test helpers for the PromQL evaluator.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,12 @@
 
 namespace plumkeel::promql {
 
-/// A sample every `step_s` seconds, the first at `from_s`.
-inline Series series(Labels labels, std::vector<double> values, std::int64_t step_s = 10, std::int64_t from_s = 0) {
+/// Returns a series with one sample for each value, every `interval_s` seconds from `first_sample_s`.
+inline Series make_series(Labels labels, std::vector<double> values, std::int64_t interval_s = 10,
+                          std::int64_t first_sample_s = 0) {
     Series result{std::move(labels), {}};
     for (std::size_t i = 0; i < values.size(); ++i)
-        result.samples.push_back({(from_s + static_cast<std::int64_t>(i) * step_s) * 1000, values[i]});
+        result.samples.push_back({(first_sample_s + static_cast<std::int64_t>(i) * interval_s) * 1000, values[i]});
     return result;
 }
 
