--- a/emulator/audit/audit_context.hpp
+++ b/emulator/audit/audit_context.hpp
@@ -1,4 +1,4 @@
-/// What each of the auditor's checks works on.
+/// The input and the output that all checks of the auditor share, and the declarations of the checks.
 #pragma once
 
 #include <string>
@@ -14,22 +14,25 @@
     const DeploymentRules& rules;
     Verdict& verdict;
 
+    /// Adds a violation to the verdict.
     void report(Rule rule, const std::string& request, std::int64_t time_us, std::string description) const {
         verdict.violations.push_back({rule, request, std::move(description), time_us - records.start_us()});
     }
 };
 
-/// Rule::every_request_answered; counts the outcomes of requests.
+/// Checks Rule::every_request_answered and counts the outcomes of requests in the verdict.
 void check_answers(const AuditContext& context);
-/// Rule::no_duplicate_effect by what ran, over all tries of one client's request; counts the effects.
+/// Checks Rule::no_duplicate_effect on the runs of functions, where a client may have sent its request several times.
+/// Counts the effects.
 void check_effects(const AuditContext& context);
-/// Rule::no_duplicate_effect by what was sent, and Rule::attempt_limits; counts the attempts.
+/// Checks Rule::no_duplicate_effect and Rule::attempt_limits on the attempts that invokers received, and counts the
+/// attempts.
 void check_attempts(const AuditContext& context);
-/// Rule::drain_grace, from what Consul answered to each controller.
+/// Checks Rule::drain_grace against the endpoint lists that Consul sent to each controller.
 void check_drains(const AuditContext& context);
-/// Rule::slow_start: what all controllers together sent to a starting invoker, in any window.
+/// Checks Rule::slow_start on the attempts that all controllers together sent to a newly started invoker.
 void check_slow_start(const AuditContext& context);
-/// Rule::load_budget, where the deployment limits loads.
+/// Checks Rule::load_budget on the preloads that each controller ordered; does nothing if loads are not limited.
 void check_loads(const AuditContext& context);
 
 }  // namespace plumkeel::emulator
--- a/emulator/audit/auditor.hpp
+++ b/emulator/audit/auditor.hpp
@@ -1,5 +1,5 @@
-/// Judges a scenario from what passed on the emulator's sockets alone. Free of I/O: it is given lines of the records
-/// and knows nothing of the controllers' own logs.
+/// Checks whether the controllers of an emulated scenario kept the deployment's rules. The input is the records that
+/// the emulator's processes wrote; the controllers' own logs are not used. Does no I/O.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,11 +15,12 @@
 public:
     explicit Auditor(DeploymentRules rules) : rules_(std::move(rules)) {}
 
-    /// A line of a record. `source` is one of source::, and `process` the name of the process that wrote it.
+    /// Adds one line of a record file. `source` is a constant of namespace source; `process` is the name of the process
+    /// that wrote the line.
     void read(const std::string& source, const std::string& process, const boost::json::object& line) {
         records_.add(source, process, line);
     }
-    /// To be called once, when all is read. The violations are in order of time.
+    /// Runs all checks. Call it once, after the last read(). The violations of the verdict are sorted by time.
     Verdict judge();
 
 private:
--- a/emulator/audit/check_answers.cpp
+++ b/emulator/audit/check_answers.cpp
@@ -6,14 +6,14 @@
 namespace plumkeel::emulator {
 namespace {
 
-/// One try of a client.
+/// One sending of a request by a client, and the answers to it. A client may send a request again.
 struct ClientTry {
     const RecordedEvent* sent{};
     std::vector<const RecordedEvent*> answers;
 };
 
 std::map<std::pair<std::string, std::int64_t>, ClientTry> collect_tries(const RecordIndex& records) {
-    std::map<std::pair<std::string, std::int64_t>, ClientTry> tries;  // by process and id
+    std::map<std::pair<std::string, std::int64_t>, ClientTry> tries;  // by client process and id
     for (const RecordedEvent& event : records.events()) {
         if (event.source != source::client || !event.has(key::id)) continue;
         ClientTry& client_try = tries[{event.process, event.integer(key::id)}];
@@ -32,20 +32,24 @@
         const RecordedEvent& sent = *client_try.sent;
         ++verdict_.requests;
         const std::string request = sent.text(key::origin) + " try " + std::to_string(sent.integer(key::try_number));
-        if (client_try.answers.empty()) return report(request, sent.time_us, "no end of it was seen at all");
-        if (client_try.answers.size() > 1) report(request, client_try.answers[1]->time_us, "it was answered twice");
+        if (client_try.answers.empty())
+            return report(request, sent.time_us, "no answer and no other outcome was recorded");
+        if (client_try.answers.size() > 1)
+            report(request, client_try.answers[1]->time_us, "the request was answered twice");
         check_answer(request, sent, *client_try.answers.front());
     }
 
-    // After the final answer nothing more is sent for a request. An invoker records an attempt when it reads it.
-    void check_attempts_after_answer(const std::string& name, const RecordedRequest& request) {
+    // Reports attempts that an invoker received after the client had the final answer, except those that were sent
+    // before the answer and arrived late.
+    void check_attempts_after_answer(const std::string& request_key, const RecordedRequest& request) {
         if (!request.answer) return;
         for (const RecordedAttempt& attempt : request.attempts) {
-            const std::int64_t slack = context_.rules.slack_us +
-                                       context_.records.lag_near(source::invoker, attempt.invoker, attempt.received_us);
-            if (attempt.received_us > request.answer->time_us + slack &&
+            const std::int64_t slack_us =
+                context_.rules.slack_us +
+                context_.records.longest_lag_us(source::invoker, attempt.invoker, attempt.received_us);
+            if (attempt.received_us > request.answer->time_us + slack_us &&
                 attempt.number >= request.answer->integer(key::attempts))
-                report(name, attempt.received_us,
+                report(request_key, attempt.received_us,
                        fmt::format("attempt {} reached {} after the final answer", attempt.number, attempt.invoker));
         }
     }
@@ -53,25 +57,27 @@
 private:
     void check_answer(const std::string& request, const RecordedEvent& sent, const RecordedEvent& answer) {
         const std::string controller = sent.text(key::to);
-        const std::int64_t deadline = sent.time_us + sent.integer(key::remaining_us);
-        const std::int64_t frozen = context_.records.frozen_past(controller, deadline);
-        const bool died = context_.records.controller_died(controller, sent.time_us, answer.time_us);
+        const std::int64_t deadline_us = sent.time_us + sent.integer(key::remaining_us);
+        const std::int64_t freeze_us = context_.records.remaining_freeze_us(controller, deadline_us);
+        const bool was_killed = context_.records.was_controller_killed(controller, sent.time_us, answer.time_us);
         const bool is_final = count_outcome(sent, answer);
-        if (!is_final && !is_excused(answer.text(key::outcome))) {
-            if (died || frozen > 0)
+        if (!is_final && !needs_no_answer(answer.text(key::outcome))) {
+            if (was_killed || freeze_us > 0)
                 ++verdict_.lost_with_controller;
             else
                 report(request, answer.time_us,
-                       "its end was '" + answer.text(key::outcome) + "' and its controller lived");
+                       "the outcome was '" + answer.text(key::outcome) +
+                           "' though the controller was neither killed nor frozen");
         }
-        const std::int64_t slack = context_.rules.slack_us +
-                                   context_.records.lag_near(source::client, answer.process, answer.time_us) + frozen;
-        if (is_final && answer.time_us > deadline + slack && !died)
+        const std::int64_t slack_us = context_.rules.slack_us +
+                                      context_.records.longest_lag_us(source::client, answer.process, answer.time_us) +
+                                      freeze_us;
+        if (is_final && answer.time_us > deadline_us + slack_us && !was_killed)
             report(request, answer.time_us,
-                   fmt::format("answered {} ms after its deadline", (answer.time_us - deadline) / 1000));
+                   fmt::format("answered {} ms after its deadline", (answer.time_us - deadline_us) / 1000));
     }
 
-    // Whether the controller gave its final answer.
+    // Counts the outcome. Returns whether it is a final answer of the controller.
     bool count_outcome(const RecordedEvent& sent, const RecordedEvent& answer) {
         const std::string outcome = answer.text(key::outcome);
         if (outcome == client_outcome::succeeded) {
@@ -86,8 +92,8 @@
         return outcome == client_outcome::rejected || outcome == client_outcome::failed;
     }
 
-    // Whether no final answer is required.
-    static bool is_excused(std::string_view outcome) {
+    // Returns whether a request with this outcome needs no final answer from the controller.
+    static bool needs_no_answer(std::string_view outcome) {
         return outcome == client_outcome::abandoned || outcome == client_outcome::unreachable ||
                outcome == client_outcome::malformed;
     }
@@ -105,7 +111,8 @@
 void check_answers(const AuditContext& context) {
     AnswerCheck check(context);
     for (const auto& [id, client_try] : collect_tries(context.records)) check.check_try(client_try);
-    for (const auto& [name, request] : context.records.requests()) check.check_attempts_after_answer(name, request);
+    for (const auto& [request_key, request] : context.records.requests())
+        check.check_attempts_after_answer(request_key, request);
 }
 
 }  // namespace plumkeel::emulator
--- a/emulator/audit/check_loads.cpp
+++ b/emulator/audit/check_loads.cpp
@@ -8,10 +8,10 @@
 namespace plumkeel::emulator {
 namespace {
 
-constexpr double rounding = 1e-9;
+constexpr double rounding_tolerance = 1e-9;  // loads
 
 std::map<std::string, std::string> controller_addresses(const RecordIndex& records) {
-    std::map<std::string, std::string> addresses;  // by name
+    std::map<std::string, std::string> addresses;  // by controller name
     for (const RecordedEvent& event : records.events())
         if (event.is(source::scenario, event::controller_started))
             addresses[event.text(key::name)] = event.text(key::address);
@@ -29,20 +29,21 @@
     if (rules.load_window_us == 0) return;
     auto addresses = controller_addresses(context.records);
     std::map<std::string, std::deque<std::int64_t>> preloads;  // by controller and incarnation
-    std::map<std::string, std::deque<std::int64_t>> requests;  // by a controller's address
+    std::map<std::string, std::deque<std::int64_t>> requests;  // by controller address
     for (const RecordedEvent& event : context.records.events()) {
         if (event.is(source::client, event::sent)) requests[event.text(key::to)].push_back(event.time_us);
         if (!event.is(source::invoker, event::preload) || event.integer(key::copies) == 0) continue;
         const std::string controller = event.text(key::controller);
-        auto& sent = preloads[controller];
-        auto& received = requests[addresses[controller.substr(0, controller.find('/'))]];
-        sent.push_back(event.time_us);
-        remove_before(sent, event.time_us - rules.load_window_us);
-        remove_before(received, event.time_us - rules.load_window_us - rules.slack_us);
-        const double limit = rules.free_loads + rules.loads_per_request * static_cast<double>(received.size());
-        if (static_cast<double>(sent.size()) > limit + rounding)
-            context.report(Rule::load_budget, controller, event.time_us,
-                           fmt::format("{} preloads, {:.1f} allowed", sent.size(), limit));
+        auto& recent_preloads = preloads[controller];
+        auto& recent_requests = requests[addresses[controller.substr(0, controller.find('/'))]];
+        recent_preloads.push_back(event.time_us);
+        remove_before(recent_preloads, event.time_us - rules.load_window_us);
+        remove_before(recent_requests, event.time_us - rules.load_window_us - rules.slack_us);
+        const double limit = rules.free_loads + rules.loads_per_request * static_cast<double>(recent_requests.size());
+        if (static_cast<double>(recent_preloads.size()) > limit + rounding_tolerance)
+            context.report(
+                Rule::load_budget, controller, event.time_us,
+                fmt::format("{} preloads in the load window, {:.1f} allowed", recent_preloads.size(), limit));
     }
 }
 
--- a/emulator/audit/check_slow_start.cpp
+++ b/emulator/audit/check_slow_start.cpp
@@ -9,14 +9,14 @@
 namespace plumkeel::emulator {
 namespace {
 
-constexpr double slack_runs = 3;  // mean run times by which a window may go beyond
+constexpr double allowed_extra_runs = 3;  // runs of mean length that a window may hold beyond its budget
 
-/// An invoker that has just started, as its own record states it.
+/// An invoker in slow start: the capacity that it recorded when it started, and the attempts that it received.
 struct StartingInvoker {
     std::int64_t started_us{}, duration_us{}, window_us{};
     double capacity{}, cold_share{}, rate_multiple{}, mean_run_time_s{};
-    std::deque<std::int64_t> attempts;  // when those of the last window were received
-    bool reported{};
+    std::deque<std::int64_t> attempts;  // times of receipt within the last window, in microseconds
+    bool is_reported{};
 
     explicit StartingInvoker(const RecordedEvent& start)
         : started_us(start.time_us),
@@ -27,15 +27,16 @@
           rate_multiple(start.real(key::rate_multiple)),
           mean_run_time_s(start.real(key::mean_run_time_ms) / 1000) {}
 
-    // The work of the last window, as a share of what the invoker bears.
+    // Adds an attempt. Returns the run time of all attempts in the window that ends now, as a share of the run time
+    // that the slow start budget allows.
     double load_after_attempt(std::int64_t time_us) {
         attempts.push_back(time_us);
         while (attempts.front() + window_us < time_us) attempts.pop_front();
-        const double risen =
+        const double elapsed_share =
             std::min(1.0, static_cast<double>(time_us - started_us) / static_cast<double>(duration_us));
-        const double budget_s =
-            rate_multiple * capacity * (cold_share + (1 - cold_share) * risen) * static_cast<double>(window_us) / 1e6 +
-            slack_runs * mean_run_time_s;
+        const double budget_s = rate_multiple * capacity * (cold_share + (1 - cold_share) * elapsed_share) *
+                                    static_cast<double>(window_us) / 1e6 +
+                                allowed_extra_runs * mean_run_time_s;
         return static_cast<double>(attempts.size()) * mean_run_time_s / budget_s;
     }
 };
@@ -44,9 +45,9 @@
     if (event.time_us > invoker.started_us + invoker.duration_us + invoker.window_us) return;
     const double load = invoker.load_after_attempt(event.time_us);
     context.verdict.peak_slow_start_load = std::max(context.verdict.peak_slow_start_load, load);
-    if (load <= 1 || std::exchange(invoker.reported, true)) return;
+    if (load <= 1 || std::exchange(invoker.is_reported, true)) return;
     context.report(Rule::slow_start, event.process, event.time_us,
-                   fmt::format("{} was sent {:.0f}% of its budget", event.process, load * 100));
+                   fmt::format("{} was sent {:.0f}% of its slow start budget", event.process, load * 100));
 }
 
 }  // namespace
@@ -62,7 +63,8 @@
         const auto found = starting.find(event.process);
         if (found == starting.end()) continue;
         if (event.name == event::overloaded)
-            context.report(Rule::slow_start, event.process, event.time_us, event.process + " failed under its load");
+            context.report(Rule::slow_start, event.process, event.time_us,
+                           event.process + " failed because it was overloaded");
         if (event.name == event::attempt_received) check_attempt(context, event, found->second);
     }
 }
--- a/emulator/audit/deployment_rules.cpp
+++ b/emulator/audit/deployment_rules.cpp
@@ -3,7 +3,7 @@
 namespace plumkeel::emulator {
 namespace {
 
-bool shares_scope(const DeploymentRules::Location& a, const DeploymentRules::Location& b, DeduplicationScope scope) {
+bool is_same_scope(const DeploymentRules::Location& a, const DeploymentRules::Location& b, DeduplicationScope scope) {
     switch (scope) {
         case DeduplicationScope::zone:
             return a.zone == b.zone;
@@ -25,13 +25,13 @@
 bool DeploymentRules::in_one_scope(const std::string& invoker, const std::string& other,
                                    DeduplicationScope scope) const {
     const auto a = locations.find(invoker), b = locations.find(other);
-    return a != locations.end() && b != locations.end() && shares_scope(a->second, b->second, scope);
+    return a != locations.end() && b != locations.end() && is_same_scope(a->second, b->second, scope);
 }
 
 bool DeploymentRules::in_different_scopes(const std::string& invoker, const std::string& other,
                                           DeduplicationScope scope) const {
     const auto a = locations.find(invoker), b = locations.find(other);
-    return a != locations.end() && b != locations.end() && !shares_scope(a->second, b->second, scope);
+    return a != locations.end() && b != locations.end() && !is_same_scope(a->second, b->second, scope);
 }
 
 }  // namespace plumkeel::emulator
--- a/emulator/audit/record_index.cpp
+++ b/emulator/audit/record_index.cpp
@@ -7,7 +7,8 @@
 namespace plumkeel::emulator {
 namespace {
 
-constexpr std::int64_t timing_slack_us = 20'000;
+// Processes may record the same moment at times that differ by this.
+constexpr std::int64_t clock_tolerance_us = 20'000;
 
 std::string process_key(std::string_view source, const std::string& process) {
     return std::string(source) + " " + process;
@@ -63,9 +64,10 @@
 }
 
 void RecordIndex::index_process_event(const RecordedEvent& event) {
-    const std::int64_t duration = event.integer(key::duration_us);
-    const TimeSpan span{event.time_us - duration, event.time_us};
-    if (event.name == event::lag) lags_[process_key(event.source, event.process)].push_back({event.time_us, duration});
+    const std::int64_t duration_us = event.integer(key::duration_us);
+    const TimeSpan span{event.time_us - duration_us, event.time_us};
+    if (event.name == event::lag)
+        lags_[process_key(event.source, event.process)].push_back({event.time_us, duration_us});
     if (event.is(source::scenario, event::controller_killed)) kills_[event.text(key::address)].push_back(span);
     if (event.is(source::scenario, event::controller_frozen)) freezes_[event.text(key::address)].push_back(span);
 }
@@ -93,28 +95,29 @@
     if (found != requests_.end()) found->second.answer = &event;
 }
 
-std::int64_t RecordIndex::lag_near(std::string_view source, const std::string& process, std::int64_t time_us) const {
+std::int64_t RecordIndex::longest_lag_us(std::string_view source, const std::string& process,
+                                         std::int64_t time_us) const {
     const auto found = lags_.find(process_key(source, process));
     if (found == lags_.end()) return 0;
-    std::int64_t longest = 0;
+    std::int64_t longest_us = 0;
     for (const Lag& lag : found->second)
-        if (lag.time_us - lag.duration_us - timing_slack_us <= time_us && time_us <= lag.time_us + timing_slack_us)
-            longest = std::max(longest, lag.duration_us);
-    return longest;
+        if (lag.end_us - lag.duration_us - clock_tolerance_us <= time_us && time_us <= lag.end_us + clock_tolerance_us)
+            longest_us = std::max(longest_us, lag.duration_us);
+    return longest_us;
 }
 
-std::int64_t RecordIndex::frozen_past(const std::string& controller_address, std::int64_t time_us) const {
+std::int64_t RecordIndex::remaining_freeze_us(const std::string& controller_address, std::int64_t time_us) const {
     const auto found = freezes_.find(controller_address);
     if (found == freezes_.end()) return 0;
-    std::int64_t past = 0;
+    std::int64_t remaining_us = 0;
     for (const TimeSpan& freeze : found->second)
-        if (freeze.from_us - timing_slack_us <= time_us + past && time_us <= freeze.to_us)
-            past = std::max(past, freeze.to_us - time_us + timing_slack_us);
-    return past;
+        if (freeze.from_us - clock_tolerance_us <= time_us + remaining_us && time_us <= freeze.to_us)
+            remaining_us = std::max(remaining_us, freeze.to_us - time_us + clock_tolerance_us);
+    return remaining_us;
 }
 
-bool RecordIndex::controller_died(const std::string& controller_address, std::int64_t from_us,
-                                  std::int64_t to_us) const {
+bool RecordIndex::was_controller_killed(const std::string& controller_address, std::int64_t from_us,
+                                        std::int64_t to_us) const {
     const auto found = kills_.find(controller_address);
     return found != kills_.end() && std::any_of(found->second.begin(), found->second.end(), [&](const TimeSpan& kill) {
                return kill.to_us >= from_us && kill.from_us <= to_us;
--- a/emulator/audit/verdict.hpp
+++ b/emulator/audit/verdict.hpp
@@ -1,4 +1,4 @@
-/// What the auditor found.
+/// The result of an audit: the violations of rules, and counts of requests and attempts.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,34 @@
 namespace plumkeel::emulator {
 
 enum class Rule {
-    every_request_answered,  ///< once, before its deadline, and nothing is sent for it afterwards
-    no_duplicate_effect,     ///< nothing runs again that may not
-    attempt_limits,          ///< of a request: how many, and how many at once
-    drain_grace,             ///< nothing is sent to an invoker once it has drained for a while
-    slow_start,              ///< an invoker that has just started is not sent more than it bears
-    load_budget,             ///< loads ordered in a window
-    process_exit,            ///< a process of the scenario ended badly
+    every_request_answered,  ///< exactly once, before its deadline, with no attempt sent after the answer
+    no_duplicate_effect,     ///< a request takes effect twice only if its class allows it
+    attempt_limits,          ///< the number of attempts of a request, in total and concurrently
+    drain_grace,             ///< no request or preload is sent to a draining invoker after the grace period
+    slow_start,              ///< a newly started invoker is not sent more load than its slow start budget
+    load_budget,             ///< the number of loads that a controller orders in a window of time
+    process_exit,            ///< a process of the scenario crashed or exited with an error
 };
 std::string_view rule_name(Rule rule);
 
 struct Violation {
     Rule rule{};
     std::string request, description;
-    std::int64_t at_us{};  // since the first record
+    std::int64_t at_us{};  // since the first recorded event
 };
 
 struct Verdict {
-    // Tries of clients by how they ended.
+    // Requests that clients sent, in total and by outcome. A client that sends a request again is counted again.
     std::uint64_t requests{}, succeeded{}, rejected{}, failed{};
-    std::uint64_t late{};  // of those that succeeded: after their latency target
+    std::uint64_t late{};  // succeeded after the latency target
+    // `abandoned`: the client stopped waiting. `lost_with_controller`: the controller was killed or frozen.
     std::uint64_t abandoned{}, lost_with_controller{};
-    std::uint64_t not_accepted{};  // malformed, or the controller was unreachable
-    std::uint64_t attempts{}, effects{};
-    double peak_slow_start_load{};  // the largest share of what a starting invoker bears that it was sent
+    std::uint64_t not_accepted{};         // the request was malformed, or the controller was unreachable
+    std::uint64_t attempts{}, effects{};  // an effect is a run of a function at an invoker
+    double peak_slow_start_load{};        // highest load of a newly started invoker, as a share of its budget
     std::vector<Violation> violations;
 
-    /// One line for a terminal.
+    /// Returns a one-line summary to print at the end of a scenario.
     std::string summary() const;
 };
 
--- a/tests/auditor_test.cpp
+++ b/tests/auditor_test.cpp
@@ -1,4 +1,4 @@
-/// The auditor against records made by hand: each kind of violation is found, and a clean scenario has none.
+/// Tests that the auditor finds each kind of violation in handwritten records, and none where the rules are kept.
 #include "emulator/audit/auditor.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 class AuditorTest : public testing::Test {
 protected:
-    // The request classes are called after their idempotency.
+    // Each request class is named after its idempotency.
     AuditorTest() {
         rules.max_attempts = 2;
         rules.request_classes["idempotent"] = {Idempotency::idempotent, DeduplicationScope::global, 0};
@@ -23,7 +23,8 @@
         records.emplace_back(source, process, json::parse(line).as_object());
     }
 
-    void add_sent(int id, std::int64_t ms, const std::string& request_class) {
+    // Records that a client sent a request to the controller at address "A".
+    void add_client_request(int id, std::int64_t ms, const std::string& request_class) {
         add_record("clients", "c",
                    json::serialize(json::object{{"t", ms * 1000},
                                                 {"e", "sent"},
@@ -36,8 +37,10 @@
                                                 {"promised_us", 1'500'000}}));
     }
 
-    // Of the request that add_sent() sent; an empty `request` is one that no controller numbered.
-    void add_answer(int id, std::int64_t ms, const std::string& outcome, const std::string& request, int attempts) {
+    // Records the outcome of the request that add_client_request(id, ...) recorded. `request` is the number that the
+    // controller gave to the request; empty: no controller accepted it.
+    void add_client_outcome(int id, std::int64_t ms, const std::string& outcome, const std::string& request,
+                            int attempts) {
         add_record("clients", "c",
                    json::serialize(json::object{{"t", ms * 1000},
                                                 {"e", "answer"},
@@ -49,15 +52,15 @@
                                                 {"hops", std::to_string(attempts)}}));
     }
 
-    /// What an invoker records of an attempt.
-    struct InvokerRecord {
+    /// An event that an invoker recorded for an attempt.
+    struct InvokerEvent {
         std::string invoker;
         std::int64_t ms{};
         std::string event, request_class;
         int attempt{};
         std::string result = "", request = "1", origin = "o1";
     };
-    void add_attempt(const InvokerRecord& record) {
+    void add_invoker_event(const InvokerEvent& record) {
         json::object line{{"t", record.ms * 1000},
                           {"e", record.event},
                           {"controller", "k/1"},
@@ -70,24 +73,25 @@
         add_record("invoker", record.invoker, json::serialize(line));
     }
 
-    // A request that succeeds at the first attempt, at invoker i1.
-    void add_success(int id, std::int64_t ms, const std::string& request_class = "idempotent") {
+    // Records a request whose first attempt succeeded at invoker i1.
+    void add_successful_request(int id, std::int64_t ms, const std::string& request_class = "idempotent") {
         const std::string request = std::to_string(id), origin = "o" + request;
-        add_sent(id, ms, request_class);
-        add_attempt({"i1", ms + 1, "hop", request_class, 0, "", request, origin});
-        add_attempt({"i1", ms + 2, "run", request_class, 0, "", request, origin});
-        add_attempt({"i1", ms + 100, "answer", request_class, 0, "honoured", request, origin});
-        add_answer(id, ms + 101, "honoured", request, 1);
+        add_client_request(id, ms, request_class);
+        add_invoker_event({"i1", ms + 1, "hop", request_class, 0, "", request, origin});
+        add_invoker_event({"i1", ms + 2, "run", request_class, 0, "", request, origin});
+        add_invoker_event({"i1", ms + 100, "answer", request_class, 0, "honoured", request, origin});
+        add_client_outcome(id, ms + 101, "honoured", request, 1);
     }
 
-    // A first attempt at i1 that ended without an answer, by an event of the record, after 50 ms.
+    // Records a first attempt at invoker i1 that ended at 50 ms without an answer. `event` states how, for example
+    // "cut" for a closed connection.
     void add_unanswered_attempt(const std::string& request_class, const std::string& event) {
-        add_sent(1, 0, request_class);
-        add_attempt({"i1", 1, "hop", request_class, 0});
-        add_attempt({"i1", 50, event, request_class, 0});
+        add_client_request(1, 0, request_class);
+        add_invoker_event({"i1", 1, "hop", request_class, 0});
+        add_invoker_event({"i1", 50, event, request_class, 0});
     }
 
-    void add_endpoints(std::int64_t ms, const std::string& endpoints) {
+    void add_consul_answer(std::int64_t ms, const std::string& endpoints) {
         add_record("list", "l",
                    R"({"t":)" + std::to_string(ms * 1000) + R"(,"e":"told","to":"k/1","list":)" + endpoints + "}");
     }
@@ -98,7 +102,7 @@
                        function + R"(","copies":1})");
     }
 
-    void add_cold_start() {
+    void add_slow_start() {
         add_record("invoker", "i1",
                    R"({"t":0,"e":"start","cold":true,"capacity":1,"cold_share":0.2,"cold_us":10000000,)"
                    R"("multiple":2,"span_us":2000000,"mean_work_ms":100})");
@@ -112,10 +116,10 @@
 
     void expect_violation(Rule rule, const std::string& description) {
         const Verdict verdict = judge();
-        ASSERT_FALSE(verdict.violations.empty()) << "no violation";
-        for (const Violation& each : verdict.violations)
-            if (each.rule == rule && each.description.find(description) != std::string::npos) return;
-        FAIL() << "found instead: " << rule_name(verdict.violations[0].rule) << ": "
+        ASSERT_FALSE(verdict.violations.empty()) << "the auditor found no violation";
+        for (const Violation& violation : verdict.violations)
+            if (violation.rule == rule && violation.description.find(description) != std::string::npos) return;
+        FAIL() << "no such violation; the first one found: " << rule_name(verdict.violations[0].rule) << ": "
                << verdict.violations[0].description;
     }
 
@@ -124,162 +128,162 @@
 };
 
 TEST_F(AuditorTest, CleanScenarioHasNoViolation) {
-    add_success(1, 0);
-    add_success(2, 10, "deduplicated");
-    add_success(3, 20, "at_most_once");
+    add_successful_request(1, 0);
+    add_successful_request(2, 10, "deduplicated");
+    add_successful_request(3, 20, "at_most_once");
     const Verdict verdict = judge();
     EXPECT_EQ(verdict.summary(), "verdict: rules kept; requests 3, succeeded 3, rejected 0, failed 0, late 0");
 }
 
 TEST_F(AuditorTest, FindsMissingAnswer) {
-    add_sent(1, 0, "idempotent");
-    expect_violation(Rule::every_request_answered, "no end of it");
+    add_client_request(1, 0, "idempotent");
+    expect_violation(Rule::every_request_answered, "no answer and no other outcome was recorded");
 }
 
 TEST_F(AuditorTest, FindsConnectionCutByRunningController) {
-    add_sent(1, 0, "idempotent");
-    add_answer(1, 50, "cut", "", 0);
-    expect_violation(Rule::every_request_answered, "its controller lived");
+    add_client_request(1, 0, "idempotent");
+    add_client_outcome(1, 50, "cut", "", 0);
+    expect_violation(Rule::every_request_answered, "the controller was neither killed nor frozen");
 }
 
 TEST_F(AuditorTest, ExcusesConnectionCutByKilledController) {
-    add_sent(1, 0, "idempotent");
+    add_client_request(1, 0, "idempotent");
     add_record("scenario", "scenario", R"({"t":40000,"e":"controller_killed","address":"A","us":5000})");
-    add_answer(1, 50, "cut", "", 0);
+    add_client_outcome(1, 50, "cut", "", 0);
     EXPECT_TRUE(judge().violations.empty());
 }
 
 TEST_F(AuditorTest, FindsSecondAnswer) {
-    add_success(1, 0);
-    add_answer(1, 150, "bounced", "1", 1);
+    add_successful_request(1, 0);
+    add_client_outcome(1, 150, "bounced", "1", 1);
     expect_violation(Rule::every_request_answered, "answered twice");
 }
 
 TEST_F(AuditorTest, FindsAnswerAfterDeadline) {
-    add_sent(1, 0, "idempotent");
-    add_answer(1, 4200, "bounced", "1", 0);
+    add_client_request(1, 0, "idempotent");
+    add_client_outcome(1, 4200, "bounced", "1", 0);
     expect_violation(Rule::every_request_answered, "after its deadline");
 }
 
 TEST_F(AuditorTest, FindsAttemptAfterFinalAnswer) {
-    add_success(1, 0);
-    add_attempt({"i2", 400, "hop", "idempotent", 1});
+    add_successful_request(1, 0);
+    add_invoker_event({"i2", 400, "hop", "idempotent", 1});
     expect_violation(Rule::every_request_answered, "after the final answer");
 }
 
 TEST_F(AuditorTest, FrozenControllerMayAnswerAfterItResumes) {
-    add_sent(1, 0, "idempotent");
-    add_answer(1, 4290, "bounced", "1", 0);
+    add_client_request(1, 0, "idempotent");
+    add_client_outcome(1, 4290, "bounced", "1", 0);
     add_record("scenario", "scenario", R"({"t":4300000,"e":"controller_frozen","address":"A","us":400000})");
     EXPECT_TRUE(judge().violations.empty());
 }
 
 TEST_F(AuditorTest, FindsSecondRunOfAtMostOnceRequest) {
-    add_success(1, 0, "at_most_once");
-    add_attempt({"i2", 500, "run", "at_most_once", 0, "", "9"});
+    add_successful_request(1, 0, "at_most_once");
+    add_invoker_event({"i2", 500, "run", "at_most_once", 0, "", "9"});
     expect_violation(Rule::no_duplicate_effect, "at-most-once o1 ran at i1 and again at i2");
 }
 
 TEST_F(AuditorTest, FindsAtMostOnceAttemptAfterOneThatMayHaveRun) {
     add_unanswered_attempt("at_most_once", "cut");
-    add_attempt({"i2", 150, "hop", "at_most_once", 1});
-    add_answer(1, 200, "written-off", "1", 2);
+    add_invoker_event({"i2", 150, "hop", "at_most_once", 1});
+    add_client_outcome(1, 200, "written-off", "1", 2);
     expect_violation(Rule::no_duplicate_effect, "may have run");
 }
 
 TEST_F(AuditorTest, AllowsAtMostOnceAttemptAfterRejectedOne) {
-    add_sent(1, 0, "at_most_once");
-    add_attempt({"i1", 1, "hop", "at_most_once", 0});
-    add_attempt({"i1", 2, "answer", "at_most_once", 0, "turned-away"});
-    add_attempt({"i2", 150, "hop", "at_most_once", 1});
-    add_attempt({"i2", 151, "run", "at_most_once", 1});
-    add_attempt({"i2", 180, "answer", "at_most_once", 1, "honoured"});
-    add_answer(1, 200, "honoured", "1", 2);
+    add_client_request(1, 0, "at_most_once");
+    add_invoker_event({"i1", 1, "hop", "at_most_once", 0});
+    add_invoker_event({"i1", 2, "answer", "at_most_once", 0, "turned-away"});
+    add_invoker_event({"i2", 150, "hop", "at_most_once", 1});
+    add_invoker_event({"i2", 151, "run", "at_most_once", 1});
+    add_invoker_event({"i2", 180, "answer", "at_most_once", 1, "honoured"});
+    add_client_outcome(1, 200, "honoured", "1", 2);
     EXPECT_TRUE(judge().violations.empty());
 }
 
 TEST_F(AuditorTest, FindsRejectionOfRequestThatMayHaveRun) {
     add_unanswered_attempt("at_most_once", "gone");
-    add_answer(1, 200, "bounced", "1", 1);
-    expect_violation(Rule::no_duplicate_effect, "rejected though");
+    add_client_outcome(1, 200, "bounced", "1", 1);
+    expect_violation(Rule::no_duplicate_effect, "the request was rejected though");
 }
 
 TEST_F(AuditorTest, FindsDeduplicatedAttemptOutsideScope) {
     add_unanswered_attempt("deduplicated", "cut");
-    add_attempt({"i3", 150, "hop", "deduplicated", 1});
-    add_answer(1, 200, "honoured", "1", 2);
-    expect_violation(Rule::no_duplicate_effect, "left the scope");
+    add_invoker_event({"i3", 150, "hop", "deduplicated", 1});
+    add_client_outcome(1, 200, "honoured", "1", 2);
+    expect_violation(Rule::no_duplicate_effect, "outside the deduplication scope of i1");
 }
 
 TEST_F(AuditorTest, FindsDeduplicatedAttemptAfterKeyExpired) {
     rules.request_classes["deduplicated"].deduplication_window_us = 100'000;
     add_unanswered_attempt("deduplicated", "cut");
-    add_attempt({"i2", 350, "hop", "deduplicated", 1});
-    add_answer(1, 400, "honoured", "1", 2);
+    add_invoker_event({"i2", 350, "hop", "deduplicated", 1});
+    add_client_outcome(1, 400, "honoured", "1", 2);
     expect_violation(Rule::no_duplicate_effect, "expired");
 }
 
 TEST_F(AuditorTest, FindsDeduplicatedRunOutsideScope) {
-    add_success(1, 0, "deduplicated");
-    add_attempt({"i3", 900, "run", "deduplicated", 0, "", "7"});
-    expect_violation(Rule::no_duplicate_effect, "outside its scope");
+    add_successful_request(1, 0, "deduplicated");
+    add_invoker_event({"i3", 900, "run", "deduplicated", 0, "", "7"});
+    expect_violation(Rule::no_duplicate_effect, "outside its deduplication scope");
 }
 
 TEST_F(AuditorTest, FindsTooManyAttempts) {
-    add_sent(1, 0, "idempotent");
-    for (int attempt = 0; attempt < 3; ++attempt) add_attempt({"i1", 10 * attempt, "hop", "idempotent", attempt});
-    add_answer(1, 100, "honoured", "1", 3);
+    add_client_request(1, 0, "idempotent");
+    for (int attempt = 0; attempt < 3; ++attempt) add_invoker_event({"i1", 10 * attempt, "hop", "idempotent", attempt});
+    add_client_outcome(1, 100, "honoured", "1", 3);
     expect_violation(Rule::attempt_limits, "3 attempts");
 }
 
 TEST_F(AuditorTest, FindsConcurrentAttemptsWithoutHedging) {
     rules.hedging = false;
-    add_sent(1, 0, "idempotent");
-    add_attempt({"i1", 1, "hop", "idempotent", 0});
-    add_attempt({"i2", 200, "hop", "idempotent", 1});
-    add_attempt({"i1", 500, "gone", "idempotent", 0});
-    add_answer(1, 600, "honoured", "1", 2);
-    expect_violation(Rule::attempt_limits, "beside attempt 0");
+    add_client_request(1, 0, "idempotent");
+    add_invoker_event({"i1", 1, "hop", "idempotent", 0});
+    add_invoker_event({"i2", 200, "hop", "idempotent", 1});
+    add_invoker_event({"i1", 500, "gone", "idempotent", 0});
+    add_client_outcome(1, 600, "honoured", "1", 2);
+    expect_violation(Rule::attempt_limits, "while attempt 0 at i1 was in flight");
 }
 
 TEST_F(AuditorTest, FindsAttemptAfterDrainGrace) {
-    add_endpoints(0, R"([["i1","ready",0]])");
-    add_endpoints(1, R"([["i1","drains",0]])");
-    add_success(1, 2500);
-    expect_violation(Rule::drain_grace, "after the grace");
+    add_consul_answer(0, R"([["i1","ready",0]])");
+    add_consul_answer(1, R"([["i1","drains",0]])");
+    add_successful_request(1, 2500);
+    expect_violation(Rule::drain_grace, "after the end of its drain grace period");
 }
 
 TEST_F(AuditorTest, FindsAttemptAtInvokerNoLongerListed) {
-    add_endpoints(0, R"([["i1","ready",0]])");
-    add_endpoints(1, "[]");
-    add_success(1, 2500);
-    expect_violation(Rule::drain_grace, "after the grace");
+    add_consul_answer(0, R"([["i1","ready",0]])");
+    add_consul_answer(1, "[]");
+    add_successful_request(1, 2500);
+    expect_violation(Rule::drain_grace, "after the end of its drain grace period");
 }
 
 TEST_F(AuditorTest, FindsPreloadAfterDrainGrace) {
-    add_endpoints(0, R"([["i1","drains",0]])");
+    add_consul_answer(0, R"([["i1","drains",0]])");
     add_preload(2500, "f");
     expect_violation(Rule::drain_grace, "a preload");
 }
 
 TEST_F(AuditorTest, AllowsAttemptsWithinDrainGraceAndAfterReturn) {
-    add_endpoints(0, R"([["i1","drains",0]])");
-    add_success(1, 1500);
-    add_endpoints(3000, R"([["i1","ready",5]])");
-    add_success(2, 3500);
+    add_consul_answer(0, R"([["i1","drains",0]])");
+    add_successful_request(1, 1500);
+    add_consul_answer(3000, R"([["i1","ready",5]])");
+    add_successful_request(2, 3500);
     EXPECT_TRUE(judge().violations.empty());
 }
 
 TEST_F(AuditorTest, FindsOverloadOfStartingInvoker) {
-    add_cold_start();
-    for (int i = 0; i < 20; ++i) add_success(i, 100 + i);
-    expect_violation(Rule::slow_start, "of its budget");
+    add_slow_start();
+    for (int i = 0; i < 20; ++i) add_successful_request(i, 100 + i);
+    expect_violation(Rule::slow_start, "of its slow start budget");
 }
 
 TEST_F(AuditorTest, FindsInvokerThatFailedUnderLoad) {
-    add_cold_start();
+    add_slow_start();
     add_record("invoker", "i1", R"({"t":1000,"e":"fell"})");
-    expect_violation(Rule::slow_start, "failed under its load");
+    expect_violation(Rule::slow_start, "failed because it was overloaded");
 }
 
 TEST_F(AuditorTest, FindsPreloadsBeyondLoadBudget) {
@@ -287,13 +291,13 @@
     rules.free_loads = 1;
     rules.loads_per_request = 0.5;
     add_record("scenario", "scenario", R"({"t":0,"e":"controller_started","name":"k","address":"A"})");
-    add_success(1, 0);
-    add_success(2, 10);
+    add_successful_request(1, 0);
+    add_successful_request(2, 10);
     add_preload(1000, "f");
     add_preload(1100, "g");
     EXPECT_TRUE(judge().violations.empty());
     add_preload(1200, "h");
-    expect_violation(Rule::load_budget, "3 preloads, 2.0 allowed");
+    expect_violation(Rule::load_budget, "3 preloads in the load window, 2.0 allowed");
 }
 
 }  // namespace
