--- a/emulator/audit/check_answers.cpp
+++ b/emulator/audit/check_answers.cpp
@@ -13,7 +13,7 @@
 };
 
 std::map<std::pair<std::string, std::int64_t>, ClientTry> collect_tries(const RecordIndex& records) {
-    std::map<std::pair<std::string, std::int64_t>, ClientTry> tries;  // by client process and id
+    std::map<std::pair<std::string, std::int64_t>, ClientTry> tries;  // key: client process and id
     for (const RecordedEvent& event : records.events()) {
         if (event.source != source::client || !event.has(key::id)) continue;
         ClientTry& client_try = tries[{event.process, event.integer(key::id)}];
--- a/emulator/audit/check_drains.cpp
+++ b/emulator/audit/check_drains.cpp
@@ -48,7 +48,7 @@
 }  // namespace
 
 void check_drains(const AuditContext& context) {
-    std::map<std::string, KnownEndpoints> known;  // by controller and incarnation
+    std::map<std::string, KnownEndpoints> known;  // key: controller and incarnation
     for (const RecordedEvent& event : context.records.events()) {
         if (event.is(source::consul, event::endpoints_sent)) update_endpoints(known[event.text(key::to)], event);
         const bool is_preload = event.is(source::invoker, event::preload) && event.integer(key::copies) > 0;
--- a/emulator/audit/check_loads.cpp
+++ b/emulator/audit/check_loads.cpp
@@ -11,7 +11,7 @@
 constexpr double rounding_tolerance = 1e-9;  // loads
 
 std::map<std::string, std::string> controller_addresses(const RecordIndex& records) {
-    std::map<std::string, std::string> addresses;  // by controller name
+    std::map<std::string, std::string> addresses;  // key: controller name
     for (const RecordedEvent& event : records.events())
         if (event.is(source::scenario, event::controller_started))
             addresses[event.text(key::name)] = event.text(key::address);
@@ -28,8 +28,8 @@
     const DeploymentRules& rules = context.rules;
     if (rules.load_window_us == 0) return;
     auto addresses = controller_addresses(context.records);
-    std::map<std::string, std::deque<std::int64_t>> preloads;  // by controller and incarnation
-    std::map<std::string, std::deque<std::int64_t>> requests;  // by controller address
+    std::map<std::string, std::deque<std::int64_t>> preloads;  // key: controller and incarnation
+    std::map<std::string, std::deque<std::int64_t>> requests;  // key: controller address
     for (const RecordedEvent& event : context.records.events()) {
         if (event.is(source::client, event::sent)) requests[event.text(key::to)].push_back(event.time_us);
         if (!event.is(source::invoker, event::preload) || event.integer(key::copies) == 0) continue;
--- a/emulator/audit/deployment_rules.hpp
+++ b/emulator/audit/deployment_rules.hpp
@@ -28,8 +28,8 @@
     // each request that it received in the window.
     std::int64_t load_window_us{};  // 0: the number of loads is not limited
     double free_loads{}, loads_per_request{};
-    std::map<std::string, RequestClass> request_classes;  // by class name
-    std::map<std::string, Location> locations;            // by invoker name
+    std::map<std::string, RequestClass> request_classes;  // key: class name
+    std::map<std::string, Location> locations;            // key: invoker name
 
     /// Returns the class of that name, or a default RequestClass if there is none.
     RequestClass request_class(const std::string& name) const;
--- a/emulator/audit/record_index.hpp
+++ b/emulator/audit/record_index.hpp
@@ -84,9 +84,9 @@
 
     std::vector<RecordedEvent> events_;
     std::map<std::string, RecordedRequest> requests_;
-    std::map<std::string, std::vector<Lag>> lags_;          // by process_key()
-    std::map<std::string, std::vector<TimeSpan>> kills_;    // by controller address; from the signal to the exit
-    std::map<std::string, std::vector<TimeSpan>> freezes_;  // by controller address
+    std::map<std::string, std::vector<Lag>> lags_;          // key: process_key()
+    std::map<std::string, std::vector<TimeSpan>> kills_;    // key: controller address; from the signal to the exit
+    std::map<std::string, std::vector<TimeSpan>> freezes_;  // key: controller address
 };
 
 }  // namespace plumkeel::emulator
--- a/emulator/faults/fault_plan.cpp
+++ b/emulator/faults/fault_plan.cpp
@@ -10,13 +10,13 @@
 namespace plumkeel::faults {
 
 PlanFile::PlanFile(std::string path) : path_(std::move(path)) {
-    const int file = ::open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    if (file < 0) throw std::runtime_error(path_ + ": can't be made");
+    const int descriptor = ::open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+    if (descriptor < 0) throw std::runtime_error(path_ + ": cannot create the fault plan file");
     void* memory = MAP_FAILED;
-    if (::ftruncate(file, sizeof(Plan)) == 0)
-        memory = ::mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-    ::close(file);
-    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": can't be mapped");
+    if (::ftruncate(descriptor, sizeof(Plan)) == 0)
+        memory = ::mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
+    ::close(descriptor);
+    if (memory == MAP_FAILED) throw std::runtime_error(path_ + ": cannot map the fault plan file into memory");
     plan_ = new (memory) Plan;
 }
 
@@ -26,17 +26,17 @@
 }
 
 void PlanFile::fail(Call call, std::uint32_t per_million, std::initializer_list<int> errors) {
-    Rule& it = rule(call);
-    it.failing = 0;
-    std::uint32_t count = 0;
-    for (const int each : errors)
-        if (count < most_errors) it.error[count++] = each;
-    it.errors = count;
-    it.failing = count ? per_million : 0;
+    Rule& call_rule = rule(call);
+    call_rule.failing_per_million = 0;
+    std::uint32_t error_count = 0;
+    for (const int error : errors)
+        if (error_count < max_error_codes) call_rule.error_codes[error_count++] = error;
+    call_rule.error_count = error_count;
+    call_rule.failing_per_million = error_count ? per_million : 0;
 }
 
 void PlanFile::heal() {
-    for (Rule& each : plan_->rule) each.failing = each.shortened = 0;
+    for (Rule& call_rule : plan_->rules) call_rule.failing_per_million = call_rule.shortened_per_million = 0;
 }
 
 }  // namespace plumkeel::faults
--- a/emulator/faults/fault_plan.hpp
+++ b/emulator/faults/fault_plan.hpp
@@ -1,5 +1,6 @@
-/// What a preloaded fault library (fault_preload.cpp) does to a process, and what it has done: one page of memory,
-/// shared through a file, that a test maps and changes while the process runs.
+/// The fault plan: which system calls of a process fail, and how often. It is memory shared through a file between a
+/// test and the fault library (fault_preload.cpp) in the process, so that the test can change it while the process
+/// runs.
 #pragma once
 
 #include <atomic>
@@ -9,33 +10,37 @@
 
 namespace plumkeel::faults {
 
-/// The environment variable that names the plan's file.
+/// The environment variable that holds the path of the plan's file.
 inline constexpr const char* plan_variable = "PLUMKEEL_FAULT_PLAN";
 
 enum class Call : std::size_t { accept, connect, send, receive, wait, sync, write_file, count_ };
-inline constexpr std::size_t calls = static_cast<std::size_t>(Call::count_);
-inline constexpr std::size_t most_errors = 8;
+inline constexpr std::size_t call_kind_count = static_cast<std::size_t>(Call::count_);
+inline constexpr std::size_t max_error_codes = 8;
 
-/// How often a call fails, and with what. Rates are in calls of a million.
+/// The faults to inject into one kind of system call, and counts of the calls, which the fault library updates.
 struct Rule {
-    std::atomic<std::uint32_t> failing{}, shortened{};
-    std::atomic<std::uint32_t> errors{};  // how many of the next are in use
-    std::atomic<std::int32_t> error[most_errors]{};
-    std::atomic<std::uint64_t> seen{}, failed{}, cut_short{};  // counted by the process
+    // How many calls fail, and how many transfer fewer bytes than asked.
+    std::atomic<std::uint32_t> failing_per_million{}, shortened_per_million{};
+    // Values of errno, of which the first `error_count` are used. One is picked at random for each failure.
+    std::atomic<std::uint32_t> error_count{};
+    std::atomic<std::int32_t> error_codes[max_error_codes]{};
+    std::atomic<std::uint64_t> total{}, failed{}, cut_short{};  // numbers of calls so far
 };
 
 struct Plan {
-    std::atomic<std::int64_t> wall_ahead_us{};  // the wall clock steps by changes of this
-    std::atomic<std::uint64_t> seed{1};
-    Rule rule[calls];
+    std::atomic<std::int64_t> wall_ahead_us{};  // added to the process's wall clock
+    std::atomic<std::uint64_t> seed{1};         // state of the random number generator
+    Rule rules[call_kind_count];
 };
 
-/// For a program that is linked with the library instead: sets the plan that its own calls follow; null: none.
+/// Sets the fault plan of the calling process, for a program that is linked with the fault library rather than started
+/// with LD_PRELOAD. `plan` points to a Plan; null returns to the plan of the environment variable, if any.
 extern "C" void plumkeel_use_fault_plan(void* plan);
 
-/// A plan in a file of its own, which is created. Throws std::runtime_error where it can't be.
+/// Creates a file with a fault plan and maps it into memory; removes the file on destruction.
 class PlanFile {
 public:
+    /// Throws std::runtime_error if the file cannot be created or mapped.
     explicit PlanFile(std::string path);
     ~PlanFile();
     PlanFile(const PlanFile&) = delete;
@@ -43,11 +48,14 @@
 
     const std::string& path() const { return path_; }
     Plan& plan() { return *plan_; }
-    Rule& rule(Call call) { return plan_->rule[static_cast<std::size_t>(call)]; }
-    /// The call fails in so many of a million cases, with one of these errors each time.
+    Rule& rule(Call call) { return plan_->rules[static_cast<std::size_t>(call)]; }
+    /// Makes `per_million` of a million calls fail, each with one of these values of errno. Values after the first
+    /// `max_error_codes` are ignored.
     void fail(Call call, std::uint32_t per_million, std::initializer_list<int> errors);
-    void cut_short(Call call, std::uint32_t per_million) { rule(call).shortened = per_million; }
-    void heal();  // all calls work again; the clock stays as it is
+    /// Makes `per_million` of a million calls transfer fewer bytes than asked.
+    void cut_short(Call call, std::uint32_t per_million) { rule(call).shortened_per_million = per_million; }
+    /// Stops all injected errors and short transfers. The offset of the wall clock is kept.
+    void heal();
 
 private:
     const std::string path_;
--- a/emulator/faults/process.cpp
+++ b/emulator/faults/process.cpp
@@ -15,28 +15,29 @@
 
 Process::Process(std::vector<std::string> command, const std::map<std::string, std::string>& environment,
                  const std::string& log) {
-    std::vector<std::string> settings;
-    for (char** each = environ; *each; ++each) {
-        const std::string setting = *each;
-        if (!environment.count(setting.substr(0, setting.find('=')))) settings.push_back(setting);
+    std::vector<std::string> variables;
+    for (char** entry = environ; *entry; ++entry) {
+        const std::string variable = *entry;
+        if (!environment.count(variable.substr(0, variable.find('=')))) variables.push_back(variable);
     }
-    for (const auto& [name, value] : environment) settings.push_back(name + "=" + value);
-    const auto pointers = [](std::vector<std::string>& texts) {
-        std::vector<char*> out;
-        for (std::string& each : texts) out.push_back(each.data());
-        out.push_back(nullptr);
-        return out;
+    for (const auto& [name, value] : environment) variables.push_back(name + "=" + value);
+    const auto to_c_strings = [](std::vector<std::string>& strings) {
+        std::vector<char*> c_strings;
+        for (std::string& element : strings) c_strings.push_back(element.data());
+        c_strings.push_back(nullptr);
+        return c_strings;
     };
     posix_spawn_file_actions_t actions;
     ::posix_spawn_file_actions_init(&actions);
-    const std::string to = log.empty() ? "/dev/null" : log;
-    ::posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, to.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    // It must not inherit sockets: a connection would not end with this process.
+    const std::string log_path = log.empty() ? "/dev/null" : log;
+    ::posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    // The child must not inherit sockets of this process, which would keep connections open after this process closes
+    // them.
     ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-    const int failed = ::posix_spawn(&pid_, command.front().c_str(), &actions, nullptr, pointers(command).data(),
-                                     pointers(settings).data());
+    const int error = ::posix_spawn(&pid_, command.front().c_str(), &actions, nullptr, to_c_strings(command).data(),
+                                    to_c_strings(variables).data());
     ::posix_spawn_file_actions_destroy(&actions);
-    if (failed) throw std::system_error(failed, std::generic_category(), command.front());
+    if (error) throw std::system_error(error, std::generic_category(), command.front());
 }
 
 Process::~Process() {
@@ -46,8 +47,8 @@
     }
 }
 
-void Process::signal(int number) const {
-    if (!ending_) ::kill(pid_, number);
+void Process::signal(int signal_number) const {
+    if (!ending_) ::kill(pid_, signal_number);
 }
 
 std::optional<Ending> Process::ended() {
@@ -57,9 +58,9 @@
     return ending_;
 }
 
-std::optional<Ending> Process::wait(std::chrono::milliseconds limit) {
-    const auto until = std::chrono::steady_clock::now() + limit;
-    while (!ended() && std::chrono::steady_clock::now() < until)
+std::optional<Ending> Process::wait(std::chrono::milliseconds timeout) {
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
+    while (!ended() && std::chrono::steady_clock::now() < deadline)
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     return ending_;
 }
