--- a/emulator/protocol_bytes.hpp
+++ b/emulator/protocol_bytes.hpp
@@ -61,7 +61,7 @@
 }
 
 /// Parameters of a request for the function `key`.
-inline Fields job_fields(const std::string& id, const std::string& key, int left_ms = 2000) {
+inline Fields request_fields(const std::string& id, const std::string& key, int left_ms = 2000) {
     return {{"SCRIPT_NAME", "/invoke/preview"}, {"HTTP_REQUEST_ID", id},    {"HTTP_BUDGET_MS", std::to_string(left_ms)},
             {"HTTP_ACCOUNT", "acme"},           {"HTTP_RESOURCE_KEY", key}, {"HTTP_X_TAGS", "memory_mb:512;lanes:1"}};
 }
@@ -71,10 +71,10 @@
 }
 
 /// A FastCGI response.
-struct Ended {
+struct FastcgiResponse {
     std::string text;       // of its output records
     int protocol_status{};  // of its end record
-    int times{};            // how many end records came
+    int end_records{};      // how many end records came
     std::string status() const { return text.size() > 11 && text.starts_with("Status: ") ? text.substr(8, 3) : ""; }
     std::string body() const {
         const auto at = text.find("\r\n\r\n");
@@ -83,8 +83,8 @@
 };
 
 /// The responses in a controller's bytes, by request number; nothing where these are malformed.
-inline std::optional<std::map<int, Ended>> answers(std::string_view got) {
-    std::map<int, Ended> out;
+inline std::optional<std::map<int, FastcgiResponse>> parse_responses(std::string_view got) {
+    std::map<int, FastcgiResponse> out;
     while (!got.empty()) {
         if (got.size() < 8 || got[0] != 1) return {};
         const auto at = [&](std::size_t i) { return static_cast<std::size_t>(static_cast<unsigned char>(got[i])); };
@@ -94,7 +94,7 @@
         const std::string_view content = got.substr(8, length);
         if (type == 6) out[number].text += content;
         if (type == 3) {
-            ++out[number].times;
+            ++out[number].end_records;
             out[number].protocol_status = content[4];
         }
         got.remove_prefix(8 + length + padding);
@@ -102,36 +102,36 @@
     return out;
 }
 
-inline std::string big(std::uint64_t value, int bytes) {
+inline std::string big_endian(std::uint64_t value, int bytes) {
     std::string out;
     for (int i = bytes - 1; i >= 0; --i) out += static_cast<char>(value >> (8 * i) & 255);
     return out;
 }
 
 /// An endpoint in a frame of changes.
-struct Row {
+struct EndpointEntry {
     std::uint32_t id;
     std::string address;  // IPv4, dotted
     int port = 7001, state = 0;
     std::uint64_t started = 0;  // Unix milliseconds; 0: long ago
 };
 
-inline std::string row(const Row& it) {
-    std::string out = big(it.id, 4);
+inline std::string encode_endpoint(const EndpointEntry& it) {
+    std::string out = big_endian(it.id, 4);
     std::string_view left = it.address;
     for (int i = 0; i < 4; ++i) {
         out += static_cast<char>(std::stoi(std::string(left.substr(0, left.find('.')))));
         left.remove_prefix(std::min(left.find('.') + 1, left.size()));
     }
-    return out + big(static_cast<std::uint64_t>(it.port), 2) + static_cast<char>(it.state) + '\0' + '\0' + big(0, 2) +
-           big(5000, 4) + big(it.started, 8);
+    return out + big_endian(static_cast<std::uint64_t>(it.port), 2) + static_cast<char>(it.state) + '\0' + '\0' +
+           big_endian(0, 2) + big_endian(5000, 4) + big_endian(it.started, 8);
 }
 
 /// A discovery frame: `kind` 0 is a heartbeat, 2 holds changes.
-inline std::string frame(std::uint64_t number, int kind, const std::vector<Row>& rows = {}) {
+inline std::string frame(std::uint64_t number, int kind, const std::vector<EndpointEntry>& rows = {}) {
     std::string payload;
-    for (const Row& each : rows) payload += row(each);
-    return big(9 + payload.size(), 4) + big(number, 8) + static_cast<char>(kind) + payload;
+    for (const EndpointEntry& each : rows) payload += encode_endpoint(each);
+    return big_endian(9 + payload.size(), 4) + big_endian(number, 8) + static_cast<char>(kind) + payload;
 }
 
 }  // namespace plumkeel::bytes
--- a/scale/client_stub.cpp
+++ b/scale/client_stub.cpp
@@ -54,7 +54,7 @@
     while (chosen->sent_at.count(number)) ++number;
     chosen->sent_at[number] = loop_.now();
     const std::string id = bytes::hex16(++sent_ << 8 | 1);
-    chosen->write_queue->send(bytes::message(number, bytes::job_fields(id, function, budget_ms), "ask"));
+    chosen->write_queue->send(bytes::message(number, bytes::request_fields(id, function, budget_ms), "ask"));
 }
 
 void ClientStub::close() {
--- a/scale/discovery_stub.cpp
+++ b/scale/discovery_stub.cpp
@@ -16,7 +16,8 @@
 
 std::string make_changes_frame(std::uint64_t number, const std::string& payload) {
     const std::size_t length = frame_number_size + sizeof changes_frame + payload.size();
-    return bytes::big(length, frame_length_size) + bytes::big(number, frame_number_size) + changes_frame + payload;
+    return bytes::big_endian(length, frame_length_size) + bytes::big_endian(number, frame_number_size) + changes_frame +
+           payload;
 }
 
 }  // namespace
--- a/scale/platform_runner.cpp
+++ b/scale/platform_runner.cpp
@@ -229,7 +229,7 @@
 // An invoker that has started anew under its address.
 std::string PlatformRunner::restarted_row(std::size_t invoker) const {
     const auto started_unix_ms = static_cast<std::uint64_t>(loop_.wall_clock() / 1ms);
-    return bytes::row(
+    return bytes::encode_endpoint(
         {static_cast<std::uint32_t>(invoker), invoker_host(invoker), invoker_port, state_up, started_unix_ms});
 }
 
--- a/scale/watcher_stub.cpp
+++ b/scale/watcher_stub.cpp
@@ -35,7 +35,7 @@
     for (int failures = 0;; ++failures) {
         auto [error, stream] = co_await loop_.connect(discovery_, connect_timeout);
         if (!error) {
-            const std::string known_event = bytes::big(last_event_, frame_number_size);
+            const std::string known_event = bytes::big_endian(last_event_, frame_number_size);
             const auto request = net::asio::const_buffer(known_event.data(), known_event.size());
             stream->write_now({&request, 1});
             failures = 0;
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -113,13 +113,13 @@
                                                   [](const auto& each) { return each->listed && !each->draining; }));
 }
 
-bytes::Row Fleet::discovery_row(const InvokerProcess& invoker, int state) const {
+bytes::EndpointEntry Fleet::discovery_row(const InvokerProcess& invoker, int state) const {
     return {invoker.number + 1, run_host(HostGroup::proxies, invoker.number), proxy_port, state,
             static_cast<std::uint64_t>(invoker.started_unix_ms)};
 }
 
-void Fleet::announce(const bytes::Row& row) {
-    const std::string payload = bytes::row(row);
+void Fleet::announce(const bytes::EndpointEntry& row) {
+    const std::string payload = bytes::encode_endpoint(row);
     for (const auto& service : discovery_) last_event_ = service->publish(payload);
 }
 
--- a/soak/fleet.hpp
+++ b/soak/fleet.hpp
@@ -53,8 +53,8 @@
     void launch(InvokerProcess& invoker);
     void add_invoker();
     void unlist(InvokerProcess& invoker);
-    bytes::Row discovery_row(const InvokerProcess& invoker, int state) const;
-    void announce(const bytes::Row& row);
+    bytes::EndpointEntry discovery_row(const InvokerProcess& invoker, int state) const;
+    void announce(const bytes::EndpointEntry& row);
     std::int64_t announced_us() const;
 
     RunContext& context_;
--- a/tests/codec_fuzz.cpp
+++ b/tests/codec_fuzz.cpp
@@ -43,9 +43,9 @@
 
 std::string fastcgi_stream() {
     using namespace bytes;
-    return message(1, job_fields(hex16(1), hex16(2)), "a body", 7, 5) +
+    return message(1, request_fields(hex16(1), hex16(2)), "a body", 7, 5) +
            record(9, 0, params_of({{"FCGI_MPXS_CONNS", ""}})) + record(99, 0, "odd") +
-           message(2, job_fields(hex16(3), hex16(2)), std::string(300, 'x'), 65) + record(2, 1, "") +
+           message(2, request_fields(hex16(3), hex16(2)), std::string(300, 'x'), 65) + record(2, 1, "") +
            record(1, 7, std::string_view("\0\3\1\0\0\0\0\0", 8)) +
            message(300, {{"LONG", std::string(200, 'v')}}, "", 50) + message(2, {}, "twice") +
            record(1, 9, std::string_view("\0\1\0\0\0\0\0\0", 8)) + record(5, 9, "no params yet") +
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -13,7 +13,7 @@
     open();
     add_invoker(), add_invoker();
     loop.run(100ms);
-    std::vector<Row> rows;
+    std::vector<EndpointEntry> rows;
     for (std::uint32_t i = 3; i < 50; ++i) rows.push_back({i, "10.0.0." + std::to_string(i)});
     discovery.send(frame(2, 2, rows));
     loop.run(1s);
@@ -62,8 +62,9 @@
 }
 
 TEST_F(DiscoveryTest, ResubscribesAfterAMalformedFrame) {
-    for (const std::string& malformed : {std::string("\xff\xff\xff\xff", 4), big(3, 4), big(9, 4) + big(2, 8) + "\5",
-                                         big(12, 4) + big(2, 8) + "\2abc"}) {
+    for (const std::string& malformed :
+         {std::string("\xff\xff\xff\xff", 4), big_endian(3, 4), big_endian(9, 4) + big_endian(2, 8) + "\5",
+          big_endian(12, 4) + big_endian(2, 8) + "\2abc"}) {
         net::SimulatedEventLoop own_loop;
         ScriptedDiscovery discovery(own_loop, "10.9.0.1");
         PlatformConfig own_config = load_platform_config(write_config(default_config));
--- a/tests/fastcgi_connection_test.cpp
+++ b/tests/fastcgi_connection_test.cpp
@@ -11,7 +11,7 @@
     open();
     std::string text;
     for (int i = 1; i <= 32; ++i)
-        text += message(i, job_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
+        text += message(i, request_fields(hex16(static_cast<std::uint64_t>(i)), hex16(0xf)), "work", 3);
     ScriptedClient& client = add_client(10ms, {{0ms, text + message(40, {{"SCRIPT_NAME", "/_health"}})}});
     loop.run(5s);
     for (int i = 1; i <= 32; ++i)
@@ -32,14 +32,14 @@
 
 std::vector<MalformedInput> malformed_inputs() {
     auto with_value = [](const std::string& field, const std::string& value) {
-        Fields fields = job_fields(hex16(7), hex16(0xe));
+        Fields fields = request_fields(hex16(7), hex16(0xe));
         for (auto& [name, old_value] : fields)
             if (name == field) old_value = value;
         return message(1, fields, "work");
     };
     const std::string begin = record(1, 1, std::string_view("\0\1\1\0\0\0\0\0", 8));
-    const std::string valid_params = record(4, 1, params_of(job_fields(hex16(7), hex16(0xe)))) + record(4, 1, "");
-    Fields duplicate_id_fields = job_fields(hex16(7), hex16(0xe)), wrong_length_fields = duplicate_id_fields;
+    const std::string valid_params = record(4, 1, params_of(request_fields(hex16(7), hex16(0xe)))) + record(4, 1, "");
+    Fields duplicate_id_fields = request_fields(hex16(7), hex16(0xe)), wrong_length_fields = duplicate_id_fields;
     duplicate_id_fields.emplace_back("HTTP_REQUEST_ID", hex16(8));
     wrong_length_fields.emplace_back("CONTENT_LENGTH", "-4");
     return {
@@ -87,7 +87,7 @@
     EXPECT_EQ(succeeded_requests(), 20u);
     EXPECT_EQ(total_runs(), 20u);
     for (const ScriptedClient* each : malformed_clients) {
-        const bool is_rejected = each->response(1).times > 0 && each->response(1).status() != "200";
+        const bool is_rejected = each->response(1).end_records > 0 && each->response(1).status() != "200";
         EXPECT_LE(std::min(is_rejected ? each->last_read_at : each->ended_at, each->ended_at) - each->connected_at,
                   2500ms);
     }
@@ -100,7 +100,7 @@
     add_invoker(), add_invoker();
     open();
     add_request(10ms, 5);
-    ScriptedClient& other = add_client(15ms, {{0ms, message(1, job_fields(hex16(5), hex16(0xf)), "other")}});
+    ScriptedClient& other = add_client(15ms, {{0ms, message(1, request_fields(hex16(5), hex16(0xf)), "other")}});
     loop.run(5s);
     EXPECT_EQ(succeeded_requests(), 1u);
     EXPECT_EQ(total_runs(), 1u);
@@ -114,7 +114,7 @@
         add_invoker({InvokerBehaviour::reset, InvokerBehaviour::respond});
     open(replaced(default_config, R"("semantics":"retryable")", R"("semantics":"dedup")"));
     const auto request_with_key = [](std::uint64_t id, const std::string& key) {
-        auto fields = job_fields(hex16(id), hex16(0xf));
+        auto fields = request_fields(hex16(id), hex16(0xf));
         if (!key.empty()) fields.emplace_back("HTTP_ONCE_KEY", key);
         return message(1, fields, "work");
     };
@@ -141,7 +141,7 @@
     open();
     std::vector<ScriptedClient*> clients_without_time;
     for (const char* remaining_ms : {"0", "0.4", "0.999"}) {
-        auto fields = job_fields(hex16(clients_without_time.size() + 1), hex16(0xf));
+        auto fields = request_fields(hex16(clients_without_time.size() + 1), hex16(0xf));
         fields[2].second = remaining_ms;
         clients_without_time.push_back(&add_client(10ms, {{0ms, message(1, fields, "work")}}));
     }
@@ -154,12 +154,12 @@
     ScriptedInvoker& first_invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     ScriptedInvoker& second_invoker = add_invoker({InvokerBehaviour::never_respond, InvokerBehaviour::respond});
     open();
-    const std::string second = message(1, job_fields(hex16(2), hex16(0xf)));
+    const std::string second = message(1, request_fields(hex16(2), hex16(0xf)));
     ScriptedClient& client = add_client(
-        10ms, {{0ms, message(1, job_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
+        10ms, {{0ms, message(1, request_fields(hex16(1), hex16(0xf)))}, {100ms, record(2, 1, "")}, {200ms, second}});
     loop.run(5s);
     EXPECT_EQ(first_invoker.stops.size() + second_invoker.stops.size(), 1u);
-    EXPECT_EQ(client.response(1).times, 2);  // one response to each of the two requests
+    EXPECT_EQ(client.response(1).end_records, 2);  // one response to each of the two requests
     EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(2)));
 }
 
@@ -169,8 +169,8 @@
     for (int c = 0; c < 30; ++c) {
         std::string text, aborts;
         for (int i = 1; i <= 32; ++i) {
-            text += message(
-                i, job_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)), hex16(static_cast<std::uint64_t>(i))));
+            text += message(i, request_fields(hex16(static_cast<std::uint64_t>(c * 100 + i)),
+                                              hex16(static_cast<std::uint64_t>(i))));
             aborts += record(2, i, "");
         }
         add_client(10ms, {{0ms, text + aborts}});
@@ -236,7 +236,7 @@
     ScriptedClient& client =
         add_client(10ms, {{0ms, request_text(1, 1, "work") + request_text(2, 2, "work").substr(0, 60)}});
     loop.run(10s);
-    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).end_records, 1);
     EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
     EXPECT_LT(client.ended_at, 5s);
 }
@@ -249,7 +249,7 @@
     ScriptedClient& client =
         add_client(10ms, {{0ms, request_text(1, 1, "work")}, {50ms, "\x07 this is not a record at all"}});
     loop.run(5s);
-    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).end_records, 1);
     EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
     EXPECT_LT(client.ended_at, 2s);
 }
@@ -277,9 +277,9 @@
     loop.call_at(300ms, [&] { ScriptedInvoker::write(good_client.stream, second.substr(0, 9'000)); });
     loop.call_at(320ms, [&] { ScriptedInvoker::write(good_client.stream, second.substr(9'000)); });
     loop.run(5s);
-    EXPECT_EQ(good_client.response(1).times, 1);
+    EXPECT_EQ(good_client.response(1).end_records, 1);
     EXPECT_EQ(good_client.response(1).status(), "200");
-    EXPECT_EQ(good_client.response(2).times, 1);
+    EXPECT_EQ(good_client.response(2).end_records, 1);
 }
 
 // An open request gets its response although many requests on its connection were rejected while incomplete.
@@ -289,11 +289,11 @@
     open(config_with_long_deadlines());
     std::vector<std::pair<Time, std::string>> texts;
     for (int i = 0; i < 16; ++i)  // requests with bodies over the limit
-        texts.emplace_back(100ms * i, message(2, job_fields(hex16(1), hex16(1)), std::string(36'000, 'b'), 8000));
+        texts.emplace_back(100ms * i, message(2, request_fields(hex16(1), hex16(1)), std::string(36'000, 'b'), 8000));
     texts.emplace_back(650ms, request_text(1, 1, "work"));
     ScriptedClient& client = add_client(10ms, texts);
     loop.run(5s);
-    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).end_records, 1);
     EXPECT_EQ(client.response(1).body(), ScriptedInvoker::response_body_for(hex16(1)));
 }
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -153,17 +153,17 @@
         {InvokerBehaviour::respond, InvokerBehaviour::fail, InvokerBehaviour::reject, InvokerBehaviour::respond});
     add_invoker({InvokerBehaviour::reject, InvokerBehaviour::respond});
     ScriptedClient& well_served =
-        add_client(20ms, {{0ms, message(1, job_fields(hex16(0xa1), hex16(0xf)), "work")},
-                          {300ms, message(2, job_fields(hex16(0xa2), hex16(0xe)), "more work")},
-                          {600ms, message(3, job_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
-    Fields unknown_class = job_fields(hex16(0xb1), hex16(0xf));
+        add_client(20ms, {{0ms, message(1, request_fields(hex16(0xa1), hex16(0xf)), "work")},
+                          {300ms, message(2, request_fields(hex16(0xa2), hex16(0xe)), "more work")},
+                          {600ms, message(3, request_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
+    Fields unknown_class = request_fields(hex16(0xb1), hex16(0xf));
     unknown_class[0].second = "/invoke/nothing";
-    Fields no_time = job_fields(hex16(0xb2), hex16(0xf), 0);
-    Fields absurd_time = job_fields(hex16(0xb3), hex16(0xf));
+    Fields no_time = request_fields(hex16(0xb2), hex16(0xf), 0);
+    Fields absurd_time = request_fields(hex16(0xb3), hex16(0xf));
     absurd_time[2].second = "soon";
-    Fields health = job_fields(hex16(0xb4), hex16(0xf));
+    Fields health = request_fields(hex16(0xb4), hex16(0xf));
     health[0].second = "/_health";
-    Fields elsewhere = job_fields(hex16(0xb5), hex16(0xf));
+    Fields elsewhere = request_fields(hex16(0xb5), hex16(0xf));
     elsewhere[0].second = "/other";
     ScriptedClient& turned_down =
         add_client(40ms, {{0ms, message(1, unknown_class, "x")},
@@ -171,7 +171,7 @@
                           {200ms, message(3, absurd_time, "x")},
                           {300ms, message(4, health)},
                           {400ms, message(5, elsewhere, "x")},
-                          {500ms, message(6, job_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
+                          {500ms, message(6, request_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
                           {700ms, record(9, 0, pair("FCGI_MAX_CONNS", "") + pair("FCGI_MPXS_CONNS", ""))},
                           {800ms, record(33, 0, "")}});
     loop.run(4s);
@@ -190,7 +190,7 @@
 TEST_F(GoldenPlatform, RefusedForWantOfInvokers) {
     open();
     ScriptedDiscovery board(loop, "10.9.0.1");
-    ScriptedClient& it = add_client(20ms, {{0ms, message(1, job_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
+    ScriptedClient& it = add_client(20ms, {{0ms, message(1, request_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
     loop.run(3s);
     expect_golden("answers_without_invokers.txt", it.received);
 }
--- a/tests/invoker_connection_test.cpp
+++ b/tests/invoker_connection_test.cpp
@@ -135,13 +135,13 @@
     ScriptedInvoker& invoker = add_invoker();
     invoker.service_time = 0ms;
     open(replaced(config_with_long_deadlines(), R"("quantum":1.0)", R"("quantum":0.01)"));
-    auto fields = job_fields(hex16(1), hex16(1));
+    auto fields = request_fields(hex16(1), hex16(1));
     fields[2].second = GetParam();
     ScriptedClient& client = add_client(10ms, {{0ms, message(1, fields)}});
     loop.run(3s);
     EXPECT_EQ(invoker.connections, 1);
     EXPECT_TRUE(invoker.runs.empty());
-    EXPECT_EQ(client.response(1).times, 1);
+    EXPECT_EQ(client.response(1).end_records, 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, SlowConnect, testing::Values("2.1", "2.5", "2.9"),
@@ -200,7 +200,7 @@
     invoker.starts_reading_at = 500ms;
     loop.limit_buffer({"10.0.0.1", 7001}, 2000);
     open(config_with_long_deadlines());
-    add_client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000), std::string(16'000, 'x'))}});
+    add_client(10ms, {{0ms, message(1, request_fields(hex16(1), hex16(1), 3000), std::string(16'000, 'x'))}});
     loop.run(8s);
     ASSERT_EQ(invoker.runs.size(), invoker.run_lines.size());
     for (std::size_t i = 0; i < invoker.runs.size(); ++i) {
@@ -217,8 +217,8 @@
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
     open(replaced(config_with_long_deadlines(), R"("semantics":"retryable")", R"("semantics":"fragile")"));
     const std::string function = hex16(7);
-    add_client(10ms, {{0ms, message(1, job_fields(hex16(1), function, 60000))}});
-    add_client(100ms, {{0ms, message(1, job_fields(hex16(2), function, 60000))}});
+    add_client(10ms, {{0ms, message(1, request_fields(hex16(1), function, 60000))}});
+    add_client(100ms, {{0ms, message(1, request_fields(hex16(2), function, 60000))}});
     loop.call_at(122ms, [&] { discovery_server.send(frame(discovery_server.last_event = 2, 2, {{1, "10.0.0.1"}})); });
     loop.run(5s);
     ASSERT_GE(invoker.runs.size(), 3u);
@@ -248,7 +248,7 @@
 TEST_F(InvokerConnection, StallBeforeSendingReducesTheRemainingTime) {
     ScriptedInvoker& invoker = add_invoker();
     open(config_with_long_deadlines());
-    ScriptedClient& client = add_client(10ms, {{0ms, message(1, job_fields(hex16(1), hex16(1), 3000))}});
+    ScriptedClient& client = add_client(10ms, {{0ms, message(1, request_fields(hex16(1), hex16(1), 3000))}});
     bool stalled = false;
     on_record = [&](const trace::Record& record) {
         if (record.request == 0 || std::exchange(stalled, true)) return;
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -35,12 +35,12 @@
     for (std::uint64_t i = 1; i <= 10; ++i)
         clients.push_back(std::make_unique<ScriptedClient>(
             loop, 1s + 10ms * static_cast<int>(i),
-            std::vector<std::pair<Time, std::string>>{{0ms, message(1, job_fields(hex16(i), hex16(i), 2900))}}, true,
-            net::Address{host(1), 7001}));
+            std::vector<std::pair<Time, std::string>>{{0ms, message(1, request_fields(hex16(i), hex16(i), 2900))}},
+            true, net::Address{host(1), 7001}));
     loop.call_at(5s, [&] { loop.stop(); });
     loop.run();
     std::size_t responses = 0;
-    for (const auto& each : clients) responses += each->response(1).times == 1;
+    for (const auto& each : clients) responses += each->response(1).end_records == 1;
     EXPECT_EQ(responses, 10u);
     EXPECT_GE(a.runs.size() + b.runs.size(), 10u);
     EXPECT_TRUE(server->gateway().status().at("invariants_broken").as_object().empty());
--- a/tests/platform_config_test.cpp
+++ b/tests/platform_config_test.cpp
@@ -103,7 +103,7 @@
             PlatformServer server(loop, config, log);
             if (server.open()) continue;
             ScriptedClient client(loop, 10ms,
-                                  {{0ms, message(1, job_fields(hex16(1), hex16(2)), "work") +
+                                  {{0ms, message(1, request_fields(hex16(1), hex16(2)), "work") +
                                              message(2, {{"SCRIPT_NAME", "/_health"}})}});
             loop.run(200ms);
             server.reconfigure(config);
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -67,7 +67,7 @@
 /// A complete FastCGI request with a function of its own and a remaining time of one minute. `number`: its FastCGI
 /// request id on the connection.
 inline std::string request_text(int number, std::uint64_t id, const std::string& body = "") {
-    return message(number, job_fields(hex16(id), hex16(id), 60000), body);
+    return message(number, request_fields(hex16(id), hex16(id), 60000), body);
 }
 
 /// Path of this process's configuration file. Contains the process id, since tests run in parallel processes.
@@ -269,11 +269,11 @@
         write_queue->abandon();
         stream->close();
     }
-    Ended response(int number) const {
-        const auto responses = answers(received);
+    FastcgiResponse response(int number) const {
+        const auto responses = parse_responses(received);
         EXPECT_TRUE(responses) << "malformed FastCGI records";
-        const auto found = responses ? responses->find(number) : std::map<int, Ended>::const_iterator{};
-        return responses && found != responses->end() ? found->second : Ended{};
+        const auto found = responses ? responses->find(number) : std::map<int, FastcgiResponse>::const_iterator{};
+        return responses && found != responses->end() ? found->second : FastcgiResponse{};
     }
 };
 
@@ -347,7 +347,7 @@
     }
     // Adds a request on a connection of its own, which succeeded_requests() checks.
     void add_request(Time when, std::uint64_t id, const std::string& key = hex16(0xf)) {
-        ScriptedClient& client = add_client(when, {{0ms, message(1, job_fields(hex16(id), key), "work")}});
+        ScriptedClient& client = add_client(when, {{0ms, message(1, request_fields(hex16(id), key), "work")}});
         expected_requests.emplace_back(hex16(id), &client);
     }
     // Like add_request(), with a function of its own and a remaining time of one minute.
@@ -357,8 +357,9 @@
     std::size_t succeeded_requests() const {
         std::size_t count = 0;
         for (const auto& [id, client] : expected_requests) {
-            const Ended response = client->response(1);
-            EXPECT_EQ(response.times, 1) << id << " at " << client->ended_at.count() << " " << client->received.size();
+            const FastcgiResponse response = client->response(1);
+            EXPECT_EQ(response.end_records, 1)
+                << id << " at " << client->ended_at.count() << " " << client->received.size();
             count += response.status() == "200" && response.body() == ScriptedInvoker::response_body_for(id);
         }
         return count;
@@ -372,7 +373,7 @@
     // recorded scheduler calls gives the same decisions.
     void TearDown() override {
         for (const auto& each : invokers) EXPECT_TRUE(each->unexpected_lines.empty()) << each->unexpected_lines.front();
-        for (const auto& each : clients) EXPECT_TRUE(answers(each->received));
+        for (const auto& each : clients) EXPECT_TRUE(parse_responses(each->received));
         const auto broken_invariants =
             server ? server->gateway().status().at("invariants_broken").as_object() : boost::json::object();
         EXPECT_TRUE(broken_invariants.empty()) << boost::json::serialize(broken_invariants);
--- a/tests/platform_shutdown_test.cpp
+++ b/tests/platform_shutdown_test.cpp
@@ -121,9 +121,9 @@
         char buffer[4096];
         for (ssize_t size; (size = ::recv(clients[i], buffer, sizeof buffer, 0)) > 0;)
             received.append(buffer, static_cast<std::size_t>(size));
-        const auto responses = answers(received);
+        const auto responses = parse_responses(received);
         ASSERT_TRUE(responses && responses->count(1)) << "client " << i << " got " << received.size() << " bytes";
-        EXPECT_EQ(responses->at(1).times, i == 0 ? 2 : 1);
+        EXPECT_EQ(responses->at(1).end_records, i == 0 ? 2 : 1);
         EXPECT_EQ(responses->at(1).body().find("made for "), 0u) << responses->at(1).text;
         ::close(clients[i]);
     }
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -19,8 +19,8 @@
         std::vector<std::pair<Time, std::string>> texts;
         for (int n = 1; n <= 20; ++n)
             texts.emplace_back(100ms * n, message(n,
-                                                  job_fields(hex16(static_cast<std::uint64_t>(100 * i + n)),
-                                                             hex16(static_cast<std::uint64_t>(n))),
+                                                  request_fields(hex16(static_cast<std::uint64_t>(100 * i + n)),
+                                                                 hex16(static_cast<std::uint64_t>(n))),
                                                   std::string(3000, 'b')));
         all.push_back(&client(500ms, texts));
     }
@@ -34,10 +34,10 @@
     run(8s);
     std::size_t answered = 0, served = 0;
     for (ScriptedClient* each : all) {
-        const auto got = answers(each->received);
+        const auto got = parse_responses(each->received);
         ASSERT_TRUE(got);
         for (int n = 1; n <= 20; ++n) {
-            answered += got->count(n) && got->at(n).times == 1;
+            answered += got->count(n) && got->at(n).end_records == 1;
             served += got->count(n) && got->at(n).status() == "200";
         }
     }
@@ -52,8 +52,8 @@
     both_invokers();
     start(config());
     wait_until_ready();
-    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                         {500ms, message(2, request_fields(hex16(2), hex16(1)))}});
     at(950ms, [&] { plan.fail(Call::receive, 1'000'000, {ENOMEM}); });
     at(1100ms, [&] { plan.heal(); });
     run(2500ms);
@@ -69,7 +69,7 @@
     wait_until_ready();
     plan.cut_short(Call::receive, 1'000'000);
     plan.cut_short(Call::send, 1'000'000);
-    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)), "work")}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)), "work")}});
     run(2500ms);
     EXPECT_GT(plan.rule(Call::receive).cut_short, 0u);
     EXPECT_EQ(one.response(1).status(), "200");
@@ -84,11 +84,11 @@
     wait_until_ready();
     std::vector<ScriptedClient*> idle, newcomers;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        idle.push_back(&client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+        idle.push_back(&client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     at(900ms, [&] { plan.fail(Call::accept, 500'000, {ENFILE, ENOBUFS, ENOMEM, ECONNABORTED}); });
     for (std::uint64_t i = 11; i <= 50; ++i)
         newcomers.push_back(
-            &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+            &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(plan.rule(Call::accept).failed, 10u);
     for (ScriptedClient* each : idle) {
@@ -108,11 +108,11 @@
     start(config());
     wait_until_ready();
     std::vector<ScriptedClient*> newcomers;
-    for (std::uint64_t i = 1; i <= 10; ++i) client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}});
+    for (std::uint64_t i = 1; i <= 10; ++i) client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}});
     at(900ms, [&] { plan.fail(Call::accept, 500'000, {EMFILE}); });
     for (std::uint64_t i = 11; i <= 50; ++i)
         newcomers.push_back(
-            &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+            &client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(plan.rule(Call::accept).failed, 10u);
     for (ScriptedClient* each : newcomers) {
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -32,11 +32,11 @@
     both_invokers();
     start(replaced(config(), R"("sockets":256)", R"("sockets":64)"));  // 32 connections
     wait_until_ready();
-    const std::string complete = message(1, job_fields(hex16(99), hex16(1)), std::string(9000, 'h'));
+    const std::string complete = message(1, request_fields(hex16(99), hex16(1)), std::string(9000, 'h'));
     for (int i = 0; i < 60; ++i) client(500ms, {{0ms, complete.substr(0, complete.size() - 8)}});
     std::vector<ScriptedClient*> good;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        good.push_back(&client(900ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+        good.push_back(&client(900ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4s);
     for (ScriptedClient* each : good) {
         EXPECT_EQ(each->response(1).status(), "200");
@@ -53,8 +53,9 @@
         text = replaced(text, R"("capacity_hint":5,)", R"("capacity_hint":500,)");  // never at capacity
     start(text);
     wait_until_ready();
-    for (std::uint64_t i = 1; i <= 44; ++i) client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i), 1500))}});
-    ScriptedClient& late = client(700ms, {{0ms, message(1, job_fields(hex16(100), hex16(100), 2900))}});
+    for (std::uint64_t i = 1; i <= 44; ++i)
+        client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i), 1500))}});
+    ScriptedClient& late = client(700ms, {{0ms, message(1, request_fields(hex16(100), hex16(100), 2900))}});
     at(1900ms, [&] {
         for (const auto& each : invokers) each->script = {InvokerBehaviour::respond};
     });
--- a/tests/process_pause_test.cpp
+++ b/tests/process_pause_test.cpp
@@ -16,17 +16,17 @@
     both_invokers();
     start(config());
     wait_until_ready();
-    ScriptedClient& idle = client(
-        500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}, {9s, message(2, job_fields(hex16(2), hex16(1)))}});
-    ScriptedClient& fresh = client(8s, {{400ms, message(1, job_fields(hex16(3), hex16(1), 2500))},
-                                        {1s, message(2, job_fields(hex16(4), hex16(1), 600))}});
+    ScriptedClient& idle = client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                          {9s, message(2, request_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& fresh = client(8s, {{400ms, message(1, request_fields(hex16(3), hex16(1), 2500))},
+                                        {1s, message(2, request_fields(hex16(4), hex16(1), 600))}});
     at(6300ms, [&] { process->signal(SIGSTOP); });
     at(10s, [&] { process->signal(SIGCONT); });
     run(14s);
-    EXPECT_EQ(idle.response(2).times, 1);
+    EXPECT_EQ(idle.response(2).end_records, 1);
     EXPECT_EQ(idle.response(2).status(), "200");
-    EXPECT_EQ(fresh.response(1).times, 1);
-    EXPECT_EQ(fresh.response(2).times, 1);
+    EXPECT_EQ(fresh.response(1).end_records, 1);
+    EXPECT_EQ(fresh.response(2).end_records, 1);
     EXPECT_EQ(fresh.response(2).status(), "503");  // its client must be assumed to have given up
     for (const auto& each : invokers)
         for (const std::string& line : each->run_lines) {
@@ -45,20 +45,20 @@
     start(config());
     wait_until_ready();
     // Requests before the pause, so that it meets established connections.
-    ScriptedClient& stays = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}});
-    ScriptedClient& leaves = client(500ms, {{0ms, message(1, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& stays = client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))}});
+    ScriptedClient& leaves = client(500ms, {{0ms, message(1, request_fields(hex16(2), hex16(1)))}});
     const std::string large(15'000, 'b');
     at(990ms, [&] { plan.cut_short(Call::receive, 1'000'000); });
     at(1s, [&] { process->signal(SIGSTOP); });
     at(1050ms, [&] {
-        ScriptedInvoker::write(stays.stream, message(2, job_fields(hex16(3), hex16(1), 2500), large));
-        ScriptedInvoker::write(leaves.stream, message(2, job_fields(hex16(4), hex16(1), 2500), large) +
-                                                  message(3, job_fields(hex16(5), hex16(1), 2500), large));
+        ScriptedInvoker::write(stays.stream, message(2, request_fields(hex16(3), hex16(1), 2500), large));
+        ScriptedInvoker::write(leaves.stream, message(2, request_fields(hex16(4), hex16(1), 2500), large) +
+                                                  message(3, request_fields(hex16(5), hex16(1), 2500), large));
     });
     at(1100ms, [&] { leaves.stream->close(); });
     at(2s, [&] { process->signal(SIGCONT); });
     run(6s);
-    EXPECT_EQ(stays.response(2).times, 1);
+    EXPECT_EQ(stays.response(2).end_records, 1);
     for (const auto& each : invokers)
         for (std::size_t i = 0; i < each->run_lines.size(); ++i) {
             EXPECT_NE(each->runs[i].second, hex16(4));
@@ -76,20 +76,20 @@
     wait_until_ready();
     std::vector<ScriptedClient*> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        all.push_back(&client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(1)))}}));
+        all.push_back(&client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(1)))}}));
     at(1s, [&] {
         process->signal(SIGSTOP);
         plan.fail(Call::receive, 1'000'000, {ENOMEM});
     });
     at(1050ms, [&] {
         for (std::uint64_t i = 1; i <= 10; ++i)
-            ScriptedInvoker::write(all[i - 1]->stream, message(2, job_fields(hex16(100 + i), hex16(1), 2500)));
+            ScriptedInvoker::write(all[i - 1]->stream, message(2, request_fields(hex16(100 + i), hex16(1), 2500)));
     });
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { plan.heal(); });
     run(6s);
     EXPECT_GE(expect_remaining_time_since(1050ms, 2500ms), 5u);
-    for (ScriptedClient* each : all) EXPECT_EQ(each->response(2).times, 1);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(2).end_records, 1);
 }
 
 // The same where accept(2) fails for a moment after the pause.
@@ -103,12 +103,12 @@
     });
     std::vector<ScriptedClient*> all;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        all.push_back(&client(1050ms, {{0ms, message(1, job_fields(hex16(i), hex16(1), 2500))}}));
+        all.push_back(&client(1050ms, {{0ms, message(1, request_fields(hex16(i), hex16(1), 2500))}}));
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { plan.heal(); });
     run(6s);
     EXPECT_GE(expect_remaining_time_since(1050ms, 2500ms), 5u);
-    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).times, 1);
+    for (ScriptedClient* each : all) EXPECT_EQ(each->response(1).end_records, 1);
 }
 
 // A response could not be sent before a pause, for want of memory, nor at once after it: its client has read all that
@@ -118,16 +118,16 @@
     for (const auto& each : invokers) each->service_time = 100ms;
     start(config());
     wait_until_ready();
-    ScriptedClient& one = client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))},
-                                         {2s, message(3, job_fields(hex16(3), hex16(1), 2900))}});
+    ScriptedClient& one = client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                         {500ms, message(2, request_fields(hex16(2), hex16(1)))},
+                                         {2s, message(3, request_fields(hex16(3), hex16(1), 2900))}});
     at(1050ms, [&] { plan.fail(Call::send, 1'000'000, {ENOBUFS}); });
     at(1300ms, [&] { process->signal(SIGSTOP); });
     at(3500ms, [&] { process->signal(SIGCONT); });
     at(3550ms, [&] { plan.heal(); });
     run(6s);
-    EXPECT_EQ(one.response(2).times, 1);
-    EXPECT_EQ(one.response(3).times, 1);
+    EXPECT_EQ(one.response(2).end_records, 1);
+    EXPECT_EQ(one.response(3).end_records, 1);
 }
 
 // Invokers close idle connections at the moment when a request arrives that must not run twice: it is not sent on a
@@ -141,7 +141,7 @@
     for (std::uint64_t i = 1; i <= 30; ++i)
         at(600ms + 100ms * static_cast<int>(i), [&, i] {
             process->signal(SIGSTOP);
-            ScriptedInvoker::write(all[i - 1]->stream, message(1, job_fields(hex16(i), hex16(i % 3))));
+            ScriptedInvoker::write(all[i - 1]->stream, message(1, request_fields(hex16(i), hex16(i % 3))));
             for (const auto& each : invokers)
                 for (const auto& stream : std::exchange(each->streams, {})) stream->close();
             loop.call_at(loop.now() + 5ms, [&] { process->signal(SIGCONT); });
