--- a/emulator/child_process.cpp
+++ b/emulator/child_process.cpp
@@ -15,8 +15,8 @@
     if (child_.running()) input_ << line << std::endl;
 }
 
-void ChildProcess::signal(int number) {
-    ::kill(child_.id(), number);
+void ChildProcess::signal(int signal_number) {
+    ::kill(child_.id(), signal_number);
 }
 
 void ChildProcess::kill() {
--- a/emulator/client_load.cpp
+++ b/emulator/client_load.cpp
@@ -15,8 +15,8 @@
 
 namespace field = protocol::field;
 
-constexpr Time shortest_try = 50ms;
-constexpr Time response_slack = 300ms;  // by which a client waits longer than the time that it states
+constexpr Time min_try_timeout = 50ms;
+constexpr Time response_slack = 300ms;  // a client waits this much longer than the remaining time that it sends
 constexpr std::size_t large_response_bytes = 200'000;
 
 Time scaled(Time duration, double factor) {
@@ -45,8 +45,8 @@
     reader.read("zipf", zipf_exponent_);
     reader.read("retries", retry_limit_);
     reader.read("again_after", retry_delay_);
-    reader.read("impatient", early_leaver_share_);
-    reader.read("try_share", try_share_);
+    reader.read("impatient", abandoned_share_);
+    reader.read("try_share", max_try_time_share_);
     reader.read("large_share", large_response_share_);
     reader.read("work_sigma", run_time_sigma_);
     if (const auto* addresses = reader.raw("controllers"))
@@ -74,8 +74,8 @@
     random_ = RandomSource(seed);
 }
 
-// start ; stop ; rate factor= ; tenant NAME factor= ; favourite share= count= ; scan share= ;
-// heavy share= factor= ; at_once on|off (retries without a wait)
+// Commands: start; stop; rate factor=F; tenant NAME factor=F; favourite share=S count=N; scan share=S;
+// heavy share=S factor=F; at_once on|off (retries without a delay).
 void ClientLoad::execute(const Command& command) {
     const std::string& verb = command.verb();
     if (verb == "start" && !std::exchange(sending_, true)) loop_.spawn(send_arrivals());
@@ -87,10 +87,10 @@
         popular_functions_ = std::max(1.0, command.number("count", 1));
         ++popularity_changes_;
     }
-    if (verb == "scan") scan_share_ = command.number("share", 0);
+    if (verb == "scan") one_time_share_ = command.number("share", 0);
     if (verb == "heavy") {
-        long_share_ = command.number("share", 0);
-        long_factor_ = command.number("factor", 10);
+        long_run_share_ = command.number("share", 0);
+        long_run_factor_ = command.number("factor", 10);
     }
     if (verb == "at_once") retry_immediately_ = command.words.at(1) == "on";
 }
@@ -101,30 +101,30 @@
 }
 
 net::Task<> ClientLoad::send_arrivals() {
-    Time next = loop_.now();
+    Time next_arrival = loop_.now();
     while (sending_) {
-        next += Time(static_cast<Time::rep>(1e6 * random_.exponential(1 / arrivals_per_second())));
-        if (next > loop_.now()) co_await loop_.sleep(next - loop_.now());
+        next_arrival += Time(static_cast<Time::rep>(1e6 * random_.exponential(1 / arrivals_per_second())));
+        if (next_arrival > loop_.now()) co_await loop_.sleep(next_arrival - loop_.now());
         if (sending_) create_request();
     }
 }
 
 double ClientLoad::arrivals_per_second() const {
-    double weighted = 0, whole = 0;
+    double weighted_shares = 0, total_shares = 0;
     for (const Tenant& tenant : tenants_) {
-        weighted += tenant.share * tenant.rate_factor;
-        whole += tenant.share;
+        weighted_shares += tenant.share * tenant.rate_factor;
+        total_shares += tenant.share;
     }
-    return requests_per_second_ * rate_factor_ * (whole > 0 ? weighted / whole : 1);
+    return requests_per_second_ * rate_factor_ * (total_shares > 0 ? weighted_shares / total_shares : 1);
 }
 
 template <class Items, class Weight>
 auto& ClientLoad::draw_weighted(Items& items, Weight weight) {
     double sum = 0;
     for (auto& item : items) sum += weight(item);
-    double point = random_.next() * sum;
+    double remaining_weight = random_.next() * sum;
     for (auto& item : items)
-        if ((point -= weight(item)) < 0) return item;
+        if ((remaining_weight -= weight(item)) < 0) return item;
     return items.back();
 }
 
@@ -136,37 +136,37 @@
             draw_weighted(tenants_, [](const Tenant& tenant) { return tenant.share * tenant.rate_factor; }).name;
     request->function = draw_function(*request->request_class);
     request->run_time_ms = random_.lognormal(request->request_class->run_time_ms, run_time_sigma_);
-    if (random_.next() < long_share_) request->run_time_ms *= long_factor_;
+    if (random_.next() < long_run_share_) request->run_time_ms *= long_run_factor_;
     if (random_.next() < large_response_share_) request->response_bytes = large_response_bytes;
-    request->origin = fmt::format("o{}", ++origins_);
+    request->client_request_id = fmt::format("o{}", ++created_requests_);
     request->created_at = loop_.now();
     loop_.spawn(run_request(request));
 }
 
 std::string ClientLoad::draw_function(const RequestClass& request_class) {
-    const double draw = random_.next();
-    if (draw < scan_share_) return fmt::format("{}-once-{}", request_class.name, ++scanned_functions_);
-    if (draw < scan_share_ + popular_share_)
+    const double random_value = random_.next();
+    if (random_value < one_time_share_) return fmt::format("{}-once-{}", request_class.name, ++one_time_functions_);
+    if (random_value < one_time_share_ + popular_share_)
         return fmt::format("{}-new-{}-{}", request_class.name, popularity_changes_,
                            static_cast<int>(random_.next() * popular_functions_));
-    const auto drawn = std::lower_bound(cumulative_popularity_.begin(), cumulative_popularity_.end(),
-                                        random_.next() * cumulative_popularity_.back());
-    return fmt::format("{}-f{}", request_class.name, drawn - cumulative_popularity_.begin());
+    const auto drawn_function = std::lower_bound(cumulative_popularity_.begin(), cumulative_popularity_.end(),
+                                                 random_.next() * cumulative_popularity_.back());
+    return fmt::format("{}-f{}", request_class.name, drawn_function - cumulative_popularity_.begin());
 }
 
 Time ClientLoad::try_timeout(const ClientRequest& request) const {
     const Time deadline = request.request_class->deadline;
-    return std::min(request.created_at + deadline - loop_.now(), scaled(deadline, try_share_));
+    return std::min(request.created_at + deadline - loop_.now(), scaled(deadline, max_try_time_share_));
 }
 
 net::Task<> ClientLoad::run_request(std::shared_ptr<ClientRequest> request) {
     ++open_requests_;
     for (;;) {
         const Time remaining = try_timeout(*request);
-        if (remaining < shortest_try) break;
+        if (remaining < min_try_timeout) break;
         const TryResult result = co_await send_try(*request, remaining);
-        ++request->tries;
-        if (result.outcome == client_outcome::succeeded || request->tries > retry_limit_) break;
+        ++request->sent_tries;
+        if (result.outcome == client_outcome::succeeded || request->sent_tries > retry_limit_) break;
         const bool has_no_effect =
             result.outcome == client_outcome::rejected || result.outcome == client_outcome::unreachable;
         if (!has_no_effect && request->request_class->idempotency != "replayable") break;
@@ -185,61 +185,61 @@
     head.add(field::remaining, remaining / 1ms).add(field::concurrency, std::int64_t{request_class.concurrency});
     head.add(field::memory, std::int64_t{request_class.memory_mb});
     if (!request.tenant.empty()) head.add(field::tenant, request.tenant);
-    if (request_class.idempotency == "referenced") head.add(field::idempotency_key, request.origin);
-    if (request.tries > 0) head.add(field::client_retry, "1");
+    if (request_class.idempotency == "referenced") head.add(field::idempotency_key, request.client_request_id);
+    if (request.sent_tries > 0) head.add(field::client_retry, "1");
     head.add("Content-Length", static_cast<std::int64_t>(body_bytes));
     return head.finish();
 }
 
 net::Task<ClientLoad::TryResult> ClientLoad::send_try(const ClientRequest& request, Time remaining) {
-    const std::uint64_t id = ++tries_;
-    const auto chosen = static_cast<std::size_t>(random_.next() * static_cast<double>(controllers_.size()));
-    const net::Address controller = controllers_[chosen];
-    std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", request.origin, request.run_time_ms,
+    const std::uint64_t id = ++sent_tries_;
+    const auto controller_index = static_cast<std::size_t>(random_.next() * static_cast<double>(controllers_.size()));
+    const net::Address controller = controllers_[controller_index];
+    std::string body = fmt::format("{} {:.1f} {:.1f} {}\n", request.client_request_id, request.run_time_ms,
                                    request.request_class->load_time_ms, request.response_bytes);
     std::string head = request_head(request, controller, remaining, body.size());
     Time timeout = remaining + response_slack;
-    const bool leaves_early = random_.next() < early_leaver_share_;
-    if (leaves_early) timeout = scaled(remaining, random_.next());
+    const bool abandons = random_.next() < abandoned_share_;
+    if (abandons) timeout = scaled(remaining, random_.next());
     log_.write(event::sent, {{key::id, id},
-                             {key::origin, request.origin},
-                             {key::try_number, request.tries},
+                             {key::origin, request.client_request_id},
+                             {key::try_number, request.sent_tries},
                              {key::to, controller.to_string()},
                              {key::request_class, request.request_class->name},
                              {key::function, request.function},
                              {key::tenant, request.tenant},
                              {key::remaining_us, remaining.count()},
                              {key::latency_target_us, request.request_class->latency_target.count()}});
-    const auto exchanged = co_await http::exchange(loop_, controller, std::move(head), std::move(body), timeout);
-    co_return record_answer(id, request, exchanged, leaves_early);
+    const auto exchange_result = co_await http::exchange(loop_, controller, std::move(head), std::move(body), timeout);
+    co_return record_answer(id, request, exchange_result, abandons);
 }
 
 ClientLoad::TryResult ClientLoad::record_answer(std::uint64_t id, const ClientRequest& request,
-                                                const http::ExchangeResult& exchanged, bool leaves_early) {
+                                                const http::ExchangeResult& exchange_result, bool abandons) {
     TryResult result;
-    boost::json::object line{{key::id, id}, {key::origin, request.origin}};
-    if (!exchanged.error) {
-        result.outcome = http::field(exchanged.response, field::outcome);
-        if (const auto reason = http::field(exchanged.response, field::rejection_reason); !reason.empty()) {
-            line[key::rejection_reason] = reason;
+    boost::json::object record_fields{{key::id, id}, {key::origin, request.client_request_id}};
+    if (!exchange_result.error) {
+        result.outcome = http::field(exchange_result.response, field::outcome);
+        if (const auto reason = http::field(exchange_result.response, field::rejection_reason); !reason.empty()) {
+            record_fields[key::rejection_reason] = reason;
             if (result.outcome.empty()) result.outcome = client_outcome::malformed;
         }
-        line[key::status] = exchanged.response.result_int();
-        line[key::controller] = http::field(exchanged.response, field::controller);
-        line[key::request] = http::field(exchanged.response, field::request);
-        line[key::attempts] = http::field(exchanged.response, field::attempts);
-        if (const auto ms = http::parse_number<int>(http::field(exchanged.response, field::retry_after_ms)))
+        record_fields[key::status] = exchange_result.response.result_int();
+        record_fields[key::controller] = http::field(exchange_result.response, field::controller);
+        record_fields[key::request] = http::field(exchange_result.response, field::request);
+        record_fields[key::attempts] = http::field(exchange_result.response, field::attempts);
+        if (const auto ms = http::parse_number<int>(http::field(exchange_result.response, field::retry_after_ms)))
             result.retry_after = std::chrono::milliseconds(*ms);
-    } else if (exchanged.error == net::asio::error::connection_refused) {
+    } else if (exchange_result.error == net::asio::error::connection_refused) {
         result.outcome = client_outcome::unreachable;
-    } else if (exchanged.error == net::asio::error::timed_out) {
-        result.outcome = leaves_early ? client_outcome::abandoned : client_outcome::no_response;
+    } else if (exchange_result.error == net::asio::error::timed_out) {
+        result.outcome = abandons ? client_outcome::abandoned : client_outcome::no_response;
     } else {
         result.outcome = client_outcome::connection_lost;
-        line[key::error] = exchanged.error.message();
+        record_fields[key::error] = exchange_result.error.message();
     }
-    line[key::outcome] = result.outcome;
-    log_.write(event::answer, std::move(line));
+    record_fields[key::outcome] = result.outcome;
+    log_.write(event::answer, std::move(record_fields));
     return result;
 }
 
--- a/emulator/client_load.hpp
+++ b/emulator/client_load.hpp
@@ -1,5 +1,6 @@
-/// Clients of the controllers: open-loop arrivals over functions of uneven popularity and several tenants, with
-/// retries, clients that leave early, and deadlines.
+/// Emulates the clients of the controllers. Sends requests at random times that don't depend on the responses (open
+/// loop), for functions with a Zipf distribution of popularity and for several tenants, with deadlines, retries, and
+/// clients that abandon their requests.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 
 private:
     struct RequestClass {
-        std::string name, idempotency = "replayable";  // the setting's word
+        std::string name, idempotency = "replayable";  // "replayable", "referenced" or "single_use"
         double share = 1, run_time_ms = 100, load_time_ms = 300;
         Time deadline = 4s, latency_target = 1500ms;
         int concurrency = 2, memory_mb = 300;
@@ -29,18 +30,18 @@
         std::string name;
         double share = 1, rate_factor = 1;
     };
-    /// What one client wants; it may take several tries.
+    /// A request of a client. It may be sent several times; each time is a try.
     struct ClientRequest {
         const RequestClass* request_class;
-        std::string tenant, function, origin;
+        std::string tenant, function, client_request_id;
         double run_time_ms{};
         Time created_at{};
-        int tries{};
+        int sent_tries{};
         std::size_t response_bytes{};
     };
     struct TryResult {
-        std::string outcome;  // of client_outcome
-        Time retry_after{};   // the controller asked for it; 0: it did not
+        std::string outcome;  // a value of client_outcome
+        Time retry_after{};   // delay before a retry that the controller asked for; 0 if it asked for none
     };
 
     void read_settings(const std::string& settings_file);
@@ -57,8 +58,8 @@
     net::Task<TryResult> send_try(const ClientRequest& request, Time remaining);
     std::string request_head(const ClientRequest& request, net::Address controller, Time remaining,
                              std::size_t body_bytes) const;
-    TryResult record_answer(std::uint64_t id, const ClientRequest& request, const http::ExchangeResult& exchanged,
-                            bool leaves_early);
+    TryResult record_answer(std::uint64_t id, const ClientRequest& request, const http::ExchangeResult& exchange_result,
+                            bool abandons);
 
     net::SocketEventLoop loop_;
     EventLog log_;
@@ -66,23 +67,23 @@
     std::vector<net::Address> controllers_;
     std::vector<RequestClass> request_classes_;
     std::vector<Tenant> tenants_;
-    std::vector<double> cumulative_popularity_;  // of the functions, by rank
+    std::vector<double> cumulative_popularity_;  // sum of the popularity of the functions up to each rank
 
     double requests_per_second_{}, zipf_exponent_ = 1.1, run_time_sigma_ = 0.3;
-    double early_leaver_share_{}, large_response_share_{};
-    double try_share_ = 1;  // of the request's time that one try may take
+    double abandoned_share_{}, large_response_share_{};
+    double max_try_time_share_ = 1;  // share of a request's deadline that one try may take
     std::size_t functions_ = 40;
     int retry_limit_ = 1;
     Time retry_delay_ = 200ms;
 
-    // Switched by commands.
+    // State that commands change.
     bool sending_{}, retry_immediately_{};
     double rate_factor_ = 1;
-    double popular_share_{}, popular_functions_ = 1;  // a share of the requests goes to a few new functions
-    double scan_share_{};                             // goes to functions that are asked for once
-    double long_share_{}, long_factor_ = 10;          // runs longer
+    double popular_share_{}, popular_functions_ = 1;  // share of requests for a few new functions, and their number
+    double one_time_share_{};                         // share of requests for functions that are requested only once
+    double long_run_share_{}, long_run_factor_ = 10;  // share of requests that run longer, and the factor
 
-    std::uint64_t tries_{}, origins_{}, scanned_functions_{}, open_requests_{}, popularity_changes_{};
+    std::uint64_t sent_tries_{}, created_requests_{}, one_time_functions_{}, open_requests_{}, popularity_changes_{};
 };
 
 }  // namespace plumkeel::emulator
--- a/emulator/consul.cpp
+++ b/emulator/consul.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-constexpr Time default_wait = 5min;  // Consul's own
+constexpr Time default_wait = 5min;  // Consul's default
 
 json::object health_entry(const std::string& name, const std::string& address, const json::object& metadata,
                           bool ready) {
@@ -44,8 +44,8 @@
     record_lag(loop_, log_);
 }
 
-// set NAME address= zone= kind= units= cell= start= ; drain NAME ; remove NAME ; delay ms= ; answers_late ms= ;
-// empty on|off ; broken on|off ; index_back
+// Commands: set NAME address=A zone=Z kind=K units=U cell=C start=UNIX_MS; drain NAME; remove NAME; delay ms=M;
+// answers_late ms=M; empty on|off; broken on|off; index_back.
 void ConsulEmulator::execute(const Command& command) {
     const std::string& verb = command.verb();
     if (verb == "delay") {
@@ -53,13 +53,13 @@
     } else if (verb == "answers_late") {
         answer_delay_ = command.milliseconds("ms", 0);
     } else if (verb == "empty" || verb == "broken") {
-        (verb == "empty" ? list_empty_ : broken_) = command.words.at(1) == "on";
-        increment_index();
+        (verb == "empty" ? returns_empty_list_ : resets_requests_) = command.words.at(1) == "on";
+        publish_change();
     } else if (verb == "index_back") {
         index_ = 1;
         answer_pending();
     } else {
-        // Changes become visible after the delay, in order.
+        // Queries see the change after the delay.
         loop_.call_at(loop_.now() + change_delay_, [this, command] { change_entry(command); });
     }
 }
@@ -72,7 +72,7 @@
         entries_[name].ready = false;
     else if (command.verb() == "remove")
         entries_.erase(name);
-    increment_index();
+    publish_change();
 }
 
 void ConsulEmulator::set_entry(const Command& command) {
@@ -86,7 +86,7 @@
     entry.ready = true;
 }
 
-void ConsulEmulator::increment_index() {
+void ConsulEmulator::publish_change() {
     ++index_;
     answer_pending();
 }
@@ -100,7 +100,7 @@
 
 void ConsulEmulator::handle_request(const Connection& connection, const HttpConnection::Request& request) {
     const std::string controller(http::field(request, protocol::field::controller));
-    if (broken_) return connection->reset();
+    if (resets_requests_) return connection->reset();
     std::uint64_t index = 0;
     Time wait = default_wait;
     for (const auto& [name, value] : http::query_parameters(http::to_string_view(request.target()))) {
@@ -121,7 +121,7 @@
 
 json::array ConsulEmulator::health_entries() const {
     json::array entries;
-    if (list_empty_) return entries;
+    if (returns_empty_list_) return entries;
     for (const auto& [name, entry] : entries_) {
         json::object metadata{{"zone", entry.zone},
                               {"kind", entry.invoker_type},
@@ -135,7 +135,7 @@
 
 json::array ConsulEmulator::recorded_entries() const {
     json::array entries;
-    if (list_empty_) return entries;
+    if (returns_empty_list_) return entries;
     for (const auto& [name, entry] : entries_) {
         const auto state = entry.ready ? endpoint_state::ready : endpoint_state::draining;
         entries.push_back(json::array{name, state, entry.started_unix_ms});
--- a/emulator/consul.hpp
+++ b/emulator/consul.hpp
@@ -1,4 +1,4 @@
-/// Consul's health endpoint with blocking queries, as Consul's documentation publishes it.
+/// Emulates Consul's health endpoint with blocking queries, as specified in Consul's documentation.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace plumkeel::emulator {
 
-/// Serves the invokers that commands set, drain and remove.
+/// Serves a list of invokers, which commands add, change, drain and remove.
 class ConsulEmulator {
 public:
     ConsulEmulator(const std::string& settings_file, const std::string& record_file);
@@ -24,9 +24,9 @@
         bool ready = true;
         double capacity = 1;
         int cell{};
-        std::int64_t started_unix_ms{};  // 0: long ago
+        std::int64_t started_unix_ms{};  // 0: no start time is listed
     };
-    /// A blocking query that waits for a change.
+    /// A blocking query that waits for a change of the list.
     struct PendingQuery {
         std::shared_ptr<HttpConnection> connection;
         std::string controller;
@@ -37,7 +37,7 @@
     void execute(const Command& command);
     void change_entry(const Command& command);
     void set_entry(const Command& command);
-    void increment_index();
+    void publish_change();
     void answer_pending();
     void handle_request(const Connection& connection, const HttpConnection::Request& request);
     void remove_pending(const Connection& connection);
@@ -48,11 +48,11 @@
     net::SocketEventLoop loop_;
     EventLog log_;
     HttpConnection::Handler handler_;
-    std::map<std::string, ServiceEntry> entries_;  // by name
+    std::map<std::string, ServiceEntry> entries_;  // entries by the invoker's name
     std::vector<PendingQuery> pending_;
     std::uint64_t index_ = 1;
     Time change_delay_{}, answer_delay_{};
-    bool list_empty_{}, broken_{};
+    bool returns_empty_list_{}, resets_requests_{};
 };
 
 }  // namespace plumkeel::emulator
--- a/emulator/event_log.cpp
+++ b/emulator/event_log.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 constexpr Time lag_poll_interval = 10ms;
-constexpr Time smallest_recorded_lag = 15ms;
+constexpr Time min_recorded_lag = 15ms;
 
 net::Task<> poll_lag(net::EventLoop& loop, EventLog& log) {
     for (;;) {
-        const Time before = loop.now();
+        const Time sleep_start = loop.now();
         co_await loop.sleep(lag_poll_interval);
-        const Time lag = loop.now() - before - lag_poll_interval;
-        if (lag > smallest_recorded_lag) log.write(event::lag, {{key::duration_us, lag.count()}});
+        const Time lag = loop.now() - sleep_start - lag_poll_interval;
+        if (lag > min_recorded_lag) log.write(event::lag, {{key::duration_us, lag.count()}});
     }
 }
 
@@ -29,7 +29,7 @@
 EventLog::EventLog(const std::string& file)
     : descriptor_(::open(file.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644)) {
     if (descriptor_ >= 0) return;
-    std::cerr << "plumkeel-emulator: " << file << ": cannot be written\n";
+    std::cerr << "plumkeel-emulator: " << file << ": cannot be opened for writing\n";
     std::exit(2);
 }
 
--- a/emulator/function_cache.cpp
+++ b/emulator/function_cache.cpp
@@ -11,8 +11,9 @@
 }
 
 std::shared_ptr<FunctionCopy> FunctionCache::begin_load(const std::string& function, int memory_mb, int concurrency) {
-    const auto all_loading = std::count_if(copies_.begin(), copies_.end(), [](const auto& c) { return !c->loaded; });
-    if (static_cast<int>(all_loading) >= concurrent_loads_ || !make_room(memory_mb)) return nullptr;
+    const auto loading_copies =
+        std::count_if(copies_.begin(), copies_.end(), [](const auto& copy) { return !copy->loaded; });
+    if (static_cast<int>(loading_copies) >= max_concurrent_loads_ || !free_memory(memory_mb)) return nullptr;
     auto copy = std::make_shared<FunctionCopy>();
     copy->function = function;
     copy->memory_mb = memory_mb;
@@ -21,16 +22,16 @@
     return copy;
 }
 
-bool FunctionCache::make_room(int memory_mb) {
-    int used = 0;
-    for (const auto& copy : copies_) used += copy->memory_mb;
-    while (used + memory_mb > memory_mb_) {
+bool FunctionCache::free_memory(int memory_mb) {
+    int used_mb = 0;
+    for (const auto& copy : copies_) used_mb += copy->memory_mb;
+    while (used_mb + memory_mb > memory_limit_mb_) {
         auto longest_idle = copies_.end();
         for (auto it = copies_.begin(); it != copies_.end(); ++it)
             if ((*it)->is_idle() && (longest_idle == copies_.end() || (*it)->idle_since < (*longest_idle)->idle_since))
                 longest_idle = it;
         if (longest_idle == copies_.end()) return false;
-        used -= (*longest_idle)->memory_mb;
+        used_mb -= (*longest_idle)->memory_mb;
         copies_.erase(longest_idle);
     }
     return true;
@@ -40,8 +41,8 @@
     std::erase_if(copies_, [&](const auto& copy) { return copy->function == function && copy->is_idle(); });
 }
 
-void FunctionCache::remove_idle_since_before(Time moment) {
-    std::erase_if(copies_, [&](const auto& copy) { return copy->is_idle() && copy->idle_since < moment; });
+void FunctionCache::remove_idle_since_before(Time time) {
+    std::erase_if(copies_, [&](const auto& copy) { return copy->is_idle() && copy->idle_since < time; });
 }
 
 int FunctionCache::loaded(const std::string& function) const {
--- a/emulator/function_cache.hpp
+++ b/emulator/function_cache.hpp
@@ -15,7 +15,7 @@
     std::string function;
     int memory_mb{}, concurrency{};
     int running{};
-    bool loaded{};  // else it is loading
+    bool loaded{};  // false while it is being loaded
     Time idle_since{};
 
     bool is_idle() const { return loaded && running == 0; }
@@ -23,25 +23,29 @@
 
 class FunctionCache {
 public:
-    FunctionCache(int memory_mb, int concurrent_loads) : memory_mb_(memory_mb), concurrent_loads_(concurrent_loads) {}
+    FunctionCache(int memory_limit_mb, int max_concurrent_loads)
+        : memory_limit_mb_(memory_limit_mb), max_concurrent_loads_(max_concurrent_loads) {}
 
-    /// A loaded copy that can take one more run, or null.
+    /// Returns a loaded copy that can run one more attempt, or null.
     std::shared_ptr<FunctionCopy> free_copy(const std::string& function) const;
-    /// A new copy, to be loaded. Idle copies make room for it, the longest idle first. Null where there is none.
+    /// Adds a copy in the loading state. Evicts idle copies if it needs their memory, the longest idle first. Returns
+    /// null if too many copies are loading or there is not enough memory.
     std::shared_ptr<FunctionCopy> begin_load(const std::string& function, int memory_mb, int concurrency);
     void remove(const std::shared_ptr<FunctionCopy>& copy) { std::erase(copies_, copy); }
     void remove_idle(const std::string& function);
-    /// Removes copies that have been idle since before `moment`.
-    void remove_idle_since_before(Time moment);
+    /// Removes all copies that became idle before `time`.
+    void remove_idle_since_before(Time time);
 
     bool contains(const std::string& function) const { return loaded(function) + loading(function) > 0; }
+    // Numbers of loaded and of loading copies of a function.
     int loaded(const std::string& function) const;
     int loading(const std::string& function) const;
 
 private:
-    bool make_room(int memory_mb);
+    /// Evicts idle copies until `memory_mb` more fit. Returns false if they don't fit.
+    bool free_memory(int memory_mb);
 
-    const int memory_mb_, concurrent_loads_;
+    const int memory_limit_mb_, max_concurrent_loads_;
     std::vector<std::shared_ptr<FunctionCopy>> copies_;
 };
 
--- a/emulator/function_store.cpp
+++ b/emulator/function_store.cpp
@@ -13,8 +13,8 @@
     JsonnetReader reader(settings, settings_file);
     std::size_t port = 0;
     reader.require("port", port);
-    reader.read("at_once", full_speed_fetches_);
-    reader.read("most", fetch_limit_);
+    reader.read("at_once", max_full_speed_fetches_);
+    reader.read("most", max_fetches_);
     reader.reject_unknown_fields();
     handler_ = {[this](const auto& connection, auto request) { handle_request(connection, request); },
                 [](const auto&) {}};
@@ -22,10 +22,10 @@
     read_commands(loop_, [this](const Command& command) { execute(command); });
 }
 
-// slow factor= ; broken on|off
+// Commands: slow factor=F; broken on|off.
 void FunctionStore::execute(const Command& command) {
     if (command.verb() == "slow") slowdown_factor_ = command.number("factor", 1);
-    if (command.verb() == "broken") broken_ = command.words.at(1) == "on";
+    if (command.verb() == "broken") rejects_all_ = command.words.at(1) == "on";
 }
 
 void FunctionStore::handle_request(const std::shared_ptr<HttpConnection>& connection,
@@ -33,16 +33,16 @@
     double fetch_ms = 0;
     for (const auto& [name, value] : http::query_parameters(http::to_string_view(request.target())))
         if (name == "ms") fetch_ms = std::stod(value);
-    if (broken_ || fetching_ >= fetch_limit_) {
-        log_.write(event::fetch_rejected, {{key::fetching, fetching_}});
+    if (rejects_all_ || current_fetches_ >= max_fetches_) {
+        log_.write(event::fetch_rejected, {{key::fetching, current_fetches_}});
         return connection->reply_empty(503);
     }
-    ++fetching_;
-    const double contention = std::max(1.0, static_cast<double>(fetching_) / full_speed_fetches_);
-    log_.write(event::fetch, {{key::fetching, fetching_}});
+    ++current_fetches_;
+    const double contention = std::max(1.0, static_cast<double>(current_fetches_) / max_full_speed_fetches_);
+    log_.write(event::fetch, {{key::fetching, current_fetches_}});
     const Time duration(static_cast<Time::rep>(fetch_ms * 1000 * contention * slowdown_factor_));
     loop_.call_at(loop_.now() + duration, [this, connection] {
-        --fetching_;
+        --current_fetches_;
         if (connection->is_request_pending()) connection->reply_empty(200);
     });
 }
--- a/emulator/function_store.hpp
+++ b/emulator/function_store.hpp
@@ -1,4 +1,5 @@
-/// The one store that all invokers fetch functions from: slow under many fetches at once, and rejecting beyond a limit.
+/// Emulates the store from which all invokers fetch functions. Many concurrent fetches slow it down, and over a limit
+/// it rejects them.
 #pragma once
 
 #include <string>
@@ -21,11 +22,11 @@
     net::SocketEventLoop loop_;
     EventLog log_;
     HttpConnection::Handler handler_;
-    double full_speed_fetches_ = 8;  // more at once share the store's speed
-    std::size_t fetch_limit_ = 48;
-    std::size_t fetching_{};
+    double max_full_speed_fetches_ = 8;  // with more concurrent fetches, each takes longer
+    std::size_t max_fetches_ = 48;
+    std::size_t current_fetches_{};
     double slowdown_factor_ = 1;
-    bool broken_{};
+    bool rejects_all_{};
 };
 
 }  // namespace plumkeel::emulator
--- a/emulator/http_server.cpp
+++ b/emulator/http_server.cpp
@@ -7,9 +7,9 @@
 namespace plumkeel::emulator {
 namespace {
 
-constexpr std::size_t body_limit = 64 * 1024 * 1024;
+constexpr std::size_t max_body_bytes = 64 * 1024 * 1024;
 constexpr Time accept_retry_delay = 10ms;
-constexpr Time truncated_reply_delay = 5ms;  // so that the bytes arrive before the reset
+constexpr Time reset_delay = 5ms;  // lets the client receive the bytes sent before the reset
 
 }  // namespace
 
@@ -48,17 +48,18 @@
 net::Task<net::Error> HttpConnection::read_request(
     http::beast_http::request_parser<http::beast_http::string_body>& parser) {
     parser.eager(true);
-    parser.body_limit(body_limit);
+    parser.body_limit(max_body_bytes);
     net::Error error;
-    bool use_buffered = read_buffer_.size() > 0;
+    bool use_buffered_bytes = read_buffer_.size() > 0;
     while (!parser.is_done() && !error) {
-        if (!std::exchange(use_buffered, false)) error = co_await read_buffer_.read_more();
+        if (!std::exchange(use_buffered_bytes, false)) error = co_await read_buffer_.read_more();
         if (!error) error = read_buffer_.feed(parser);
     }
     co_return error;
 }
 
-// Reads on meanwhile, so that the end of the connection is seen. Whether it is still up.
+// Waits until reply() is called or the client closes the connection; only a read detects the close. Returns false if
+// the connection ended.
 net::Task<bool> HttpConnection::wait_for_reply() {
     net::Error error;
     while (request_pending_ && !error) {
@@ -84,7 +85,7 @@
     write_queue_->send(response.substr(0, bytes));
     request_pending_ = false;
     auto reset_later = [](std::shared_ptr<HttpConnection> self) -> net::Task<> {
-        co_await self->loop_.sleep(truncated_reply_delay);
+        co_await self->loop_.sleep(reset_delay);
         self->stream_->reset();
     };
     loop_.spawn(reset_later(shared_from_this()));
@@ -97,10 +98,10 @@
 
 void accept_connections(net::EventLoop& loop, std::shared_ptr<net::Listener> listener,
                         const HttpConnection::Handler& handler) {
-    auto run = [](net::EventLoop& event_loop, std::shared_ptr<net::Listener> source,
-                  const HttpConnection::Handler& connection_handler) -> net::Task<> {
+    auto accept_loop = [](net::EventLoop& event_loop, std::shared_ptr<net::Listener> connection_listener,
+                          const HttpConnection::Handler& connection_handler) -> net::Task<> {
         for (;;) {
-            const auto accepted = co_await source->accept();
+            const auto accepted = co_await connection_listener->accept();
             if (accepted.error == net::asio::error::operation_aborted) co_return;
             if (accepted.error) {
                 co_await event_loop.sleep(accept_retry_delay);
@@ -109,13 +110,13 @@
             std::make_shared<HttpConnection>(event_loop, accepted.stream, connection_handler)->start();
         }
     };
-    loop.spawn(run(loop, std::move(listener), handler));
+    loop.spawn(accept_loop(loop, std::move(listener), handler));
 }
 
 std::shared_ptr<net::Listener> listen_or_exit(net::EventLoop& loop, std::uint16_t port) {
     const auto listened = loop.listen({"127.0.0.1", port});
     if (!listened.error) return listened.listener;
-    std::cerr << "plumkeel-emulator: port " << port << ": " << listened.error.message() << ' '
+    std::cerr << "plumkeel-emulator: port " << port << ": cannot listen: " << listened.error.message() << ' '
               << net::listening_process(port) << '\n';
     std::exit(2);
 }
--- a/emulator/http_server.hpp
+++ b/emulator/http_server.hpp
@@ -1,4 +1,4 @@
-/// The HTTP/1.1 server side that the emulated services share.
+/// HTTP/1.1 server of the emulated services.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 using net::Time;
 using namespace std::chrono_literals;
 
-/// One connection of a client; one request at a time.
+/// A client's connection, which handles one request at a time.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
 public:
     using Request = http::beast_http::request<http::beast_http::string_body>;
@@ -27,10 +27,10 @@
     /// `handler` must outlive the connection.
     HttpConnection(net::EventLoop& loop, std::shared_ptr<net::Stream> stream, const Handler& handler);
     void start();
-    /// Answers the pending request.
+    /// Sends the response to the pending request.
     void reply(std::string head, std::string body);
     void reply_empty(unsigned status);
-    /// Sends the first `bytes` of the response, then resets.
+    /// Sends the first `bytes` bytes of the response, then resets the connection.
     void reply_truncated(const std::string& response, std::size_t bytes);
     void reset() { stream_->reset(); }
     void close();
@@ -50,11 +50,11 @@
     bool request_pending_{};
 };
 
-/// Accepts connections until the listener is closed. `handler` must outlive them.
+/// Accepts connections until the listener is closed. `handler` must outlive the connections.
 void accept_connections(net::EventLoop& loop, std::shared_ptr<net::Listener> listener,
                         const HttpConnection::Handler& handler);
 
-/// Listens at a loopback port; 0 chooses a free one. Ends the process with status 2 and the reason where it can't.
+/// Listens on a loopback port; 0 chooses a free one. Ends the process with status 2 and an error message on failure.
 std::shared_ptr<net::Listener> listen_or_exit(net::EventLoop& loop, std::uint16_t port);
 
 }  // namespace plumkeel::emulator
--- a/emulator/invoker.cpp
+++ b/emulator/invoker.cpp
@@ -16,14 +16,14 @@
 
 namespace field = protocol::field;
 
-constexpr double fetch_share = 0.6;  // of a load's time; the rest is the function's start
+constexpr double fetch_time_share = 0.6;  // share of a load's time; after the fetch, the function starts
 constexpr Time fetch_timeout = 30s;
 constexpr Time preload_timeout = 8s;
 constexpr Time expiry_interval = 200ms;
-constexpr std::size_t idempotency_keys_before_expiry = 10'000;
-constexpr double idle_close_delay_us = 20'000;  // at the most
-constexpr std::size_t smallest_response_bytes = 2;
-constexpr double smallest_capacity = 0.01;
+constexpr std::size_t key_expiry_threshold = 10'000;  // expired keys are removed above this number of keys
+constexpr double max_idle_close_delay_us = 20'000;
+constexpr std::size_t min_response_bytes = 2;
+constexpr double min_capacity_cores = 0.01;
 
 std::string load_event_name(LoadEvent load_event) {
     static const char* names[] = {"", "stood-loaded", "began-load", "joined-load", "load-broke"};
@@ -41,7 +41,7 @@
       log_(record_file),
       random_(settings_.seed),
       slow_start_(settings_),
-      cache_(settings_.memory_mb, settings_.concurrent_loads) {
+      cache_(settings_.memory_mb, settings_.max_concurrent_loads) {
     handler_ = {[this](const auto& connection, auto request) { handle_request(connection, request); },
                 [this](const auto& connection) { handle_abandoned(connection); }};
     record_start();
@@ -63,7 +63,7 @@
                               {key::deduplication_us, settings_.deduplication_window.count()}});
 }
 
-// refuse on|off, and the commands of InvokerFaults::apply
+// Commands: refuse on|off (stops listening), and those of InvokerFaults::apply().
 void InvokerEmulator::execute(const Command& command) {
     faults_.apply(command, loop_.now());
     if (command.verb() == "refuse") set_listening(!command.is_on());
@@ -114,17 +114,17 @@
     attempt->concurrency =
         http::parse_number<int>(http::field(request, field::concurrency)).value_or(attempt->concurrency);
     attempt->memory_mb = http::parse_number<int>(http::field(request, field::memory)).value_or(attempt->memory_mb);
-    std::istringstream(request.body()) >> attempt->origin >> attempt->run_time_ms >> attempt->load_time_ms >>
+    std::istringstream(request.body()) >> attempt->client_request_id >> attempt->run_time_ms >> attempt->load_time_ms >>
         attempt->response_bytes;
     return attempt;
 }
 
-// During a pause nothing goes on, but an attempt is recorded when it arrives.
+// Records an attempt on its arrival, even during a pause; it starts after the pause.
 void InvokerEmulator::handle_attempt(const AttemptPointer& attempt) {
     record(event::attempt_received, *attempt);
     fail_if_overloaded();
     if (failed_) return;
-    if (random_.next() < faults_.cut_on_arrival) {
+    if (random_.next() < faults_.arrival_cut_share) {
         record(event::connection_cut, *attempt);
         return attempt->connection->reset();
     }
@@ -132,7 +132,7 @@
     if (faults_.rejects_all) return reject(*attempt);
     for (const auto& other : pending_) attempt->concurrent_requests += other->function == attempt->function;
     pending_.push_back(attempt);
-    run_unless_paused([this, attempt] { place(attempt); });
+    run_unless_paused([this, attempt] { run_or_queue(attempt); });
 }
 
 void InvokerEmulator::handle_abandoned(const Connection& connection) {
@@ -140,7 +140,7 @@
         if (attempt->connection != connection) continue;
         record(event::caller_gone, *attempt);
         std::erase(pending_, attempt);
-        std::erase(queue_, attempt);  // a queued attempt is dropped; a running one goes on
+        std::erase(queue_, attempt);  // drops a queued attempt; a running one continues
     }
 }
 
@@ -155,7 +155,7 @@
     pending_.clear();
 }
 
-void InvokerEmulator::place(const AttemptPointer& attempt) {
+void InvokerEmulator::run_or_queue(const AttemptPointer& attempt) {
     if (!is_pending(attempt)) return;
     if (const auto copy = cache_.free_copy(attempt->function)) {
         if (attempt->load_event == LoadEvent::none) attempt->load_event = LoadEvent::was_loaded;
@@ -181,29 +181,31 @@
 
 void InvokerEmulator::run_attempt(const AttemptPointer& attempt, const std::shared_ptr<FunctionCopy>& copy) {
     ++copy->running;
-    ++running_;
+    ++running_attempts_;
     record(is_duplicate(*attempt) ? event::duplicate_ignored : event::run, *attempt);
     const Time now = loop_.now();
-    const double contention = std::max(1.0, running_ / settings_.cores);
-    const double slow_start_factor = settings_.capacity() / std::max(slow_start_.capacity(now), smallest_capacity);
-    const double ms =
+    const double contention = std::max(1.0, running_attempts_ / settings_.cores);
+    const double slow_start_factor = settings_.capacity() / std::max(slow_start_.capacity(now), min_capacity_cores);
+    const double duration_ms =
         attempt->run_time_ms / settings_.speed * contention * faults_.run_time_factor(now) * slow_start_factor;
-    loop_.call_at(now + milliseconds(ms),
+    loop_.call_at(now + milliseconds(duration_ms),
                   [this, attempt, copy] { run_unless_paused([this, attempt, copy] { finish(attempt, *copy); }); });
 }
 
-// Whether its idempotency key ran here within the deduplication window: it then has no effect again.
+// Returns true if an attempt with the same idempotency key ran here within the deduplication window, so that this one
+// has no effect. Otherwise stores the key with the current time.
 bool InvokerEmulator::is_duplicate(const Attempt& attempt) {
     if (attempt.idempotency_key.empty()) return false;
-    const auto known = idempotency_keys_.find(attempt.idempotency_key);
-    if (known != idempotency_keys_.end() && known->second + settings_.deduplication_window > loop_.now()) return true;
+    const auto last_run = idempotency_keys_.find(attempt.idempotency_key);
+    if (last_run != idempotency_keys_.end() && last_run->second + settings_.deduplication_window > loop_.now())
+        return true;
     idempotency_keys_[attempt.idempotency_key] = loop_.now();
     return false;
 }
 
 void InvokerEmulator::finish(const AttemptPointer& attempt, FunctionCopy& copy) {
     --copy.running;
-    --running_;
+    --running_attempts_;
     copy.idle_since = loop_.now();
     if (is_pending(attempt)) {
         std::erase(pending_, attempt);
@@ -213,15 +215,15 @@
 }
 
 void InvokerEmulator::respond(const Attempt& attempt) {
-    if (faults_.silent || random_.next() < faults_.lost_responses) return record(event::response_lost, attempt);
-    const std::string body(std::max(attempt.response_bytes, smallest_response_bytes), 'x');
+    if (faults_.silent || random_.next() < faults_.lost_response_share) return record(event::response_lost, attempt);
+    const std::string body(std::max(attempt.response_bytes, min_response_bytes), 'x');
     const std::string head =
         response_head(200,
                       {{std::string(field::load_event), load_event_name(attempt.load_event)},
                        {std::string(field::concurrent_requests), std::to_string(attempt.concurrent_requests)}},
                       body.size());
-    const bool cut_in_head = random_.next() < faults_.cut_in_head;
-    const bool cut_in_body = !cut_in_head && random_.next() < faults_.cut_in_body;
+    const bool cut_in_head = random_.next() < faults_.head_cut_share;
+    const bool cut_in_body = !cut_in_head && random_.next() < faults_.body_cut_share;
     if (cut_in_head || cut_in_body) {
         record(event::connection_cut, attempt);
         const std::size_t sent = cut_in_head ? head.size() / 2 : head.size() + body.size() / 2;
@@ -230,8 +232,8 @@
     record(event::answer, attempt, attempt_result::succeeded);
     attempt.connection->reply(head, body);
     if (!faults_.closes_idle) return;
-    // Closes about when the next attempt may be sent on it.
-    const Time delay(static_cast<Time::rep>(random_.next() * idle_close_delay_us));
+    // Closes the connection at a time when the controller may be sending its next attempt on it.
+    const Time delay(static_cast<Time::rep>(random_.next() * max_idle_close_delay_us));
     loop_.call_at(loop_.now() + delay, [connection = attempt.connection] {
         if (!connection->is_request_pending()) connection->close();
     });
@@ -258,15 +260,15 @@
 
 net::Task<> InvokerEmulator::fetch(std::shared_ptr<FunctionCopy> copy, double load_time_ms) {
     const std::string target =
-        fmt::format("/v1/fetch/{}?ms={:.1f}", http::percent_encode(copy->function), load_time_ms * fetch_share);
+        fmt::format("/v1/fetch/{}?ms={:.1f}", http::percent_encode(copy->function), load_time_ms * fetch_time_share);
     std::string head = http::HeadWriter("GET " + target + " HTTP/1.1")
                            .add("Host", settings_.store_address)
                            .add("Connection", "close")
                            .finish();
-    const auto exchanged = co_await http::exchange(loop_, *net::Address::parse(settings_.store_address),
-                                                   std::move(head), "", fetch_timeout);
-    if (exchanged.error || exchanged.response.result_int() != 200) co_return fail_load(copy);
-    co_await loop_.sleep(milliseconds(load_time_ms * (1 - fetch_share)));
+    const auto exchange_result = co_await http::exchange(loop_, *net::Address::parse(settings_.store_address),
+                                                         std::move(head), "", fetch_timeout);
+    if (exchange_result.error || exchange_result.response.result_int() != 200) co_return fail_load(copy);
+    co_await loop_.sleep(milliseconds(load_time_ms * (1 - fetch_time_share)));
     copy->loaded = true;
     copy->idle_since = loop_.now();
     start_queued();
@@ -283,7 +285,8 @@
     }
 }
 
-// Runs what is queued for a copy that has become free, and loads functions that are queued for and not loading.
+// Runs queued attempts on free copies, loads the functions of other queued attempts unless they are loaded or loading
+// already, and answers preload requests that have ended.
 void InvokerEmulator::start_queued() {
     if (failed_) return;
     for (const auto& attempt : std::deque(queue_)) {
@@ -296,7 +299,7 @@
         if (!cache_.contains(attempt->function) && load(attempt->function, *attempt))
             attempt->load_event = LoadEvent::started_load;
     }
-    for (const PendingPreload& preload : std::exchange(preloads_, {})) answer_preload(preload);
+    for (const PendingPreload& preload : std::exchange(pending_preloads_, {})) answer_preload(preload);
 }
 
 net::Task<> InvokerEmulator::expire_idle_copies() {
@@ -304,7 +307,7 @@
         co_await loop_.sleep(expiry_interval);
         cache_.remove_idle_since_before(loop_.now() - settings_.keep_alive);
         start_queued();
-        if (idempotency_keys_.size() <= idempotency_keys_before_expiry) continue;
+        if (idempotency_keys_.size() <= key_expiry_threshold) continue;
         std::erase_if(idempotency_keys_, [this](const auto& key_and_time) {
             return key_and_time.second + settings_.deduplication_window < loop_.now();
         });
@@ -322,17 +325,17 @@
     if (faults_.silent) return;
     if (faults_.rejects_all)
         return answer(connection, 503, {{std::string(field::never_ran), std::string(attempt_result::rejected)}});
-    const Attempt default_function;
-    int present = cache_.loaded(function) + cache_.loading(function);
-    while (present < copies && load(function, default_function)) ++present;
+    const Attempt default_attempt;
+    int present_copies = cache_.loaded(function) + cache_.loading(function);
+    while (present_copies < copies && load(function, default_attempt)) ++present_copies;
     answer_preload({connection, function, copies, loop_.now() + preload_timeout});
 }
 
-// Once the copies are loaded, or none is loading any more, or it has waited long enough.
+// Answers a preload request if its copies are loaded, none is loading, or it has timed out; otherwise keeps it pending.
 void InvokerEmulator::answer_preload(const PendingPreload& preload) {
     const int loaded = cache_.loaded(preload.function);
     if (loaded < preload.copies && cache_.loading(preload.function) > 0 && loop_.now() < preload.timeout) {
-        preloads_.push_back(preload);
+        pending_preloads_.push_back(preload);
         return;
     }
     answer(preload.connection, loaded >= preload.copies ? 200 : 503,
@@ -340,11 +343,11 @@
 }
 
 void InvokerEmulator::run_unless_paused(std::function<void()> action) {
-    const Time until = faults_.paused_until(loop_.now());
-    if (until == Time{})
+    const Time pause_end = faults_.paused_until(loop_.now());
+    if (pause_end == Time{})
         action();
     else
-        loop_.call_at(until, std::move(action));
+        loop_.call_at(pause_end, std::move(action));
 }
 
 std::string InvokerEmulator::response_head(unsigned status, const HeaderFields& fields, std::size_t body_bytes) const {
@@ -364,15 +367,15 @@
 }
 
 void InvokerEmulator::record(std::string_view event_name, const Attempt& attempt, std::string_view result) {
-    boost::json::object line{{key::controller, attempt.controller},
-                             {key::request, attempt.request},
-                             {key::attempt, attempt.number},
-                             {key::function, attempt.function},
-                             {key::request_class, attempt.request_class},
-                             {key::origin, attempt.origin}};
-    if (!attempt.idempotency_key.empty()) line[key::idempotency_key] = attempt.idempotency_key;
-    if (!result.empty()) line[key::result] = result;
-    log_.write(event_name, std::move(line));
+    boost::json::object record_fields{{key::controller, attempt.controller},
+                                      {key::request, attempt.request},
+                                      {key::attempt, attempt.number},
+                                      {key::function, attempt.function},
+                                      {key::request_class, attempt.request_class},
+                                      {key::origin, attempt.client_request_id}};
+    if (!attempt.idempotency_key.empty()) record_fields[key::idempotency_key] = attempt.idempotency_key;
+    if (!result.empty()) record_fields[key::result] = result;
+    log_.write(event_name, std::move(record_fields));
 }
 
 int run_invoker(const std::string& settings_file, const std::string& record_file) {
--- a/emulator/invoker.hpp
+++ b/emulator/invoker.hpp
@@ -1,5 +1,5 @@
-/// An invoker that only emulates its work: it loads functions on demand from the function store, has memory, a queue
-/// and cores, starts cold, fails under too much load, and plays faults on command.
+/// Emulates an invoker: it loads functions on demand from the function store, has limited memory, cores and queue
+/// length, starts slowly, fails when it is overloaded, and produces faults on command.
 #pragma once
 
 #include <deque>
@@ -29,19 +29,19 @@
     using Connection = std::shared_ptr<HttpConnection>;
     using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-    /// What a controller sent to be run. Its body is "origin run_time_ms load_time_ms response_bytes", as ClientLoad
-    /// writes it.
+    /// An attempt that a controller sent. Its body, written by ClientLoad, is
+    /// "client_request_id run_time_ms load_time_ms response_bytes".
     struct Attempt {
         Connection connection;
-        std::string controller, request, number, function, request_class, origin, idempotency_key;
+        std::string controller, request, number, function, request_class, client_request_id, idempotency_key;
         double run_time_ms = 100, load_time_ms = 300;
         std::size_t response_bytes{};
         int concurrency = 1, memory_mb = 300;
-        int concurrent_requests{};  // for the same function, when it arrived
+        int concurrent_requests{};  // pending attempts of the same function on its arrival
         LoadEvent load_event = LoadEvent::none;
     };
     using AttemptPointer = std::shared_ptr<Attempt>;
-    /// A controller's order for copies of a function, not answered yet.
+    /// A controller's request to preload copies of a function, not answered yet.
     struct PendingPreload {
         Connection connection;
         std::string function;
@@ -59,10 +59,11 @@
     static AttemptPointer parse_attempt(const Connection& connection, const std::string& function,
                                         const HttpConnection::Request& request);
     void handle_abandoned(const Connection& connection);
+    /// Counts a received attempt. On overload, stops the listener and resets all connections.
     void fail_if_overloaded();
 
-    // From an attempt's arrival to its response.
-    void place(const AttemptPointer& attempt);
+    // Handling of an attempt after its arrival.
+    void run_or_queue(const AttemptPointer& attempt);
     bool is_pending(const AttemptPointer& attempt) const;
     void run_attempt(const AttemptPointer& attempt, const std::shared_ptr<FunctionCopy>& copy);
     bool is_duplicate(const Attempt& attempt);
@@ -71,7 +72,7 @@
     void reject(const Attempt& attempt);
     void respond_not_run(const Attempt& attempt, std::string_view result, LoadEvent load_event);
 
-    // Loads of functions.
+    // Loading of functions.
     bool load(const std::string& function, const Attempt& attempt);
     net::Task<> fetch(std::shared_ptr<FunctionCopy> copy, double load_time_ms);
     void fail_load(const std::shared_ptr<FunctionCopy>& copy);
@@ -81,7 +82,7 @@
                         const HttpConnection::Request& request);
     void answer_preload(const PendingPreload& preload);
 
-    /// Runs it now, or at the end of a pause.
+    /// Runs `action` now or, during a pause, at the end of the pause.
     void run_unless_paused(std::function<void()> action);
     std::string response_head(unsigned status, const HeaderFields& fields, std::size_t body_bytes) const;
     void answer(const Connection& connection, unsigned status, const HeaderFields& fields);
@@ -96,12 +97,12 @@
     InvokerFaults faults_;
     SlowStartModel slow_start_;
     FunctionCache cache_;
-    std::vector<AttemptPointer> pending_;  // not answered: queued or running
-    std::deque<AttemptPointer> queue_;     // of those, the ones that wait for a copy
-    std::vector<PendingPreload> preloads_;
-    std::map<std::string, Time> idempotency_keys_;  // when each one ran first
-    int running_{};
-    bool failed_{};  // under too much load
+    std::vector<AttemptPointer> pending_;  // attempts not answered yet: queued or running
+    std::deque<AttemptPointer> queue_;     // the pending attempts that wait for a copy of their function
+    std::vector<PendingPreload> pending_preloads_;
+    std::map<std::string, Time> idempotency_keys_;  // time of the last run with an effect, by idempotency key
+    int running_attempts_{};
+    bool failed_{};  // set by an overload; the connections of new requests are reset
 };
 
 }  // namespace plumkeel::emulator
--- a/emulator/invoker_faults.cpp
+++ b/emulator/invoker_faults.cpp
@@ -11,12 +11,12 @@
     if (verb == "slow") slowdown_factor = command.number("factor", 1);
     if (verb == "age") {
         slowdown_per_second = command.number("per_s", 0);
-        ages_since = now;
+        slowdown_start = now;
     }
-    if (verb == "lose") lost_responses = share;
-    if (verb == "cut_head") cut_in_head = share;
-    if (verb == "cut_body") cut_in_body = share;
-    if (verb == "cut_on_arrival") cut_on_arrival = share;
+    if (verb == "lose") lost_response_share = share;
+    if (verb == "cut_head") head_cut_share = share;
+    if (verb == "cut_body") body_cut_share = share;
+    if (verb == "cut_on_arrival") arrival_cut_share = share;
     if (verb == "pause") {
         pause = command.milliseconds("ms", 0);
         pause_period = command.milliseconds("every", 1000);
@@ -25,13 +25,14 @@
 
 Time InvokerFaults::paused_until(Time now) const {
     if (pause == Time{}) return Time{};
-    const Time into_period = now % pause_period;
-    return into_period < pause ? now - into_period + pause : Time{};
+    const Time time_in_period = now % pause_period;
+    return time_in_period < pause ? now - time_in_period + pause : Time{};
 }
 
 double InvokerFaults::run_time_factor(Time now) const {
-    const double aged = 1 + slowdown_per_second * std::chrono::duration<double>(now - ages_since).count();
-    return slowdown_factor * aged;
+    const double gradual_slowdown =
+        1 + slowdown_per_second * std::chrono::duration<double>(now - slowdown_start).count();
+    return slowdown_factor * gradual_slowdown;
 }
 
 }  // namespace plumkeel::emulator
--- a/emulator/invoker_settings.cpp
+++ b/emulator/invoker_settings.cpp
@@ -16,7 +16,7 @@
     reader.read("speed", settings.speed);
     reader.read("memory", settings.memory_mb);
     reader.read("queue", settings.queue_limit);
-    reader.read("loads_at_once", settings.concurrent_loads);
+    reader.read("loads_at_once", settings.max_concurrent_loads);
     reader.read("keep_alive", settings.keep_alive);
     reader.read("cold", settings.slow_start.enabled);
     reader.read("cold_share", settings.slow_start.cold_share);
--- a/emulator/processes.hpp
+++ b/emulator/processes.hpp
@@ -1,5 +1,5 @@
-/// The emulated services, each run as a process of its own (main.cpp). Each takes a Jsonnet or JSON file of settings
-/// and the file for its record, and returns an exit status.
+/// Entry points of the emulated services; main.cpp runs one per process. Each reads its settings from a Jsonnet or JSON
+/// file, writes its events to `record_file`, and returns an exit status.
 #pragma once
 
 #include <string>
--- a/emulator/random_source.hpp
+++ b/emulator/random_source.hpp
@@ -1,4 +1,4 @@
-/// Random numbers of a seed, in the distributions that the emulator draws from.
+/// Seeded random numbers in the distributions that the emulator uses.
 #pragma once
 
 #include <cstdint>
--- a/emulator/record_schema.hpp
+++ b/emulator/record_schema.hpp
@@ -1,12 +1,12 @@
-/// Names in the records of the emulator's processes: JSON lines that the processes write and the auditor reads. The
-/// keys are part of the file format; the code uses the names declared here.
+/// Names in the records of the emulator's processes, which are files of JSON lines that the auditor reads. The strings
+/// are part of the file format.
 #pragma once
 
 #include <string_view>
 
 namespace plumkeel::emulator {
 
-/// Which process wrote a record: the first part of the file's name.
+/// Kinds of processes that write records; the first part of the record file's name.
 namespace source {
 inline constexpr std::string_view client = "clients";
 inline constexpr std::string_view consul = "list";
@@ -17,11 +17,11 @@
 /// Values of `key::event`.
 namespace event {
 inline constexpr std::string_view lag = "lag";
-// Clients.
+// Events of the clients.
 inline constexpr std::string_view sent = "sent";
-inline constexpr std::string_view answer = "answer";  // invokers write it too
+inline constexpr std::string_view answer = "answer";  // invokers write an event of this name too
 inline constexpr std::string_view idle = "quiet";
-// Invokers.
+// Events of the invokers.
 inline constexpr std::string_view start = "start";
 inline constexpr std::string_view attempt_received = "hop";
 inline constexpr std::string_view run = "run";
@@ -34,32 +34,32 @@
 inline constexpr std::string_view load_failed = "load_broke";
 inline constexpr std::string_view preload = "order";
 inline constexpr std::string_view fault = "fault";
-// The function store.
+// Events of the function store.
 inline constexpr std::string_view fetch = "fetch";
 inline constexpr std::string_view fetch_rejected = "fetch_turned_away";
-// Consul.
+// Events of the Consul emulator.
 inline constexpr std::string_view endpoints_sent = "told";
-// The remote write receiver.
+// Events of the remote write receiver.
 inline constexpr std::string_view mode = "mood";
 inline constexpr std::string_view violation = "breach";
 inline constexpr std::string_view series = "series";
 inline constexpr std::string_view summary = "sum";
-// The scenario runner.
+// Events of the scenario runner.
 inline constexpr std::string_view controller_started = "controller_started";
 inline constexpr std::string_view controller_killed = "controller_killed";
 inline constexpr std::string_view controller_frozen = "controller_frozen";
 }  // namespace event
 
-/// Keys of a record's fields. Durations end in `_us` and `_ms`.
+/// Keys of an event's fields. Names of durations end in `_us`, `_ms` or `_s`.
 namespace key {
-inline constexpr std::string_view time = "t";  // microseconds of the machine's monotonic clock
+inline constexpr std::string_view time = "t";  // in microseconds of the machine's monotonic clock
 inline constexpr std::string_view event = "e";
 inline constexpr std::string_view duration_us = "us";
 inline constexpr std::string_view name = "name";
 inline constexpr std::string_view address = "address";
-// Of a client's try of a request, and of an attempt that an invoker received.
+// Fields of a client's try, and of an attempt that an invoker received.
 inline constexpr std::string_view id = "id";
-inline constexpr std::string_view origin = "origin";  // one value for all tries of a client's request
+inline constexpr std::string_view origin = "origin";  // identifies a client's request; the same in all its tries
 inline constexpr std::string_view try_number = "try";
 inline constexpr std::string_view to = "to";
 inline constexpr std::string_view request_class = "use";
@@ -78,7 +78,7 @@
 inline constexpr std::string_view idempotency_key = "mark";
 inline constexpr std::string_view result = "word";
 inline constexpr std::string_view copies = "copies";
-// Of an invoker's start.
+// Fields of an invoker's start and overload events.
 inline constexpr std::string_view cold = "cold";
 inline constexpr std::string_view capacity = "capacity";
 inline constexpr std::string_view cold_share = "cold_share";
@@ -88,10 +88,10 @@
 inline constexpr std::string_view mean_run_time_ms = "mean_work_ms";
 inline constexpr std::string_view deduplication_us = "remembers_us";
 inline constexpr std::string_view load_s = "work_s";
-// Of a fault that a command switched.
+// Fields of a fault that a command switched on or off.
 inline constexpr std::string_view verb = "verb";
 inline constexpr std::string_view on = "on";
-// Of the function store, Consul and the receiver.
+// Fields of events of the function store, the Consul emulator and the remote write receiver.
 inline constexpr std::string_view fetching = "fetching";
 inline constexpr std::string_view endpoints = "list";
 inline constexpr std::string_view mode = "mood";
@@ -106,7 +106,7 @@
 inline constexpr std::string_view requests = "questions";
 }  // namespace key
 
-/// How a client saw its try end, in `key::outcome`. The first three are the controller's own words.
+/// How a try ended for the client, in `key::outcome`. The first three values come from the controller's response.
 namespace client_outcome {
 inline constexpr std::string_view succeeded = "honoured";
 inline constexpr std::string_view rejected = "bounced";
@@ -118,14 +118,14 @@
 inline constexpr std::string_view connection_lost = "cut";
 }  // namespace client_outcome
 
-/// What an invoker answered to an attempt, in `key::result`.
+/// An invoker's response to an attempt, in `key::result`.
 namespace attempt_result {
 inline constexpr std::string_view succeeded = "honoured";
 inline constexpr std::string_view rejected = "turned-away";
 inline constexpr std::string_view load_failed = "not-loaded";
 }  // namespace attempt_result
 
-/// Of an endpoint in `key::endpoints`.
+/// States of the endpoints in `key::endpoints`.
 namespace endpoint_state {
 inline constexpr std::string_view ready = "ready";
 inline constexpr std::string_view draining = "drains";
--- a/emulator/remote_write_process.cpp
+++ b/emulator/remote_write_process.cpp
@@ -1,5 +1,5 @@
-/// The remote write receiver as a process: it is switched by commands and writes all samples that it has taken when
-/// its input ends.
+/// Runs the remote write receiver as a process. Commands change its behavior; when the process stops, it writes all
+/// accepted samples to its record.
 #include "config/jsonnet_reader.hpp"
 #include "emulator/command_input.hpp"
 #include "emulator/event_log.hpp"
@@ -19,7 +19,7 @@
     return static_cast<std::uint16_t>(port);
 }
 
-// takes ; stalls ; status status= retry_after= ; cuts ; late ; forget
+// Commands: takes; stalls; status status=HTTP_STATUS retry_after=S; cuts; late; forget.
 void execute(RemoteWriteReceiver& receiver, const Command& command) {
     using Mode = RemoteWriteReceiver::Mode;
     static const std::map<std::string, Mode> modes = {{"takes", Mode::accept},
--- a/emulator/remote_write_receiver.hpp
+++ b/emulator/remote_write_receiver.hpp
@@ -1,5 +1,5 @@
-/// A receiver of Prometheus remote write 1.0 that checks each message strictly: headers, compression, labels, the order
-/// of samples. For tests and scenarios.
+/// A receiver of Prometheus remote write 1.0 for tests and scenarios. Checks the headers, compression, labels and order
+/// of samples of each message strictly.
 #pragma once
 
 #include <cstdint>
@@ -22,27 +22,29 @@
     enum class Mode {
         accept,
         stall,                    ///< never answers
-        respond_status,           ///< answers with a status and takes nothing
-        reset,                    ///< resets the connection within the response
-        accept_without_response,  ///< takes the samples and never answers
+        respond_status,           ///< answers with a status and accepts no samples
+        reset,                    ///< resets the connection in the middle of the response
+        accept_without_response,  ///< accepts the samples and never answers
     };
     void set_mode(Mode mode, unsigned status = 503, std::string retry_after = "");
-    /// Answers a share of the requests with `status` and takes nothing of them.
+    /// Answers a share of the requests with `status` and accepts none of their samples.
     void fail_share(double share, unsigned status) { failing_share_ = share, failing_status_ = status; }
     void delay_responses(Time delay) { response_delay_ = delay; }
-    /// Forgets all series, as a receiver that restarts empty.
+    /// Deletes all series, like a restart of a receiver without storage.
     void clear() { series_.clear(); }
 
-    using Samples = std::vector<std::pair<std::int64_t, double>>;  // Unix milliseconds, value
+    using Samples = std::vector<std::pair<std::int64_t, double>>;  // timestamp in Unix milliseconds, value
     const std::map<remote_write::Labels, Samples>& series() const { return series_; }
-    /// What a message got wrong, the first of them.
+    /// Descriptions of the first protocol violations in received messages.
     const std::vector<std::string>& violations() const { return violations_; }
+    /// Number of accepted samples, without repeated ones.
     std::uint64_t samples() const { return samples_; }
-    /// Samples that came again as they had been taken.
+    /// Number of samples that were received again with the same timestamp and value.
     std::uint64_t repeated() const { return repeated_; }
     std::uint64_t requests() const { return requests_; }
+    /// Highest number of requests that waited for an answer at the same time.
     std::size_t most_concurrent() const { return most_concurrent_; }
-    /// Samples taken, by second of the loop's clock.
+    /// Number of accepted samples by second of the event loop's clock.
     const std::map<std::int64_t, std::uint64_t>& samples_by_second() const { return samples_by_second_; }
 
 private:
@@ -65,7 +67,7 @@
     std::map<remote_write::Labels, Samples> series_;
     std::vector<std::string> violations_;
     std::uint64_t samples_{}, repeated_{}, requests_{};
-    std::size_t concurrent_{}, most_concurrent_{};
+    std::size_t pending_requests_{}, most_concurrent_{};
     std::map<std::int64_t, std::uint64_t> samples_by_second_;
 };
 
--- a/emulator/slow_start_model.hpp
+++ b/emulator/slow_start_model.hpp
@@ -1,5 +1,5 @@
-/// How an emulated invoker that has just started bears its load: its capacity rises, and it fails when it is sent
-/// more than a multiple of it.
+/// Slow start of an emulated invoker: its capacity rises after its start, and it fails if it is sent more work than a
+/// multiple of its capacity.
 #pragma once
 
 #include <deque>
@@ -9,19 +9,19 @@
 
 namespace plumkeel::emulator {
 
-/// Times are those of the invoker's own loop, which begins at its start.
+/// Points in time are durations since the invoker's start.
 class SlowStartModel {
 public:
     explicit SlowStartModel(const InvokerSettings& settings) : settings_(settings) {}
 
     /// In cores of speed 1.
     double capacity(Time now) const;
-    /// Counts an attempt. Where that is more than the invoker bears: the seconds of work sent in the window.
+    /// Counts an attempt at `now`. If it overloads the invoker, returns the work of the current window in seconds.
     std::optional<double> overload_after_attempt(Time now);
 
 private:
     const InvokerSettings& settings_;
-    std::deque<Time> attempts_;  // of the last window
+    std::deque<Time> attempt_times_;  // arrival times of the attempts in the current window
 };
 
 }  // namespace plumkeel::emulator
