--- a/emulator/scenario.hpp
+++ b/emulator/scenario.hpp
@@ -1,4 +1,4 @@
-/// A scenario: which processes are started, and what happens to them when.
+/// A scenario: the processes to start, and the events of its run.
 #pragma once
 
 #include <boost/json.hpp>
@@ -19,28 +19,29 @@
     int memory_mb = 8000;
 };
 
-/// One thing that happens.
+/// An event of a scenario, such as a fault of some invokers.
 struct ScenarioEvent {
     enum class Kind {
-        command,  ///< `command` goes to `targets`, and `undo` after `duration`
-        crash,    ///< `targets` are killed, Consul removes them after `notice`, they are back cold after `duration`
-        vanish,   ///< `targets` fall silent and are back cold after `duration`; Consul changes nothing until then
-        replace,  ///< `targets` are drained, `interval` apart, and stopped after `drain`; successors start cold
-        kill_controller,  ///< `targets` are killed, and started again after `duration`
-        freeze,           ///< `targets`, which are controllers, are stopped for `duration`
+        command,  ///< sends `command` to `targets`, and `undo_command` after `duration`
+        crash,    ///< kills `targets`; Consul removes them after `removal_delay`; they restart cold after `duration`
+        vanish,   ///< `targets` stop responding and restart cold after `duration`; Consul lists them all the time
+        replace,  ///< drains `targets`, one per `interval`; cold successors replace each after `drain`
+        kill_controller,  ///< kills `targets` and restarts them after `duration`
+        freeze,           ///< suspends `targets`, which are controllers, for `duration`
     };
     Kind kind{};
-    Time at{}, duration{}, notice{}, drain{}, interval{};
-    std::string command, undo;
-    std::vector<std::string> targets;  ///< invokers or controllers; a command may go to store, list, clients, receiver
+    Time at{}, duration{}, removal_delay{}, drain{}, interval{};
+    std::string command, undo_command;
+    std::vector<std::string>
+        targets;  ///< names of invokers or controllers; for a command also store, list, clients, receiver
 };
 
 struct Scenario {
     Time length = std::chrono::seconds(20);
     int controllers = 3;
-    bool cold_start{};  ///< all invokers have just started
+    bool cold_start{};  ///< whether the invokers begin with slow start
     std::vector<ScenarioInvoker> invokers;
-    // Settings of the processes, to which the runner adds addresses, ports and files.
+    // Settings of the processes. ScenarioProcesses adds addresses, ports and files to them.
     boost::json::object invoker_settings, controller_settings, client_settings, store_settings;
     std::vector<ScenarioEvent> events;
     DeploymentRules rules;
--- a/emulator/scenario_processes.cpp
+++ b/emulator/scenario_processes.cpp
@@ -15,14 +15,15 @@
 namespace json = boost::json;
 
 constexpr std::chrono::milliseconds stop_timeout = 10s;
-constexpr std::size_t services_with_port = 3;
+constexpr std::size_t service_port_count = 3;
+// Added to recorded durations, because the process reacts to a signal with a delay.
 constexpr std::int64_t kill_slack_us = 1000, freeze_slack_us = 20'000;
 
 void merge(json::object& into, const json::object& from) {
     for (const auto& [key, value] : from) {
-        auto* present = into.if_contains(key);
-        if (present && present->is_object() && value.is_object())
-            merge(present->as_object(), value.as_object());
+        auto* existing = into.if_contains(key);
+        if (existing && existing->is_object() && value.is_object())
+            merge(existing->as_object(), value.as_object());
         else
             into[key] = value;
     }
@@ -39,17 +40,17 @@
 
 }  // namespace
 
-ScenarioProcesses::ScenarioProcesses(const Scenario& scenario, std::string folder, std::string programs)
+ScenarioProcesses::ScenarioProcesses(const Scenario& scenario, std::string folder, std::string program_folder)
     : scenario_(scenario),
       folder_(std::move(folder)),
-      programs_(std::move(programs)),
+      program_folder_(std::move(program_folder)),
       log_(folder_ + "/" + std::string(source::scenario) + ".jsonl") {}
 
-// All at once, so that no port comes twice; freed again just before the processes take them.
+// Opens all listeners before closing any, so that the ports differ. The processes listen on the ports afterwards.
 void ScenarioProcesses::choose_ports(net::EventLoop& loop) {
     const std::size_t invokers_and_successors = 2 * scenario_.invokers.size();
     const std::size_t count =
-        invokers_and_successors + static_cast<std::size_t>(scenario_.controllers) + services_with_port;
+        invokers_and_successors + static_cast<std::size_t>(scenario_.controllers) + service_port_count;
     std::vector<std::shared_ptr<net::Listener>> listeners;
     for (std::size_t i = 0; i < count; ++i) {
         listeners.push_back(listen_or_exit(loop, 0));
@@ -74,7 +75,8 @@
                                                                const json::object& settings) const {
     const std::vector<std::string> arguments = {subcommand, write_settings(name, settings), "--record",
                                                 folder_ + "/" + subcommand + "-" + name + ".jsonl"};
-    return std::make_unique<ChildProcess>(programs_ + "/plumkeel-emulator", arguments, folder_ + "/" + name + ".out");
+    return std::make_unique<ChildProcess>(program_folder_ + "/plumkeel-emulator", arguments,
+                                          folder_ + "/" + name + ".out");
 }
 
 void ScenarioProcesses::start_all(net::EventLoop& loop) {
@@ -120,7 +122,7 @@
     settings["speed"] = invoker.speed;
     settings["memory"] = invoker.memory_mb;
     settings["cold"] = cold;
-    settings["seed"] = static_cast<std::int64_t>(started.port) * 100 + ++started.starts;
+    settings["seed"] = static_cast<std::int64_t>(started.port) * 100 + ++started.start_count;
     started.process = start_service("invoker", invoker.name, settings);
     add_to_consul(started, cold);
 }
@@ -158,7 +160,7 @@
     const std::vector<std::string> arguments = {"serve", write_settings(name, controller_settings(name)), "--seed",
                                                 seed};
     controllers_[name] =
-        std::make_unique<ChildProcess>(programs_ + "/plumkeel", arguments, folder_ + "/" + name + ".out");
+        std::make_unique<ChildProcess>(program_folder_ + "/plumkeel", arguments, folder_ + "/" + name + ".out");
     log_.write(event::controller_started, {{key::name, name}, {key::address, controller_address(name)}});
 }
 
@@ -180,13 +182,13 @@
 }
 
 std::string ScenarioProcesses::replace_invoker(const std::string& name) {
-    InvokerProcess& old = invokers_.at(name);
+    InvokerProcess& replaced = invokers_.at(name);
     const std::string successor = successor_name(name);
     consul_->send_line("remove " + name);
-    replaced_.push_back(std::move(old.process));
-    replaced_.back()->send_line("refuse on");
+    replaced_invokers_.push_back(std::move(replaced.process));
+    replaced_invokers_.back()->send_line("refuse on");
     InvokerProcess& started = invokers_[successor];
-    started.invoker = old.invoker;
+    started.invoker = replaced.invoker;
     started.invoker.name = successor;
     started.port = take_port();
     start_invoker(successor, true);
@@ -215,22 +217,23 @@
     std::vector<std::string> failures;
     for (auto& [name, process] : controllers_) {
         if (!process->is_running()) {
-            failures.push_back(name + " had ended by itself, with status " + std::to_string(process->wait(1ms)));
+            failures.push_back(name + " exited before the end of the scenario, with status " +
+                               std::to_string(process->wait(1ms)));
             continue;
         }
         process->signal(SIGTERM);
         if (const int status = process->wait(stop_timeout); status != 0)
-            failures.push_back(name + " ended with status " + std::to_string(status));
+            failures.push_back(name + " exited on SIGTERM with status " + std::to_string(status));
     }
     clients_.reset();
     invokers_.clear();
-    replaced_.clear();
+    replaced_invokers_.clear();
     consul_.reset();
     store_.reset();
     receiver_->signal(SIGTERM);
     if (const int status = receiver_->wait(stop_timeout); status != 0)
-        failures.push_back("the receiver ended with status " + std::to_string(status) +
-                           ": its record names the violations of the protocol");
+        failures.push_back("the remote write receiver exited with status " + std::to_string(status) +
+                           "; its record lists the violations of the protocol");
     receiver_.reset();
     return failures;
 }
--- a/emulator/scenario_processes.hpp
+++ b/emulator/scenario_processes.hpp
@@ -1,4 +1,4 @@
-/// The processes of a scenario: controllers, and the emulated services around them.
+/// Starts, controls and stops the processes of a scenario: controllers, and the emulated services around them.
 #pragma once
 
 #include <map>
@@ -15,23 +15,25 @@
 
 class ScenarioProcesses {
 public:
-    /// Settings, records and logs go to `folder`; the programs are in `programs`. `scenario` must outlive this.
-    ScenarioProcesses(const Scenario& scenario, std::string folder, std::string programs);
+    /// Settings, records and logs are written to `folder`; `program_folder` contains the programs. `scenario` must
+    /// outlive this.
+    ScenarioProcesses(const Scenario& scenario, std::string folder, std::string program_folder);
 
     void start_all(net::EventLoop& loop);
-    /// Returns what went wrong with the processes.
+    /// Returns a message for each process that exited early or with an error.
     std::vector<std::string> stop_all();
 
-    /// `target` is an invoker's name, store, list, clients or receiver.
+    /// Sends a command to the process `target`: an invoker's name, store, list, clients or receiver.
     void send_command(const std::string& target, const std::string& line);
     void kill_invoker(const std::string& name);
     void start_invoker(const std::string& name, bool cold);
-    /// Stops an invoker that has drained and starts one of another name, which is returned.
+    /// Removes a drained invoker from Consul, closes its listener, and starts a successor. Returns the successor's
+    /// name.
     std::string replace_invoker(const std::string& name);
     void kill_controller(const std::string& name);
     void start_controller(const std::string& name);
     void freeze_controller(const std::string& name);
-    /// `duration` is how long it was frozen.
+    /// Resumes a controller that was frozen for `duration`.
     void resume_controller(const std::string& name, Time duration);
 
     static std::string successor_name(const std::string& invoker) { return invoker + "b"; }
@@ -40,7 +42,7 @@
     struct InvokerProcess {
         ScenarioInvoker invoker;
         std::uint16_t port{};
-        int starts{};
+        int start_count{};
         std::unique_ptr<ChildProcess> process;
     };
 
@@ -55,14 +57,14 @@
     std::string controller_address(const std::string& name) const;
 
     const Scenario& scenario_;
-    const std::string folder_, programs_;
+    const std::string folder_, program_folder_;
     EventLog log_;
     std::vector<std::uint16_t> free_ports_;
     std::uint16_t store_port_{}, consul_port_{}, receiver_port_{};
     std::map<std::string, std::uint16_t> controller_ports_;
     std::unique_ptr<ChildProcess> store_, consul_, receiver_, clients_;
     std::map<std::string, InvokerProcess> invokers_;
-    std::vector<std::unique_ptr<ChildProcess>> replaced_;
+    std::vector<std::unique_ptr<ChildProcess>> replaced_invokers_;
     std::map<std::string, std::unique_ptr<ChildProcess>> controllers_;
 };
 
--- a/emulator/scenario_reader.cpp
+++ b/emulator/scenario_reader.cpp
@@ -13,11 +13,11 @@
     {"vanish", ScenarioEvent::Kind::vanish},   {"replace", ScenarioEvent::Kind::replace},
     {"freeze", ScenarioEvent::Kind::freeze},   {"kill_controller", ScenarioEvent::Kind::kill_controller}};
 
-const std::map<std::string, Idempotency> idempotency_words = {{"replayable", Idempotency::idempotent},
-                                                              {"referenced", Idempotency::deduplicated},
-                                                              {"single_use", Idempotency::at_most_once}};
+const std::map<std::string, Idempotency> idempotency_by_setting = {{"replayable", Idempotency::idempotent},
+                                                                   {"referenced", Idempotency::deduplicated},
+                                                                   {"single_use", Idempotency::at_most_once}};
 
-const std::map<std::string, DeduplicationScope> scope_words = {
+const std::map<std::string, DeduplicationScope> scope_by_setting = {
     {"everywhere", DeduplicationScope::global}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}};
 
 std::vector<std::string> read_names(JsonnetReader& reader, std::string_view key) {
@@ -25,9 +25,9 @@
     const json::value* value = reader.raw(key);
     if (!value) return names;
     if (value->is_string()) return {std::string(value->as_string())};
-    if (!value->is_array()) reader.fail(key, "is not a list of names");
+    if (!value->is_array()) reader.fail(key, "expected a name or a list of names");
     for (const auto& name : value->as_array()) {
-        if (!name.is_string()) reader.fail(key, "is not a list of names");
+        if (!name.is_string()) reader.fail(key, "expected a name or a list of names");
         names.emplace_back(name.as_string());
     }
     return names;
@@ -36,7 +36,7 @@
 json::object read_object(JsonnetReader& reader, std::string_view key) {
     const json::value* value = reader.raw(key);
     if (!value) return {};
-    if (!value->is_object()) reader.fail(key, "is not an object");
+    if (!value->is_object()) reader.fail(key, "expected an object");
     return value->as_object();
 }
 
@@ -64,18 +64,23 @@
     reader.require("at", event.at);
     reader.require("kind", kind);
     reader.read("lasts", event.duration);
-    reader.read("notice", event.notice);
+    reader.read("notice", event.removal_delay);
     reader.read("drain", event.drain);
     reader.read("each", event.interval);
     reader.read("say", event.command);
-    reader.read("then", event.undo);
+    reader.read("then", event.undo_command);
     event.targets = read_names(reader, "who");
-    const auto known = event_kinds.find(kind);
-    if (known == event_kinds.end()) reader.fail("kind", "'" + kind + "' is not a known kind of event");
-    event.kind = known->second;
+    const auto event_kind = event_kinds.find(kind);
+    if (event_kind == event_kinds.end())
+        reader.fail("kind",
+                    "found '" + kind + "', expected command, crash, vanish, replace, freeze or kill_controller");
+    event.kind = event_kind->second;
     if (event.targets.empty()) reader.fail("who", "is missing");
     for (const std::string& target : event.targets)
-        if (!processes.count(target)) reader.fail("who", "'" + target + "' is not a process of this scenario");
+        if (!processes.count(target))
+            reader.fail("who",
+                        "found '" + target +
+                            "', expected an invoker or controller of this scenario, store, list, clients or receiver");
     if (event.kind == ScenarioEvent::Kind::command && event.command.empty()) reader.fail("say", "is missing");
     return event;
 }
@@ -91,9 +96,10 @@
 
 DeploymentRules::RequestClass class_rules(const json::object& settings) {
     DeploymentRules::RequestClass rules;
-    if (const auto* word = settings.if_contains("repeat"))
-        rules.idempotency = idempotency_words.at(std::string(word->as_string()));
-    if (const auto* word = settings.if_contains("reach")) rules.scope = scope_words.at(std::string(word->as_string()));
+    if (const auto* setting_value = settings.if_contains("repeat"))
+        rules.idempotency = idempotency_by_setting.at(std::string(setting_value->as_string()));
+    if (const auto* setting_value = settings.if_contains("reach"))
+        rules.scope = scope_by_setting.at(std::string(setting_value->as_string()));
     if (const auto* window = settings.if_contains("remembered")) rules.deduplication_window_us = duration_us(*window);
     return rules;
 }
@@ -132,7 +138,8 @@
     std::set<std::string> processes = {"store", "list", "clients", "receiver"};
     reader.read_array("invokers", [&](JsonnetReader& element) {
         const ScenarioInvoker& invoker = scenario.invokers.emplace_back(read_invoker(element));
-        if (!processes.insert(invoker.name).second) element.fail("name", "'" + invoker.name + "' comes twice");
+        if (!processes.insert(invoker.name).second)
+            element.fail("name", "'" + invoker.name + "' is already the name of another process");
     });
     for (int i = 1; i <= scenario.controllers; ++i) processes.insert("c" + std::to_string(i));
     reader.read_array("happenings",
--- a/emulator/scenario_reader.hpp
+++ b/emulator/scenario_reader.hpp
@@ -1,4 +1,4 @@
-/// Scenarios from their Jsonnet files (scenarios/*.jsonnet).
+/// Reads scenarios from Jsonnet files (scenarios/*.jsonnet).
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace plumkeel::emulator {
 
-/// Throws ConfigError with file and field.
+/// Throws ConfigError that names the file and the field.
 Scenario read_scenario(const std::string& file);
 
-/// What the controllers' settings in the scenario state is what the auditor checks.
+/// Sets the rules that the auditor checks from the scenario's controller settings and invokers.
 void derive_rules(Scenario& scenario);
 
 }  // namespace plumkeel::emulator
--- a/emulator/scenario_runner.cpp
+++ b/emulator/scenario_runner.cpp
@@ -17,12 +17,12 @@
 namespace fs = std::filesystem;
 namespace json = boost::json;
 
-constexpr Time start_time = 1s;                // until all processes are up and know each other
-constexpr Time time_after_deadlines = 1500ms;  // until the last answers have come
-constexpr Time shortest_deadline = 1s;
+constexpr Time startup_time = 1s;        // for the processes to start and connect to each other
+constexpr Time response_slack = 1500ms;  // for the last responses, after the clients' longest deadline
+constexpr Time min_client_deadline = 1s;
 
 Time longest_client_deadline(const Scenario& scenario) {
-    Time longest = shortest_deadline;
+    Time longest = min_client_deadline;
     const auto* classes = scenario.client_settings.if_contains("use_cases");
     if (!classes) return longest;
     for (const auto& [name, request_class] : classes->as_object())
@@ -34,10 +34,10 @@
 class ScenarioRunner {
 public:
     ScenarioRunner(const Scenario& scenario, const RunOptions& options)
-        : scenario_(scenario), options_(options), processes_(scenario, options.folder, options.programs) {}
+        : scenario_(scenario), options_(options), processes_(scenario, options.folder, options.program_folder) {}
 
     Verdict run() {
-        // A process that dies closes its pipe; a command to it then must not end this one.
+        // Writing a command to a process that has exited must not end this process.
         ::signal(SIGPIPE, SIG_IGN);
         processes_.start_all(loop_);
         loop_.spawn(run_timeline());
@@ -50,29 +50,29 @@
 
 private:
     net::Task<> run_timeline() {
-        co_await loop_.sleep(start_time);
-        const Time begin = loop_.now();
+        co_await loop_.sleep(startup_time);
+        const Time start = loop_.now();
         processes_.send_command("clients", "start");
         const auto steps =
             scenario_steps(scenario_.events, processes_, [this](const std::string& line) { print(line); });
         for (const ScenarioStep& step : steps) {
             if (step.at >= scenario_.length) break;
-            const Time elapsed = loop_.now() - begin;
+            const Time elapsed = loop_.now() - start;
             if (step.at > elapsed) co_await loop_.sleep(step.at - elapsed);
             step.run();
         }
-        const Time elapsed = loop_.now() - begin;
+        const Time elapsed = loop_.now() - start;
         if (elapsed < scenario_.length) co_await loop_.sleep(scenario_.length - elapsed);
         for (const ScenarioStep& step : steps)
-            if (step.at >= scenario_.length) step.run();  // what is undone later is undone now
+            if (step.at >= scenario_.length) step.run();  // remaining steps, such as undo commands, run at the end
         processes_.send_command("clients", "stop");
-        co_await loop_.sleep(longest_client_deadline(scenario_) + time_after_deadlines);
+        co_await loop_.sleep(longest_client_deadline(scenario_) + response_slack);
         loop_.stop();
     }
 
     void print(const std::string& line) {
         if (options_.quiet) return;
-        const double seconds = std::chrono::duration<double>(loop_.now() - start_time).count();
+        const double seconds = std::chrono::duration<double>(loop_.now() - startup_time).count();
         std::cout << fmt::format("{:7.3f} s  {}\n", seconds, line) << std::flush;
     }
 
@@ -86,7 +86,7 @@
         return auditor.judge();
     }
 
-    // A file's name is "<source>-<process>.jsonl". A killed process may leave half a line.
+    // The file's name is "<source>-<process>.jsonl". Skips the incomplete line that a killed process may leave.
     static void read_record(const fs::path& file, Auditor& auditor) {
         const std::string name = file.stem();
         const auto dash = name.find('-');
--- a/emulator/scenario_runner.hpp
+++ b/emulator/scenario_runner.hpp
@@ -1,4 +1,4 @@
-/// Runs a scenario with real processes on loopback sockets and has it judged by the auditor.
+/// Runs a scenario with real processes on loopback sockets, and checks their records with the auditor.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 namespace plumkeel::emulator {
 
 struct RunOptions {
-    std::string folder;    ///< for settings, records and logs; emptied first
-    std::string programs;  ///< the folder of plumkeel and plumkeel-emulator
-    bool quiet{};          ///< events are not printed
+    std::string folder;          ///< for settings, records and logs; emptied at the start
+    std::string program_folder;  ///< contains plumkeel and plumkeel-emulator
+    bool quiet{};                ///< don't print the events
 };
 
 /// Throws std::system_error where a process can't be started.
--- a/emulator/scenario_timeline.cpp
+++ b/emulator/scenario_timeline.cpp
@@ -11,7 +11,7 @@
         : processes_(processes), report_(std::move(report)) {}
 
     void add(const ScenarioEvent& event) {
-        Time replaced_at = event.at;
+        Time replacement_start = event.at;
         for (const std::string& target : event.targets) {
             switch (event.kind) {
                 case ScenarioEvent::Kind::command:
@@ -24,8 +24,8 @@
                     add_vanish(event, target);
                     break;
                 case ScenarioEvent::Kind::replace:
-                    add_replacement(replaced_at, event.drain, target);
-                    replaced_at += event.interval;
+                    add_replacement(replacement_start, event.drain, target);
+                    replacement_start += event.interval;
                     break;
                 case ScenarioEvent::Kind::kill_controller:
                     add_controller_kill(event, target);
@@ -44,11 +44,11 @@
     }
 
 private:
-    // The steps outlive this object: they hold a copy of the reporter.
+    // Copies the reporter into the step, because the steps outlive this builder.
     template <class Action>
-    void add_step(Time at, std::string line, Action action) {
-        steps_.push_back({at, [report = report_, line = std::move(line), action = std::move(action)] {
-                              if (!line.empty()) report(line);
+    void add_step(Time at, std::string description, Action action) {
+        steps_.push_back({at, [report = report_, description = std::move(description), action = std::move(action)] {
+                              if (!description.empty()) report(description);
                               action();
                           }});
     }
@@ -59,28 +59,29 @@
                      [&processes = processes_, target, command] { processes.send_command(target, command); });
         };
         send(event.at, event.command);
-        if (!event.undo.empty()) send(event.at + event.duration, event.undo);
+        if (!event.undo_command.empty()) send(event.at + event.duration, event.undo_command);
     }
 
     void add_crash(const ScenarioEvent& event, const std::string& target) {
-        add_step(event.at, target + " crashes", [&processes = processes_, target] { processes.kill_invoker(target); });
-        add_step(event.at + event.notice, "",
+        add_step(event.at, target + " is killed",
+                 [&processes = processes_, target] { processes.kill_invoker(target); });
+        add_step(event.at + event.removal_delay, "",
                  [&processes = processes_, target] { processes.send_command("list", "remove " + target); });
-        add_step(event.at + event.duration, target + " is back, cold",
+        add_step(event.at + event.duration, target + " restarts cold",
                  [&processes = processes_, target] { processes.start_invoker(target, true); });
     }
 
     void add_vanish(const ScenarioEvent& event, const std::string& target) {
-        add_step(event.at, target + " falls silent",
+        add_step(event.at, target + " stops responding",
                  [&processes = processes_, target] { processes.send_command(target, "silent on"); });
-        add_step(event.at + event.duration, target + " is back, cold", [&processes = processes_, target] {
+        add_step(event.at + event.duration, target + " restarts cold", [&processes = processes_, target] {
             processes.kill_invoker(target);
             processes.start_invoker(target, true);
         });
     }
 
     void add_replacement(Time at, Time drain, const std::string& target) {
-        add_step(at, target + " drains",
+        add_step(at, target + " starts draining",
                  [&processes = processes_, target] { processes.send_command("list", "drain " + target); });
         add_step(at + drain, ScenarioProcesses::successor_name(target) + " replaces " + target,
                  [&processes = processes_, target] { processes.replace_invoker(target); });
@@ -89,7 +90,7 @@
     void add_controller_kill(const ScenarioEvent& event, const std::string& target) {
         add_step(event.at, target + " is killed",
                  [&processes = processes_, target] { processes.kill_controller(target); });
-        add_step(event.at + event.duration, target + " is back",
+        add_step(event.at + event.duration, target + " restarts",
                  [&processes = processes_, target] { processes.start_controller(target); });
     }
 
--- a/emulator/scenario_timeline.hpp
+++ b/emulator/scenario_timeline.hpp
@@ -1,4 +1,4 @@
-/// The events of a scenario as steps in order of time.
+/// Converts the events of a scenario to steps in order of time.
 #pragma once
 
 #include <functional>
@@ -10,14 +10,14 @@
 namespace plumkeel::emulator {
 
 struct ScenarioStep {
-    Time at{};  // from the scenario's begin
+    Time at{};  // since the scenario's start
     std::function<void()> run;
 };
 
-/// Writes a line about a step when it is run.
+/// Called with a description of each step that runs.
 using StepReporter = std::function<void(const std::string&)>;
 
-/// `processes` must outlive the steps.
+/// Returns the steps sorted by time. `processes` must outlive them.
 std::vector<ScenarioStep> scenario_steps(const std::vector<ScenarioEvent>& events, ScenarioProcesses& processes,
                                          const StepReporter& report);
 
--- a/emulator/simulation_faults.cpp
+++ b/emulator/simulation_faults.cpp
@@ -12,9 +12,9 @@
 namespace json = boost::json;
 using Kind = ScenarioEvent::Kind;
 
-constexpr double default_duration_us = 10e6, default_share = 0.15, highest_replaced_share = 0.8;
-constexpr double longest_freeze_ms = 1000;
-constexpr Time shortest_duration = 1s;
+constexpr double default_duration_us = 10e6, default_invoker_share = 0.15, max_replaced_share = 0.8;
+constexpr double max_freeze_ms = 1000;
+constexpr Time min_duration = 1s;
 
 double number(const json::value& value) {
     return value.to_number<double>();
@@ -32,7 +32,7 @@
 struct SimulatedFault {
     const json::object& object;
     std::string kind;
-    double size, extra;  // their meaning depends on the kind
+    double size, extra;  // parameters whose meaning depends on the kind of fault
 
     explicit SimulatedFault(const json::object& fault)
         : object(fault), kind(fault.at("kind").as_string()), size(number_or("size", 1)), extra(number_or("extra", 1)) {}
@@ -56,29 +56,32 @@
     void import(const SimulatedFault& fault) {
         event_ = {};
         event_.at = scaled(fault.number_or("at", simulated_length_us_ / 3));
-        event_.duration = std::max(scaled(fault.number_or("len", default_duration_us)), shortest_duration);
+        event_.duration = std::max(scaled(fault.number_or("len", default_duration_us)), min_duration);
         if (!import_process_fault(fault) && !import_invoker_fault(fault) && !import_client_fault(fault) &&
             !import_service_fault(fault))
-            throw ConfigError(file_ + ": troubles: '" + fault.kind + "' cannot be emulated");
+            throw ConfigError(file_ + ": troubles: kind: found '" + fault.kind +
+                              "', expected crash, vanish, deploy, balancer_stall, pauses, ageing, answer_lost, "
+                              "tenant_burst, hot_key, heavy_tail, scan, retry_abuse, origin_slow or discovery_stale");
     }
 
 private:
     Time scaled(double simulated_us) const { return microseconds(simulated_us * time_scale_); }
 
-    // Takes the invokers in turn, so that faults of one kind do not all meet the same ones.
+    // Chooses the invokers in turn, so that successive faults affect different ones.
     std::vector<std::string> choose_invokers(double share) {
         const auto count = static_cast<int>(scenario_.invokers.size());
         std::vector<std::string> chosen;
-        for (int left = std::clamp(static_cast<int>(share * count + 0.5), 1, count - 2); left > 0; --left)
+        for (int remaining = std::clamp(static_cast<int>(share * count + 0.5), 1, count - 2); remaining > 0;
+             --remaining)
             chosen.push_back(scenario_.invokers[next_invoker_++ % scenario_.invokers.size()].name);
         return chosen;
     }
 
     std::vector<std::string> choose_invokers(const SimulatedFault& fault) {
         const auto* servers = fault.object.if_contains("on");
-        const bool named = servers && servers->is_array() && !servers->as_array().empty();
-        return choose_invokers(named ? static_cast<double>(servers->as_array().size()) / simulated_servers_
-                                     : default_share);
+        const bool lists_servers = servers && servers->is_array() && !servers->as_array().empty();
+        return choose_invokers(lists_servers ? static_cast<double>(servers->as_array().size()) / simulated_servers_
+                                             : default_invoker_share);
     }
 
     void add(Kind kind, std::vector<std::string> targets) {
@@ -89,13 +92,13 @@
 
     void add_command(std::vector<std::string> targets, std::string command, std::string undo) {
         event_.command = std::move(command);
-        event_.undo = std::move(undo);
+        event_.undo_command = std::move(undo);
         add(Kind::command, std::move(targets));
     }
 
     bool import_process_fault(const SimulatedFault& fault) {
         if (fault.kind == "crash" || fault.kind == "vanish") {
-            event_.notice = 1s;
+            event_.removal_delay = 1s;
             add(fault.kind == "crash" ? Kind::crash : Kind::vanish, choose_invokers(fault));
         } else if (fault.kind == "deploy") {
             import_deploy(fault);
@@ -108,10 +111,10 @@
     }
 
     void import_deploy(const SimulatedFault& fault) {
-        double stopped = 0;
+        double stopped_servers = 0;
         for (const auto& step : fault.object.at("steps").as_array())
-            stopped += static_cast<double>(step.as_object().at("stop").as_array().size());
-        auto targets = choose_invokers(std::min(stopped / simulated_servers_, highest_replaced_share));
+            stopped_servers += static_cast<double>(step.as_object().at("stop").as_array().size());
+        auto targets = choose_invokers(std::min(stopped_servers / simulated_servers_, max_replaced_share));
         event_.interval = event_.duration / static_cast<int>(targets.size());
         event_.drain = 1s;
         add(Kind::replace, std::move(targets));
@@ -119,7 +122,7 @@
 
     void import_freezes(const SimulatedFault& fault) {
         const Time end = event_.at + event_.duration;
-        event_.duration = microseconds(std::min(fault.size, longest_freeze_ms) * 1000);
+        event_.duration = microseconds(std::min(fault.size, max_freeze_ms) * 1000);
         const Time period = std::max(microseconds(fault.extra * 1e6), 2 * event_.duration);
         for (; event_.at < end; event_.at += period) add(Kind::freeze, {"c1"});
     }
@@ -141,14 +144,14 @@
         return true;
     }
 
-    // Invokers that become ever slower are restarted in the end.
+    // The invokers become slower and slower; at the end of the fault they are killed and restarted.
     void import_ageing(const SimulatedFault& fault) {
         const auto targets = choose_invokers(fault);
         const double seconds = std::chrono::duration<double>(event_.duration).count();
         add_command(targets, "age per_s=" + text(fault.size / std::max(1.0, seconds)), "age per_s=0");
         event_.at += event_.duration;
         event_.duration = 2s;
-        event_.notice = 1s;
+        event_.removal_delay = 1s;
         add(Kind::crash, targets);
     }
 
@@ -193,7 +196,7 @@
     Scenario& scenario_;
     const double simulated_length_us_, time_scale_, simulated_servers_;
     std::size_t next_invoker_{};
-    ScenarioEvent event_;  // under construction
+    ScenarioEvent event_;  // the event that is being built
 };
 
 }  // namespace
--- a/emulator/simulation_faults.hpp
+++ b/emulator/simulation_faults.hpp
@@ -1,4 +1,4 @@
-/// The faults of a simulator's file as events of a scenario.
+/// Converts the faults of a simulator file to events of a scenario.
 #pragma once
 
 #include <boost/json.hpp>
@@ -8,8 +8,8 @@
 
 namespace plumkeel::emulator {
 
-/// Appends them to the events of `scenario`, whose invokers and length are set. `file` is named in errors. Throws
-/// ConfigError where a kind of fault can't be emulated.
+/// Appends the faults of `simulation` to the events of `scenario`, whose invokers and length must be set. `file` is
+/// only used in error messages. Throws ConfigError for a kind of fault that can't be emulated.
 void import_faults(const boost::json::object& simulation, const std::string& file, Scenario& scenario);
 
 }  // namespace plumkeel::emulator
--- a/emulator/simulation_import.hpp
+++ b/emulator/simulation_import.hpp
@@ -1,4 +1,4 @@
-/// Scenarios from the load balancing simulator's files.
+/// Creates scenarios from files of the load balancing simulator.
 #pragma once
 
 #include <string>
@@ -7,9 +7,9 @@
 
 namespace plumkeel::emulator {
 
-/// A file of the simulator's draw command as a scenario, scaled down: the kinds of fault, their times and shares are
-/// kept; the fleet, the controllers, the traffic and the length are made small. Throws ConfigError and
-/// boost::system::system_error.
+/// Converts a file of the simulator's draw command to a smaller scenario: keeps the kinds of faults, their relative
+/// times and their shares of the invokers, and reduces the numbers of invokers and controllers, the traffic and the
+/// length. Throws ConfigError and boost::system::system_error.
 Scenario import_simulation(const std::string& file, Time length);
 
 }  // namespace plumkeel::emulator
