--- a/scale/client_stub.cpp
+++ b/scale/client_stub.cpp
@@ -56,7 +56,7 @@
     least_loaded->sent_at_by_id[fastcgi_id] = loop_.now();
     const std::string request_id = bytes::hex16(++sent_ << 8 | 1);
     least_loaded->write_queue->send(
-        bytes::message(fastcgi_id, bytes::job_fields(request_id, function, request_budget_ms), "ask"));
+        bytes::message(fastcgi_id, bytes::request_fields(request_id, function, request_budget_ms), "ask"));
 }
 
 void ClientStub::close() {
--- a/scale/discovery_stub.cpp
+++ b/scale/discovery_stub.cpp
@@ -16,8 +16,8 @@
 
 std::string make_changes_frame(std::uint64_t event_number, const std::string& payload) {
     const std::size_t frame_body_bytes = frame_event_number_bytes + sizeof changes_kind + payload.size();
-    return bytes::big(frame_body_bytes, frame_length_bytes) + bytes::big(event_number, frame_event_number_bytes) +
-           changes_kind + payload;
+    return bytes::big_endian(frame_body_bytes, frame_length_bytes) +
+           bytes::big_endian(event_number, frame_event_number_bytes) + changes_kind + payload;
 }
 
 }  // namespace
--- a/scale/watcher_stub.cpp
+++ b/scale/watcher_stub.cpp
@@ -35,7 +35,7 @@
     for (int failures = 0;; ++failures) {
         auto [error, stream] = co_await loop_.connect(discovery_, connect_timeout);
         if (!error) {
-            const std::string known_event_bytes = bytes::big(last_event_number_, frame_event_number_bytes);
+            const std::string known_event_bytes = bytes::big_endian(last_event_number_, frame_event_number_bytes);
             const auto request_buffer = net::asio::const_buffer(known_event_bytes.data(), known_event_bytes.size());
             stream->write_now({&request_buffer, 1});
             failures = 0;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -155,17 +155,17 @@
         {InvokerBehaviour::respond, InvokerBehaviour::fail, InvokerBehaviour::reject, InvokerBehaviour::respond});
     add_invoker({InvokerBehaviour::reject, InvokerBehaviour::respond});
     ScriptedClient& accepted_client =
-        add_client(20ms, {{0ms, message(1, job_fields(hex16(0xa1), hex16(0xf)), "work")},
-                          {300ms, message(2, job_fields(hex16(0xa2), hex16(0xe)), "more work")},
-                          {600ms, message(3, job_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
-    Fields unknown_class = job_fields(hex16(0xb1), hex16(0xf));
+        add_client(20ms, {{0ms, message(1, request_fields(hex16(0xa1), hex16(0xf)), "work")},
+                          {300ms, message(2, request_fields(hex16(0xa2), hex16(0xe)), "more work")},
+                          {600ms, message(3, request_fields(hex16(0xa3), hex16(0xd), 400), "hasty work")}});
+    Fields unknown_class = request_fields(hex16(0xb1), hex16(0xf));
     unknown_class[0].second = "/invoke/nothing";
-    Fields no_remaining_time = job_fields(hex16(0xb2), hex16(0xf), 0);
-    Fields malformed_time = job_fields(hex16(0xb3), hex16(0xf));
+    Fields no_remaining_time = request_fields(hex16(0xb2), hex16(0xf), 0);
+    Fields malformed_time = request_fields(hex16(0xb3), hex16(0xf));
     malformed_time[2].second = "soon";
-    Fields health_check = job_fields(hex16(0xb4), hex16(0xf));
+    Fields health_check = request_fields(hex16(0xb4), hex16(0xf));
     health_check[0].second = "/_health";
-    Fields unknown_path = job_fields(hex16(0xb5), hex16(0xf));
+    Fields unknown_path = request_fields(hex16(0xb5), hex16(0xf));
     unknown_path[0].second = "/other";
     ScriptedClient& rejected_client =
         add_client(40ms, {{0ms, message(1, unknown_class, "x")},
@@ -173,7 +173,7 @@
                           {200ms, message(3, malformed_time, "x")},
                           {300ms, message(4, health_check)},
                           {400ms, message(5, unknown_path, "x")},
-                          {500ms, message(6, job_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
+                          {500ms, message(6, request_fields(hex16(0xb6), hex16(0xf)), std::string(200'000, 'b'))},
                           {700ms, record(9, 0, pair("FCGI_MAX_CONNS", "") + pair("FCGI_MPXS_CONNS", ""))},
                           {800ms, record(33, 0, "")}});
     loop.run(4s);
@@ -193,7 +193,8 @@
 TEST_F(GoldenPlatform, ResponseWithoutInvokers) {
     open();
     ScriptedDiscovery discovery_server(loop, "10.9.0.1");
-    ScriptedClient& client = add_client(20ms, {{0ms, message(1, job_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
+    ScriptedClient& client =
+        add_client(20ms, {{0ms, message(1, request_fields(hex16(0xc1), hex16(0xf), 700), "work")}});
     loop.run(3s);
     expect_golden("answers_without_invokers.txt", client.received);
 }
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -20,8 +20,8 @@
         for (int request_number = 1; request_number <= 20; ++request_number)
             texts.emplace_back(100ms * request_number,
                                message(request_number,
-                                       job_fields(hex16(static_cast<std::uint64_t>(100 * i + request_number)),
-                                                  hex16(static_cast<std::uint64_t>(request_number))),
+                                       request_fields(hex16(static_cast<std::uint64_t>(100 * i + request_number)),
+                                                      hex16(static_cast<std::uint64_t>(request_number))),
                                        std::string(3000, 'b')));
         scripted_clients.push_back(&add_client(500ms, texts));
     }
@@ -38,7 +38,7 @@
         const auto responses = answers(client->received);
         ASSERT_TRUE(responses);
         for (int request_number = 1; request_number <= 20; ++request_number) {
-            answered_requests += responses->count(request_number) && responses->at(request_number).times == 1;
+            answered_requests += responses->count(request_number) && responses->at(request_number).end_records == 1;
             succeeded_requests += responses->count(request_number) && responses->at(request_number).status() == "200";
         }
     }
@@ -54,8 +54,8 @@
     add_both_invokers();
     start(config());
     wait_until_ready();
-    ScriptedClient& scripted_client = add_client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& scripted_client = add_client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                                         {500ms, message(2, request_fields(hex16(2), hex16(1)))}});
     at(950ms, [&] { fault_plan.fail(Call::receive, 1'000'000, {ENOMEM}); });
     at(1100ms, [&] { fault_plan.heal(); });
     run(2500ms);
@@ -71,7 +71,8 @@
     wait_until_ready();
     fault_plan.cut_short(Call::receive, 1'000'000);
     fault_plan.cut_short(Call::send, 1'000'000);
-    ScriptedClient& scripted_client = add_client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)), "work")}});
+    ScriptedClient& scripted_client =
+        add_client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)), "work")}});
     run(2500ms);
     EXPECT_GT(fault_plan.rule(Call::receive).cut_short, 0u);
     EXPECT_EQ(scripted_client.response(1).status(), "200");
@@ -86,11 +87,11 @@
     wait_until_ready();
     std::vector<ScriptedClient*> idle_clients, new_clients;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        idle_clients.push_back(&add_client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+        idle_clients.push_back(&add_client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     at(900ms, [&] { fault_plan.fail(Call::accept, 500'000, {ENFILE, ENOBUFS, ENOMEM, ECONNABORTED}); });
     for (std::uint64_t i = 11; i <= 50; ++i)
         new_clients.push_back(
-            &add_client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+            &add_client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(fault_plan.rule(Call::accept).failed, 10u);
     for (ScriptedClient* client : idle_clients) {
@@ -111,11 +112,11 @@
     start(config());
     wait_until_ready();
     std::vector<ScriptedClient*> new_clients;
-    for (std::uint64_t i = 1; i <= 10; ++i) add_client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}});
+    for (std::uint64_t i = 1; i <= 10; ++i) add_client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}});
     at(900ms, [&] { fault_plan.fail(Call::accept, 500'000, {EMFILE}); });
     for (std::uint64_t i = 11; i <= 50; ++i)
         new_clients.push_back(
-            &add_client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+            &add_client(1s + 50ms * static_cast<int>(i - 10), {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4500ms);
     EXPECT_GT(fault_plan.rule(Call::accept).failed, 10u);
     for (ScriptedClient* client : new_clients) {
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -32,11 +32,11 @@
     add_both_invokers();
     start(replaced(config(), R"("sockets":256)", R"("sockets":64)"));  // allows 32 client connections
     wait_until_ready();
-    const std::string complete = message(1, job_fields(hex16(99), hex16(1)), std::string(9000, 'h'));
+    const std::string complete = message(1, request_fields(hex16(99), hex16(1)), std::string(9000, 'h'));
     for (int i = 0; i < 60; ++i) add_client(500ms, {{0ms, complete.substr(0, complete.size() - 8)}});
     std::vector<ScriptedClient*> complete_clients;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        complete_clients.push_back(&add_client(900ms, {{0ms, message(1, job_fields(hex16(i), hex16(i)))}}));
+        complete_clients.push_back(&add_client(900ms, {{0ms, message(1, request_fields(hex16(i), hex16(i)))}}));
     run(4s);
     for (ScriptedClient* client : complete_clients) {
         EXPECT_EQ(client->response(1).status(), "200");
@@ -56,8 +56,9 @@
     start(text);
     wait_until_ready();
     for (std::uint64_t i = 1; i <= 44; ++i)
-        add_client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(i), 1500))}});
-    ScriptedClient& waiting_client = add_client(700ms, {{0ms, message(1, job_fields(hex16(100), hex16(100), 2900))}});
+        add_client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(i), 1500))}});
+    ScriptedClient& waiting_client =
+        add_client(700ms, {{0ms, message(1, request_fields(hex16(100), hex16(100), 2900))}});
     at(1900ms, [&] {
         for (const auto& invoker : invokers) invoker->script = {InvokerBehaviour::respond};
     });
--- a/tests/process_pause_test.cpp
+++ b/tests/process_pause_test.cpp
@@ -17,17 +17,17 @@
     add_both_invokers();
     start(config());
     wait_until_ready();
-    ScriptedClient& idle_client = add_client(
-        500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}, {9s, message(2, job_fields(hex16(2), hex16(1)))}});
-    ScriptedClient& active_client = add_client(8s, {{400ms, message(1, job_fields(hex16(3), hex16(1), 2500))},
-                                                    {1s, message(2, job_fields(hex16(4), hex16(1), 600))}});
+    ScriptedClient& idle_client = add_client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                                     {9s, message(2, request_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& active_client = add_client(8s, {{400ms, message(1, request_fields(hex16(3), hex16(1), 2500))},
+                                                    {1s, message(2, request_fields(hex16(4), hex16(1), 600))}});
     at(6300ms, [&] { process->signal(SIGSTOP); });
     at(10s, [&] { process->signal(SIGCONT); });
     run(14s);
-    EXPECT_EQ(idle_client.response(2).times, 1);
+    EXPECT_EQ(idle_client.response(2).end_records, 1);
     EXPECT_EQ(idle_client.response(2).status(), "200");
-    EXPECT_EQ(active_client.response(1).times, 1);
-    EXPECT_EQ(active_client.response(2).times, 1);
+    EXPECT_EQ(active_client.response(1).end_records, 1);
+    EXPECT_EQ(active_client.response(2).end_records, 1);
     EXPECT_EQ(active_client.response(2).status(), "503");  // the request's deadline passed during the pause
     for (const auto& invoker : invokers)
         for (const std::string& line : invoker->run_lines) {
@@ -46,20 +46,21 @@
     start(config());
     wait_until_ready();
     // These requests establish the client connections before the pause.
-    ScriptedClient& staying_client = add_client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))}});
-    ScriptedClient& leaving_client = add_client(500ms, {{0ms, message(1, job_fields(hex16(2), hex16(1)))}});
+    ScriptedClient& staying_client = add_client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))}});
+    ScriptedClient& leaving_client = add_client(500ms, {{0ms, message(1, request_fields(hex16(2), hex16(1)))}});
     const std::string large_body(15'000, 'b');
     at(990ms, [&] { fault_plan.cut_short(Call::receive, 1'000'000); });
     at(1s, [&] { process->signal(SIGSTOP); });
     at(1050ms, [&] {
-        ScriptedInvoker::write(staying_client.stream, message(2, job_fields(hex16(3), hex16(1), 2500), large_body));
-        ScriptedInvoker::write(leaving_client.stream, message(2, job_fields(hex16(4), hex16(1), 2500), large_body) +
-                                                          message(3, job_fields(hex16(5), hex16(1), 2500), large_body));
+        ScriptedInvoker::write(staying_client.stream, message(2, request_fields(hex16(3), hex16(1), 2500), large_body));
+        ScriptedInvoker::write(leaving_client.stream,
+                               message(2, request_fields(hex16(4), hex16(1), 2500), large_body) +
+                                   message(3, request_fields(hex16(5), hex16(1), 2500), large_body));
     });
     at(1100ms, [&] { leaving_client.stream->close(); });
     at(2s, [&] { process->signal(SIGCONT); });
     run(6s);
-    EXPECT_EQ(staying_client.response(2).times, 1);
+    EXPECT_EQ(staying_client.response(2).end_records, 1);
     for (const auto& invoker : invokers)
         for (std::size_t i = 0; i < invoker->run_lines.size(); ++i) {
             EXPECT_NE(invoker->runs[i].second, hex16(4));
@@ -78,7 +79,7 @@
     wait_until_ready();
     std::vector<ScriptedClient*> scripted_clients;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        scripted_clients.push_back(&add_client(500ms, {{0ms, message(1, job_fields(hex16(i), hex16(1)))}}));
+        scripted_clients.push_back(&add_client(500ms, {{0ms, message(1, request_fields(hex16(i), hex16(1)))}}));
     at(1s, [&] {
         process->signal(SIGSTOP);
         fault_plan.fail(Call::receive, 1'000'000, {ENOMEM});
@@ -86,13 +87,13 @@
     at(1050ms, [&] {
         for (std::uint64_t i = 1; i <= 10; ++i)
             ScriptedInvoker::write(scripted_clients[i - 1]->stream,
-                                   message(2, job_fields(hex16(100 + i), hex16(1), 2500)));
+                                   message(2, request_fields(hex16(100 + i), hex16(1), 2500)));
     });
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { fault_plan.heal(); });
     run(6s);
     EXPECT_GE(expect_remaining_time_since(1050ms, 2500ms), 5u);
-    for (ScriptedClient* client : scripted_clients) EXPECT_EQ(client->response(2).times, 1);
+    for (ScriptedClient* client : scripted_clients) EXPECT_EQ(client->response(2).end_records, 1);
 }
 
 // The first calls of accept(2) after a pause fail: remaining times still count from the arrival of the connections.
@@ -106,12 +107,12 @@
     });
     std::vector<ScriptedClient*> scripted_clients;
     for (std::uint64_t i = 1; i <= 10; ++i)
-        scripted_clients.push_back(&add_client(1050ms, {{0ms, message(1, job_fields(hex16(i), hex16(1), 2500))}}));
+        scripted_clients.push_back(&add_client(1050ms, {{0ms, message(1, request_fields(hex16(i), hex16(1), 2500))}}));
     at(1900ms, [&] { process->signal(SIGCONT); });
     at(1910ms, [&] { fault_plan.heal(); });
     run(6s);
     EXPECT_GE(expect_remaining_time_since(1050ms, 2500ms), 5u);
-    for (ScriptedClient* client : scripted_clients) EXPECT_EQ(client->response(1).times, 1);
+    for (ScriptedClient* client : scripted_clients) EXPECT_EQ(client->response(1).end_records, 1);
 }
 
 // send(2) fails with ENOBUFS before and shortly after a pause, so that a response waits: its client must not be
@@ -121,16 +122,16 @@
     for (const auto& invoker : invokers) invoker->service_time = 100ms;
     start(config());
     wait_until_ready();
-    ScriptedClient& scripted_client = add_client(500ms, {{0ms, message(1, job_fields(hex16(1), hex16(1)))},
-                                                         {500ms, message(2, job_fields(hex16(2), hex16(1)))},
-                                                         {2s, message(3, job_fields(hex16(3), hex16(1), 2900))}});
+    ScriptedClient& scripted_client = add_client(500ms, {{0ms, message(1, request_fields(hex16(1), hex16(1)))},
+                                                         {500ms, message(2, request_fields(hex16(2), hex16(1)))},
+                                                         {2s, message(3, request_fields(hex16(3), hex16(1), 2900))}});
     at(1050ms, [&] { fault_plan.fail(Call::send, 1'000'000, {ENOBUFS}); });
     at(1300ms, [&] { process->signal(SIGSTOP); });
     at(3500ms, [&] { process->signal(SIGCONT); });
     at(3550ms, [&] { fault_plan.heal(); });
     run(6s);
-    EXPECT_EQ(scripted_client.response(2).times, 1);
-    EXPECT_EQ(scripted_client.response(3).times, 1);
+    EXPECT_EQ(scripted_client.response(2).end_records, 1);
+    EXPECT_EQ(scripted_client.response(3).end_records, 1);
 }
 
 // Invokers close their idle connections just when a request arrives that must not run twice: it must be sent on a new
@@ -145,7 +146,7 @@
     for (std::uint64_t i = 1; i <= 30; ++i)
         at(600ms + 100ms * static_cast<int>(i), [&, i] {
             process->signal(SIGSTOP);
-            ScriptedInvoker::write(scripted_clients[i - 1]->stream, message(1, job_fields(hex16(i), hex16(i % 3))));
+            ScriptedInvoker::write(scripted_clients[i - 1]->stream, message(1, request_fields(hex16(i), hex16(i % 3))));
             for (const auto& invoker : invokers)
                 for (const auto& stream : std::exchange(invoker->streams, {})) stream->close();
             loop.call_at(loop.now() + 5ms, [&] { process->signal(SIGCONT); });
