--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -117,7 +117,7 @@
         invokers_.begin(), invokers_.end(), [](const auto& invoker) { return invoker->listed && !invoker->draining; }));
 }
 
-bytes::EndpointEntry Fleet::discovery_row(const InvokerProcess& invoker, int state) const {
+bytes::EndpointEntry Fleet::discovery_entry(const InvokerProcess& invoker, int state) const {
     return {invoker.number + 1, loopback_host(HostGroup::proxies, invoker.number), proxy_port, state,
             static_cast<std::uint64_t>(invoker.started_unix_ms)};
 }
@@ -153,7 +153,7 @@
     } else {
         invoker.draining = true;
         context_.history.invokers[invoker.number].drained_us = announcement_received_us();
-        announce(discovery_row(invoker, state_draining));
+        announce(discovery_entry(invoker, state_draining));
         context_.call_after(drain_duration, [this, &invoker] {
             unlist(invoker);
             context_.call_after(stop_delay_after_unlisting, [&invoker] { invoker.process.reset(); });
@@ -166,7 +166,7 @@
     if (!std::exchange(invoker.listed, false)) return;
     std::int64_t& drained_us = context_.history.invokers[invoker.number].drained_us;
     drained_us = std::min(drained_us, announcement_received_us());
-    announce(discovery_row(invoker, state_removed));
+    announce(discovery_entry(invoker, state_removed));
 }
 
 void Fleet::add_invoker() {
@@ -177,7 +177,7 @@
     invoker.started_unix_ms = unix_ms();
     context_.history.invokers[invoker.number] = {invoker.number, now_us(), never};
     invoker.listed = true;
-    announce(discovery_row(invoker, state_up));
+    announce(discovery_entry(invoker, state_up));
 }
 
 void Fleet::pause(InvokerProcess& invoker, Time duration) {
--- a/soak/fleet.hpp
+++ b/soak/fleet.hpp
@@ -54,7 +54,7 @@
     void launch(InvokerProcess& invoker);
     void add_invoker();
     void unlist(InvokerProcess& invoker);
-    bytes::EndpointEntry discovery_row(const InvokerProcess& invoker, int state) const;
+    bytes::EndpointEntry discovery_entry(const InvokerProcess& invoker, int state) const;
     void announce(const bytes::EndpointEntry& row);
     std::int64_t announcement_received_us() const;
 
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -14,7 +14,8 @@
 
 using Time = std::chrono::microseconds;
 
-/// The limits, read from the settings at start.
+/// Limits on connections, open requests, the sizes of their parts, memory, and the time that clients may take. They are
+/// read from the settings at start.
 struct AdmissionLimits {
     std::size_t max_connections = 10'000;
     std::size_t max_requests = 10'000;
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -43,7 +43,8 @@
     /// Limit for all invokers together; an invoker may have one connection even if it is reached.
     std::size_t max_total_connections = 100'000;
     std::size_t max_attempts_per_connection = 1;  ///< Above 1 if the protocol multiplexes.
-    std::size_t max_queued = 1024;  ///< Attempts waiting for a connection; further ones end as never sent.
+    /// Limit on the attempts that wait for a connection to one invoker; further ones end with the outcome `never_sent`.
+    std::size_t max_queued = 1024;
     Time connect_timeout = std::chrono::milliseconds(250);
     Time idle_timeout = std::chrono::seconds(15);
     Time health_check_timeout = std::chrono::milliseconds(500);
--- a/src/config/sections.hpp
+++ b/src/config/sections.hpp
@@ -10,18 +10,18 @@
 
 namespace plumkeel::config_sections {
 
-// scheduler_sections.cpp
+// Defined in scheduler_sections.cpp:
 void read_safety_rules(JsonnetReader& in, SafetyRules& rules);
 void read_capabilities(JsonnetReader& in, Capabilities& capabilities);
 void read_request_class(const std::string& name, JsonnetReader& in, NamedRequestClass& request_class);
 
-// connection_sections.cpp
+// Defined in connection_sections.cpp:
 void check_address(JsonnetReader& in, std::string_view key, const std::string& address);
 void read_admission(JsonnetReader& in, AdmissionLimits& limits);
 void read_endpoint_source(JsonnetReader& in, EndpointSource& source);
 void read_pool(JsonnetReader& in, PoolConfig& pool);
 
-// telemetry_sections.cpp
+// Defined in telemetry_sections.cpp:
 void read_log(JsonnetReader& in, LogConfig& log);
 void read_trace(JsonnetReader& in, trace::RecorderConfig& trace);
 void read_metrics(JsonnetReader& in, MetricsSettings& metrics);
--- a/src/fastcgi/connection.cpp
+++ b/src/fastcgi/connection.cpp
@@ -77,7 +77,7 @@
     gateway_.admission().release(std::exchange(reserved_bytes_, 0));
     write_queue_->abandon();
     stream_->close();
-    server_.connection_closed(self);
+    server_.on_connection_closed(self);
 }
 
 // Bounds the memory for rejections that a client does not read; the limit on open requests bounds other responses.
--- a/src/fastcgi/request_fields.hpp
+++ b/src/fastcgi/request_fields.hpp
@@ -12,7 +12,7 @@
     std::string_view path, request_id, function, tenant, content_length, idempotency_key;
     std::string_view remaining_ms;  // time until the client's deadline
     std::string_view tags;          // hints such as "memory_mb:512;lanes:2"
-    std::string_view client_retry;  // "0" or "1"
+    std::string_view client_retry;  // "1" if the client marked the request as a repeated one, else "0"
 };
 
 /// Parses a request's parameters; empty if the name-value pairs are malformed or a known name appears twice.
--- a/src/fastcgi/server.cpp
+++ b/src/fastcgi/server.cpp
@@ -164,7 +164,7 @@
     gateway_.loop().call_at(gateway_.loop().now(), std::exchange(on_drained_, nullptr));
 }
 
-void Server::connection_closed(const std::shared_ptr<Connection>& connection) {
+void Server::on_connection_closed(const std::shared_ptr<Connection>& connection) {
     if (connections_.erase(connection->id())) gateway_.admission().release_connection();
     connection_closed_.notify();
 }
--- a/src/fastcgi/server.hpp
+++ b/src/fastcgi/server.hpp
@@ -32,7 +32,7 @@
 
     gateway::Gateway& gateway() { return gateway_; }
     const Paths& paths() const { return paths_; }
-    void connection_closed(const std::shared_ptr<Connection>& connection);
+    void on_connection_closed(const std::shared_ptr<Connection>& connection);
     /// Client-assigned ids of the open requests of all connections: another request with an open id is rejected.
     std::unordered_set<std::string>& open_request_ids() { return open_request_ids_; }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -53,8 +53,8 @@
     /// Cancels a request whose client has disconnected. Its sink is released and not called again.
     void client_disconnected(ActiveRequest& request);
     /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
-    /// of the process. `lateness`: a delay that the caller has measured itself.
-    Time max_unread_time(Time lateness = {}) const { return stall_monitor_.max_unread_time(lateness); }
+    /// of the process. `callback_delay`: how late the event loop ran the caller's callback, if the caller measured it.
+    Time max_unread_time(Time callback_delay = {}) const { return stall_monitor_.max_unread_time(callback_delay); }
 
     /// Applies a new list of invokers. `complete`: `changed` is the whole list, and all other invokers are removed.
     void update_endpoints(const std::vector<Endpoint>& changed, bool complete);
--- a/src/gateway/stall_monitor.cpp
+++ b/src/gateway/stall_monitor.cpp
@@ -24,11 +24,11 @@
     timer_ = loop_.call_at(loop_.now() + check_interval, [this] { run(); });
 }
 
-Time StallMonitor::max_unread_time(Time lateness) const {
-    lateness = std::max(lateness, loop_.lag());
-    if (lateness <= net::EventLoop::stall_threshold) return {};
+Time StallMonitor::max_unread_time(Time callback_delay) const {
+    callback_delay = std::max(callback_delay, loop_.lag());
+    if (callback_delay <= net::EventLoop::stall_threshold) return {};
     // The pause may have begun up to one interval before the time when the late timer was due.
-    return lateness + (is_running() ? check_interval : idle_timer_interval);
+    return callback_delay + (is_running() ? check_interval : idle_timer_interval);
 }
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/stall_monitor.hpp
+++ b/src/gateway/stall_monitor.hpp
@@ -17,8 +17,8 @@
 
     void request_received();
     /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
-    /// of the process. `lateness`: a delay that the caller has measured itself.
-    Time max_unread_time(Time lateness) const;
+    /// of the process. `callback_delay`: how late the event loop ran the caller's callback, if the caller measured it.
+    Time max_unread_time(Time callback_delay) const;
 
 private:
     bool is_running() const { return timer_.second != 0; }
--- a/src/metrics/heavy_hitters.cpp
+++ b/src/metrics/heavy_hitters.cpp
@@ -8,7 +8,7 @@
 constexpr double decay_factor = 0.8;       // applied to all counts at each update of the reported names
 constexpr double replacement_ratio = 1.3;  // a new name must be this much more frequent than the name that it replaces
 constexpr double min_reported_count = 3;   // least count of a name that becomes reported
-constexpr std::size_t replacement_divisor = 8;  // an update replaces at most an eighth of the reported names
+constexpr std::size_t max_replaced_fraction_divisor = 8;  // an update replaces at most 1/8 of the reported names
 
 }  // namespace
 
@@ -55,7 +55,7 @@
 HeavyHitters::Changes HeavyHitters::update_reported_names() {
     const Ranking candidates = rank_names(false);
     Ranking reported_ranking = rank_names(true);
-    std::size_t remaining_replacements = std::max<std::size_t>(1, max_reported_ / replacement_divisor);
+    std::size_t remaining_replacements = std::max<std::size_t>(1, max_reported_ / max_replaced_fraction_divisor);
     Changes changes;
     for (const auto& [count, name] : candidates) {
         if (count < min_reported_count) break;
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -54,7 +54,7 @@
     virtual Task<ConnectResult> connect(Address to, Time timeout) = 0;
 
     /// Listens at the address; port 0 chooses a free port.
-    virtual ListenResult listen(const Address& at) = 0;
+    virtual ListenResult listen(const Address& listen_address) = 0;
 
     /// Runs the callback at `when`, or in the next iteration if that time has been reached. Timers run in the order of
     /// their due time and then of their creation.
--- a/src/net/simulated_event_loop.cpp
+++ b/src/net/simulated_event_loop.cpp
@@ -32,8 +32,8 @@
     co_return ConnectResult{{}, std::make_shared<SimulatedStream>(*this, buffer_bytes, to_client, to_server)};
 }
 
-EventLoop::ListenResult SimulatedEventLoop::listen(const Address& at) {
-    Address address = at;
+EventLoop::ListenResult SimulatedEventLoop::listen(const Address& listen_address) {
+    Address address = listen_address;
     if (address.port == 0) address.port = ++last_ephemeral_port_;
     if (listeners_.count(address.to_string())) return {asio::error::address_in_use, nullptr};
     auto listener = std::make_shared<SimulatedListener>(*this, address);
--- a/src/net/simulated_event_loop.hpp
+++ b/src/net/simulated_event_loop.hpp
@@ -30,7 +30,7 @@
 
     /// Connecting takes two latencies. The timeout has no effect: without a listener the connection is refused.
     Task<ConnectResult> connect(Address to, Time timeout) override;
-    ListenResult listen(const Address& at) override;
+    ListenResult listen(const Address& listen_address) override;
 
     /// Runs until virtual time `end_time`, or until there is neither a timer nor a coroutine that can continue.
     void run(Time end_time = Time::max());
--- a/src/net/socket_event_loop.cpp
+++ b/src/net/socket_event_loop.cpp
@@ -62,11 +62,11 @@
     co_return ConnectResult{{}, std::make_shared<SocketStream>(*this, std::move(*socket))};
 }
 
-EventLoop::ListenResult SocketEventLoop::listen(const Address& at) {
+EventLoop::ListenResult SocketEventLoop::listen(const Address& listen_address) {
     ListenResult result;
-    const auto address = asio::ip::make_address(at.host, result.error);
+    const auto address = asio::ip::make_address(listen_address.host, result.error);
     if (result.error) return result;
-    const tcp::endpoint endpoint(address, at.port);
+    const tcp::endpoint endpoint(address, listen_address.port);
     tcp::acceptor acceptor(context_);
     acceptor.open(endpoint.protocol(), result.error);
     // SO_REUSEADDR lets a restarted process bind while connections of its predecessor are in TIME_WAIT.
--- a/src/net/socket_event_loop.hpp
+++ b/src/net/socket_event_loop.hpp
@@ -27,7 +27,7 @@
     Time wall_clock() const override;
     asio::any_io_executor executor() override { return context_.get_executor(); }
     Task<ConnectResult> connect(Address to, Time timeout) override;
-    ListenResult listen(const Address& at) override;
+    ListenResult listen(const Address& listen_address) override;
 
     /// Runs until stop() is called or no work is left. May be called again after a stop.
     void run();
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -25,7 +25,9 @@
     invoker_protocol::ResponseOptions response_options;
 };
 
-/// Throws `platform_settings::SettingsError`, naming file and field.
+/// Reads and checks the configuration file. Throws `platform_settings::SettingsError` if the file can't be read, is not
+/// a JSON object, or has a missing or invalid field; the message names the file, and the field
+/// if one is at fault.
 PlatformConfig load_platform_config(const std::string& file);
 
 }  // namespace plumkeel::platform
--- a/src/remote_write/export_worker.cpp
+++ b/src/remote_write/export_worker.cpp
@@ -60,7 +60,7 @@
 void ExportWorker::scrape() {
     std::vector<Sample> samples = to_samples(collect_());
     append_own_metrics(samples);
-    const std::int64_t timestamp_ms = clock_.timestamp_ms(loop_.wall_clock(), loop_.now());
+    const std::int64_t timestamp_ms = clock_.next_timestamp_ms(loop_.wall_clock(), loop_.now());
     append(timestamp_ms, encoder_.encode(samples, timestamp_ms));
     notify_senders(static_cast<double>(samples.size()) / std::chrono::duration<double>(config_.interval).count());
 }
@@ -104,7 +104,7 @@
 
 void ExportWorker::stop() {
     stopping_ = true;
-    const std::int64_t timestamp_ms = clock_.timestamp_ms(loop_.wall_clock(), loop_.now());
+    const std::int64_t timestamp_ms = clock_.next_timestamp_ms(loop_.wall_clock(), loop_.now());
     append(timestamp_ms, encoder_.encode_end(timestamp_ms));
     notify_senders(0);
     stop_when_sent(loop_.now() + config_.shutdown_timeout);
--- a/src/remote_write/sample_clock.cpp
+++ b/src/remote_write/sample_clock.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-std::int64_t SampleClock::timestamp_ms(Time wall_time, Time now) {
+std::int64_t SampleClock::next_timestamp_ms(Time wall_time, Time now) {
     if (wall_time - (offset_ + now) > max_wall_clock_lead) offset_ = wall_time - now;
     last_ms_ = std::max<std::int64_t>(last_ms_ + 1, (offset_ + now).count() / microseconds_per_ms);
     return last_ms_;
--- a/src/remote_write/sample_clock.hpp
+++ b/src/remote_write/sample_clock.hpp
@@ -20,7 +20,7 @@
           last_ms_(last_ms) {}
 
     /// Milliseconds since the Unix epoch; greater with each call.
-    std::int64_t timestamp_ms(Time wall_time, Time now);
+    std::int64_t next_timestamp_ms(Time wall_time, Time now);
 
 private:
     Time offset_;  // wall-clock time minus monotonic time
--- a/src/scheduler/invoker.hpp
+++ b/src/scheduler/invoker.hpp
@@ -1,6 +1,7 @@
-/// What the scheduler knows of an invoker. Each group of fields is changed by one owner only.
+/// What the scheduler knows of an invoker. The comment on a group of fields names the component that changes it.
 ///
-/// The host owns Invoker objects and may free one after Actions::released_invokers names it.
+/// The host, which is the gateway or the simulator adapter, owns Invoker objects and may free one after
+/// Actions::released_invokers names it.
 #pragma once
 
 #include <string>
@@ -11,8 +12,8 @@
 
 namespace plumkeel {
 
-/// Factors learned from all invokers of one type. The factors of a single invoker are relative to these. Owned by the
-/// host and changed by LoadEstimator.
+/// Factors learned from all invokers of one type. The factors of a single invoker are relative to these. The host
+/// owns the object; only LoadEstimator changes it.
 struct InvokerType {
     double slowdown_factor{}, contention_factor{};
     int slowdown_samples{}, contention_samples{};
@@ -27,7 +28,8 @@
     recovering,
 };
 
-/// Owned by OutlierDetection, except for `probe_pending` and `probed_at`, which are set by HealthProber.
+/// Changed only by OutlierDetection, except for `probe_pending` and `probed_at`: HealthProber sets both when it sends a
+/// probe, and Scheduler clears `probe_pending` when the probe ends.
 struct InvokerHealth {
     /// No attempts are sent to an invoker with a higher error rate.
     static constexpr double max_error_rate = 0.35;
@@ -47,7 +49,7 @@
     bool is_error_prone() const { return error_rate > max_error_rate; }
 };
 
-/// Owned by SlowStart.
+/// Changed only by SlowStart.
 struct SlowStartState {
     std::optional<Time> since;  ///< start of the slow start; absent when the invoker is warmed up
     std::deque<Time> attempts;  ///< when this controller sent attempts in the last rate window
@@ -56,7 +58,8 @@
     double budget_rounding_offset{};
 };
 
-/// Owned by LoadEstimator.
+/// Changed only by LoadEstimator, except that InvokerRegistry clears `reported_load` when the invoker has
+/// restarted or is no longer listed.
 struct LoadEstimate {
     /// Run time on the idle invoker, relative to other invokers of its type.
     double slowdown_factor{};
@@ -75,7 +78,7 @@
     int recent_in_flight_change{};
 };
 
-/// Owned by CapacityTracker.
+/// Changed only by CapacityTracker.
 struct Backpressure {
     /// No attempts are sent before this time, because the invoker rejected one.
     Time backoff_until{};
@@ -84,7 +87,8 @@
 };
 
 struct Invoker {
-    // Set by the host, and updated with each change of the endpoint list.
+    // Set by the host, the code that calls the scheduler, and updated with each change of the endpoint list.
+    // InvokerRegistry clears `ready` when the invoker is no longer listed.
     std::string name;
     bool ready{};
     double capacity{};
@@ -94,7 +98,7 @@
     /// When the invoker's process started; absent if that is not known to be recent.
     std::optional<Time> started_at;
 
-    // Owned by InvokerRegistry.
+    // Changed only by InvokerRegistry, except for `table_entry` (FleetTable).
     bool is_registered{}, is_listed{};
     Time delisted_at{};
     std::uint64_t hash{};
@@ -109,7 +113,7 @@
     /// Attempts of this controller, oldest first. Changed by RequestLifecycle.
     std::vector<Attempt*> in_flight;
     Time last_used_at{};
-    /// Functions with a CachedFunction entry for this invoker. Owned by CachedCopies.
+    /// Functions with a CachedFunction entry for this invoker. Changed only by CachedCopies.
     std::vector<Function*> functions;
 
     // Numbers of the last endpoint list that named this invoker, of the last placement that scored it, and of the last
--- a/src/scheduler/invoker_registry.cpp
+++ b/src/scheduler/invoker_registry.cpp
@@ -11,15 +11,15 @@
 
 }  // namespace
 
-void InvokerRegistry::apply(const std::vector<Invoker*>& changed, bool is_complete) {
+void InvokerRegistry::apply(const std::vector<Invoker*>& changed_invokers, bool is_complete) {
     ++lists_applied_;
-    for (Invoker* invoker : changed) invoker->last_list_number = lists_applied_;
+    for (Invoker* invoker : changed_invokers) invoker->last_list_number = lists_applied_;
     if (is_complete) {
         context_.fleet.for_each([&](Invoker& invoker) {
             if (invoker.last_list_number != lists_applied_) delist(invoker);
         });
     }
-    for (Invoker* invoker : changed) add_or_update(*invoker);
+    for (Invoker* invoker : changed_invokers) add_or_update(*invoker);
 }
 
 void InvokerRegistry::add_or_update(Invoker& invoker) {
--- a/src/scheduler/invoker_registry.hpp
+++ b/src/scheduler/invoker_registry.hpp
@@ -20,7 +20,7 @@
           capacity_tracker_(capacity_tracker) {}
 
     /// Applies an endpoint list, or the changed entries of one. With `is_complete`, all other invokers are delisted.
-    void apply(const std::vector<Invoker*>& changed, bool is_complete);
+    void apply(const std::vector<Invoker*>& changed_invokers, bool is_complete);
     void delist(Invoker& invoker);
     /// Discards what was learned of the invoker's cached copies and load, after a restart or a long silence.
     void assume_restarted(Invoker& invoker);
--- a/src/scheduler/load_shedding.hpp
+++ b/src/scheduler/load_shedding.hpp
@@ -1,5 +1,5 @@
-/// Load shedding: decides what happens to a request that would miss its latency target only because of the requests
-/// ahead of it.
+/// Load shedding: parks or rejects a request that would miss its latency target only because of the requests ahead of
+/// it, or has a further copy of its function loaded.
 ///
 /// Such a request would also delay the requests behind it. Load shedding protects against overload, tenants over their
 /// quota and retry storms. If run times are overestimated, it sheds too much. (docs/design.md, exception "shed")
--- a/src/scheduler/probing.hpp
+++ b/src/scheduler/probing.hpp
@@ -1,5 +1,6 @@
-/// Decides which invokers are probed for health and load reports, and when. Each request that arrives earns an
-/// allowance for probes, because otherwise every controller would probe the whole fleet.
+/// Decides which invokers are probed for health and load reports, and when. The number of probes sent to get load
+/// reports is limited in proportion to the requests that arrived, because otherwise every controller would probe the
+/// whole fleet.
 #pragma once
 
 #include "scheduler/load_estimator.hpp"
--- a/src/scheduler/request.hpp
+++ b/src/scheduler/request.hpp
@@ -1,7 +1,8 @@
-/// A request and its attempts, as shared by the scheduler and its host.
+/// A request and its attempts, as shared by the scheduler and its host, the code that calls it: the gateway or the
+/// simulator adapter.
 ///
 /// The host owns Request objects and keeps each one until Request::is_settled(). Before it submits a request, it fills
-/// in the fields under "Set by the host"; all other fields are changed by the scheduler only.
+/// in the fields that are marked so below; all other fields are changed by the scheduler only.
 #pragma once
 
 #include <algorithm>
@@ -92,7 +93,7 @@
 };
 
 struct Request {
-    // Set by the host.
+    // Set by the host before it submits the request.
     std::uint64_t id{};
     const RequestClass* request_class{};
     Tenant* tenant{};
--- a/src/simulator_adapter/controller.cpp
+++ b/src/simulator_adapter/controller.cpp
@@ -63,7 +63,7 @@
     if (received.tenant)
         if (const auto tenant = tenants_.find(*received.tenant); tenant != tenants_.end())
             request.tenant = &tenant->second;
-    apply(scheduler_->submit(now, request), now, actions);
+    append_actions(scheduler_->submit(now, request), now, actions);
 }
 
 Function& Controller::update_function(const wire::RequestReceived& received) {
@@ -85,16 +85,16 @@
 
 void Controller::on_response_started(const json& event, Time now, json& actions) {
     if (Attempt* attempt = find_attempt_in_flight(event))
-        apply(scheduler_->response_started(now, *attempt), now, actions);
+        append_actions(scheduler_->response_started(now, *attempt), now, actions);
 }
 
 void Controller::on_attempt_ended(const json& event, Time now, json& actions) {
     Attempt* attempt = find_attempt_in_flight(event);
     if (!attempt) return;
     const wire::AttemptEnded ended = wire::decode_attempt_ended(event, reports_concurrency_);
-    apply(scheduler_->attempt_ended(now, *attempt, ended.outcome, ended.load_event, ended.concurrent_requests,
-                                    wire::decode_load_report(event, report_fields_)),
-          now, actions);
+    append_actions(scheduler_->attempt_ended(now, *attempt, ended.outcome, ended.load_event, ended.concurrent_requests,
+                                             wire::decode_load_report(event, report_fields_)),
+                   now, actions);
     erase_if_settled(wire::decode_request_id(event));
 }
 
@@ -102,24 +102,25 @@
     const std::uint64_t id = wire::decode_request_id(event);
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
-    apply(scheduler_->client_disconnected(now, *it->second), now, actions);
+    append_actions(scheduler_->client_disconnected(now, *it->second), now, actions);
     erase_if_settled(id);
 }
 
 void Controller::on_timer(const json& event, Time now, json& actions) {
     if (wire::decode_timer(event) != std::to_string(last_timer_number_)) return;  // a later timer has replaced this one
     timer_due_at_ = Time::max();
-    apply(scheduler_->wake(now), now, actions);
+    append_actions(scheduler_->wake(now), now, actions);
 }
 
 void Controller::on_endpoints(const json& event, Time now, const json* endpoint_bank, json& actions) {
     const wire::UpdateMode mode = wire::decode_update_mode(event);
-    if (mode == wire::UpdateMode::stream_lost) return apply(scheduler_->endpoint_stream_lost(now), now, actions);
+    if (mode == wire::UpdateMode::stream_lost)
+        return append_actions(scheduler_->endpoint_stream_lost(now), now, actions);
     if (!endpoint_bank) throw SettingsError("field 'bank': the endpoint bank of this update has not been received");
     std::vector<Invoker*> changed;
     for (const json& entry : *endpoint_bank) changed.push_back(update_invoker(entry));
     const bool is_complete = mode == wire::UpdateMode::complete;
-    apply(scheduler_->endpoints_changed(now, changed, is_complete), now, actions);
+    append_actions(scheduler_->endpoints_changed(now, changed, is_complete), now, actions);
 }
 
 Invoker* Controller::update_invoker(const json& entry) {
@@ -141,8 +142,9 @@
     Invoker* invoker = find_invoker(event);
     if (!invoker) return;
     const bool passed = wire::decode_health_check_passed(event);
-    apply(scheduler_->health_check_ended(now, *invoker, passed, wire::decode_load_report(event, report_fields_)), now,
-          actions);
+    append_actions(
+        scheduler_->health_check_ended(now, *invoker, passed, wire::decode_load_report(event, report_fields_)), now,
+        actions);
 }
 
 void Controller::on_preload_ended(const json& event, Time now, json& actions) {
@@ -150,7 +152,8 @@
     const wire::PreloadEnded ended = wire::decode_preload_ended(event);
     const auto function = functions_.find(ended.function);
     if (!invoker || function == functions_.end()) return;
-    apply(scheduler_->preload_ended(now, *function->second, *invoker, ended.outcome, ended.copies), now, actions);
+    append_actions(scheduler_->preload_ended(now, *function->second, *invoker, ended.outcome, ended.copies), now,
+                   actions);
 }
 
 Invoker* Controller::find_invoker(const json& event) {
@@ -163,7 +166,7 @@
     if (it != requests_.end() && it->second->is_settled()) requests_.erase(it);
 }
 
-void Controller::apply(const Actions& decisions, Time now, json& actions) {
+void Controller::append_actions(const Actions& decisions, Time now, json& actions) {
     wire::ActionList action_list(name_, actions);
     if (decisions.subscribe_endpoints) action_list.subscribe_endpoints();
     for (const Attempt* attempt : decisions.to_cancel) action_list.cancel(*attempt);
--- a/src/simulator_adapter/controller.hpp
+++ b/src/simulator_adapter/controller.hpp
@@ -39,7 +39,7 @@
     Attempt* find_attempt_in_flight(const json& event);
     Invoker* find_invoker(const json& event);
     void erase_if_settled(std::uint64_t request_id);
-    void apply(const Actions& decisions, Time now, json& actions);
+    void append_actions(const Actions& decisions, Time now, json& actions);
 
     const std::string name_;
     const Time started_at_;
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -109,10 +109,13 @@
     std::vector<InvokerBehaviour> script;
     Time service_time = 20ms;
     bool answers_probes = true;
-    Time starts_reading_at{};                                     // does not read before that time
-    std::vector<std::shared_ptr<net::Stream>> streams;            // accepted connections, oldest first
-    std::vector<std::pair<Time, std::string>> runs;               // arrival time and request id of each attempt
-    std::vector<std::string> stops, unexpected_lines, run_lines;  // run_lines: the RUN lines received
+    Time starts_reading_at{};                           // does not read before that time
+    std::vector<std::shared_ptr<net::Stream>> streams;  // accepted connections, oldest first
+    std::vector<std::pair<Time, std::string>> runs;     // arrival time and request id of each attempt
+    // stops: request ids of the STOP lines received
+    // unexpected_lines: lines with an unknown command, and RUN lines whose remaining time is 0 or negative
+    // run_lines: the RUN lines of attempts received with their whole body
+    std::vector<std::string> stops, unexpected_lines, run_lines;
     int connections{}, open_connections{};
 
     ScriptedInvoker(net::EventLoop& event_loop, const std::string& host, std::vector<InvokerBehaviour> behaviours)
--- a/tests/sample_clock_test.cpp
+++ b/tests/sample_clock_test.cpp
@@ -14,7 +14,7 @@
     for (int i = 1; i <= 100; ++i) {
         const Time now = std::chrono::seconds(i);
         const Time wall_time = 1000s + now - (i > 30 ? Time(1h) : Time{}) + (i > 60 ? Time(3h) : Time{});
-        const auto timestamp_ms = clock.timestamp_ms(wall_time, now);
+        const auto timestamp_ms = clock.next_timestamp_ms(wall_time, now);
         EXPECT_GT(timestamp_ms, last_ms);
         if (i > 1 && i != 61) {
             EXPECT_EQ(timestamp_ms - last_ms, 1000) << i;  // timestamps advance with the monotonic clock
@@ -24,7 +24,7 @@
     EXPECT_GE(last_ms, (1000s + 2h) / 1ms);
     // The wall clock was set back between two runs of the process.
     SampleClock next_run(900s, 0s, 1'000'000);
-    EXPECT_EQ(next_run.timestamp_ms(901s, 1s), 1'001'000);
+    EXPECT_EQ(next_run.next_timestamp_ms(901s, 1s), 1'001'000);
 }
 
 }  // namespace
