--- a/emulator/remote_write_process.cpp
+++ b/emulator/remote_write_process.cpp
@@ -19,7 +19,14 @@
     return static_cast<std::uint16_t>(port);
 }
 
-// Commands: takes; stalls; status status=HTTP_STATUS retry_after=S; cuts; late; forget.
+// Commands:
+//   takes   accepts samples and answers with status 204, or with 400 if the message is invalid
+//   stalls  accepts no samples and never answers
+//   status status=HTTP_STATUS retry_after=S
+//           accepts no samples and answers with the status (default: 503) and, if given, the header Retry-After
+//   cuts    accepts no samples and resets the connection in the middle of the response
+//   late    accepts samples but does not answer, unless the message is invalid (400)
+//   forget  deletes all series received so far
 void execute(RemoteWriteReceiver& receiver, const Command& command) {
     using Mode = RemoteWriteReceiver::Mode;
     static const std::map<std::string, Mode> modes = {{"takes", Mode::accept},
--- a/emulator/scenario_processes.hpp
+++ b/emulator/scenario_processes.hpp
@@ -23,7 +23,8 @@
     /// Returns a message for each process that exited early or with an error.
     std::vector<std::string> stop_all();
 
-    /// Sends a command to the process `target`: an invoker's name, store, list, clients or receiver.
+    /// Sends a command to the process `target`: "store", "list" (the emulated Consul), "clients", "receiver", or the
+    /// name of an invoker.
     void send_command(const std::string& target, const std::string& line);
     void kill_invoker(const std::string& name);
     void start_invoker(const std::string& name, bool cold);
--- a/soak/client_state.cpp
+++ b/soak/client_state.cpp
@@ -51,13 +51,13 @@
 }
 
 Task<bool> ClientState::is_healthy() {
-    const auto connected = co_await loop_.connect(options_.controller, connect_timeout);
-    if (connected.error) co_return false;
-    const auto write_queue = std::make_shared<net::WriteQueue>(loop_, connected.stream);
+    const auto connect_result = co_await loop_.connect(options_.controller, connect_timeout);
+    if (connect_result.error) co_return false;
+    const auto write_queue = std::make_shared<net::WriteQueue>(loop_, connect_result.stream);
     write_queue->send(bytes::message(1, {{"SCRIPT_NAME", "/_health"}}));
     std::string answer;
     std::vector<char> chunk(512);
-    auto stream = connected.stream;
+    auto stream = connect_result.stream;
     auto timeout = loop_.call_at(loop_.now() + connect_timeout, [stream] { stream->close(); });
     while (answer.find("\r\n\r\n") == std::string::npos) {
         const net::TransferResult read = co_await stream->read(net::asio::buffer(chunk));
@@ -143,11 +143,11 @@
 }
 
 Task<ClientState::ConnectionPointer> ClientState::open_connection(bool exclusive) {
-    const auto connected = co_await loop_.connect(options_.controller, connect_timeout);
-    if (connected.error) co_return nullptr;
+    const auto connect_result = co_await loop_.connect(options_.controller, connect_timeout);
+    if (connect_result.error) co_return nullptr;
     const auto connection = std::make_shared<Connection>();
-    connection->stream = connected.stream;
-    connection->write_queue = std::make_shared<net::WriteQueue>(loop_, connected.stream);
+    connection->stream = connect_result.stream;
+    connection->write_queue = std::make_shared<net::WriteQueue>(loop_, connect_result.stream);
     connection->exclusive = exclusive;
     connections_.push_back(connection);
     loop_.spawn(read(connection));
@@ -283,9 +283,9 @@
 
 Task<> ClientState::run_faulty_connection(std::string bytes, ReadMode read_mode) {
     const auto self = shared_from_this();
-    const auto connected = co_await loop_.connect(options_.controller, connect_timeout);
-    if (connected.error) co_return;
-    const auto stream = connected.stream;
+    const auto connect_result = co_await loop_.connect(options_.controller, connect_timeout);
+    if (connect_result.error) co_return;
+    const auto stream = connect_result.stream;
     const auto write_queue = std::make_shared<net::WriteQueue>(loop_, stream);
     write_queue->send(std::move(bytes));
     if (read_mode == ReadMode::none) co_await loop_.sleep(unread_connection_duration);
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -158,7 +158,7 @@
 }
 
 void FaultSchedule::replace_third_of_invokers(Time) {
-    const std::size_t replaced_count = fleet_.active_invokers() / 3;
+    const std::size_t replaced_count = fleet_.active_invoker_count() / 3;
     for (std::size_t i = 0; i < replaced_count; ++i)
         context_.call_after(context_.random_time(0ms, 1500ms), [this] { replace_one_invoker({}); });
 }
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -112,7 +112,7 @@
     return active.empty() ? nullptr : active[context_.random_index(active.size())];
 }
 
-std::size_t Fleet::active_invokers() const {
+std::size_t Fleet::active_invoker_count() const {
     return static_cast<std::size_t>(std::count_if(
         invokers_.begin(), invokers_.end(), [](const auto& invoker) { return invoker->listed && !invoker->draining; }));
 }
--- a/soak/fleet.hpp
+++ b/soak/fleet.hpp
@@ -33,7 +33,7 @@
 
     /// Returns a random invoker that is listed and isn't draining, or null if there is none.
     InvokerProcess* random_invoker();
-    std::size_t active_invokers() const;
+    std::size_t active_invoker_count() const;
     InvokerControl& control(const InvokerProcess& invoker) { return context_.control.invoker(invoker.number); }
     const std::vector<std::unique_ptr<InvokerProcess>>& invokers() const { return invokers_; }
 
--- a/soak/judge.cpp
+++ b/soak/judge.cpp
@@ -26,9 +26,11 @@
         if (invoker == context.history.invokers.end() || invoker->second.drained_us == never) continue;
         const std::int64_t since_drained_us = event.time_us - invoker->second.drained_us;
         if (since_drained_us > max_attempt_delay_after_drain_us + socket_read_slack_us)
-            context.report(Rule::drain, event.request_id,
-                           fmt::format("attempt was sent to invoker {} {} ms after its drain", event.invoker_number,
-                                       since_drained_us / us_per_ms));
+            context.report(
+                Rule::drain, event.request_id,
+                fmt::format(
+                    "attempt was sent to invoker {}, {} ms after controllers should know of its drain or removal",
+                    event.invoker_number, since_drained_us / us_per_ms));
     }
 }
 
--- a/soak/judge_slow_start.cpp
+++ b/soak/judge_slow_start.cpp
@@ -68,10 +68,11 @@
         const double allowed = allowed_attempts(rule, capacity, age_us);
         const double load_ratio = static_cast<double>(window.size()) / allowed;
         if (load_ratio > 1 && peak_load_ratio <= 1)
-            context.report(Rule::slow_start, 0,
-                           fmt::format("invoker {} received {} attempts in a window that ended {} ms after its start; "
-                                       "at most {:.1f} are allowed",
-                                       invoker.number, window.size(), age_us / us_per_ms, allowed));
+            context.report(
+                Rule::slow_start, 0,
+                fmt::format("invoker {} received {} attempts in a window that ended {} ms after the invoker's start; "
+                            "at most {:.1f} are allowed",
+                            invoker.number, window.size(), age_us / us_per_ms, allowed));
         peak_load_ratio = std::max(peak_load_ratio, load_ratio);
     }
 }
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -82,33 +82,35 @@
 
 void add_run_command(CLI::App& app, CommandLine& command_line) {
     const std::filesystem::path program_path = std::filesystem::canonical("/proc/self/exe");
-    RunOptions& run = command_line.run;
-    run.soak_program = program_path;
-    run.controller_program = program_path.parent_path() / "plumkeel";
-    run.fault_preload_library = program_path.parent_path() / "libplumkeel_fault_preload.so";
-    run.folder = "runs/soak";
+    RunOptions& run_options = command_line.run;
+    run_options.soak_program = program_path;
+    run_options.controller_program = program_path.parent_path() / "plumkeel";
+    run_options.fault_preload_library = program_path.parent_path() / "libplumkeel_fault_preload.so";
+    run_options.folder = "runs/soak";
     CLI::App* command = app.add_subcommand("run", "do a soak run for one seed or for several consecutive seeds");
-    command->add_option("--seed", run.seed, "the first seed")->capture_default_str();
+    command->add_option("--seed", run_options.seed, "the first seed")->capture_default_str();
     command->add_option("--seeds", command_line.seed_count, "number of consecutive seeds")->capture_default_str();
-    command->add_option("--controllers", run.controller_count)->capture_default_str()->check(CLI::Range(1, 60));
-    command->add_option("--invokers", run.invoker_count)->capture_default_str()->check(CLI::Range(1, 40));
-    command->add_option("--proxies", run.proxy_count)->capture_default_str()->check(CLI::Range(1, 16));
-    command->add_option("--seconds", run.fault_seconds, "seconds from the start of a run until faults end")
+    command->add_option("--controllers", run_options.controller_count)->capture_default_str()->check(CLI::Range(1, 60));
+    command->add_option("--invokers", run_options.invoker_count)->capture_default_str()->check(CLI::Range(1, 40));
+    command->add_option("--proxies", run_options.proxy_count)->capture_default_str()->check(CLI::Range(1, 16));
+    command->add_option("--seconds", run_options.fault_seconds, "seconds from the start of a run until faults end")
         ->capture_default_str()
         ->check(CLI::Range(1, 3600));
-    command->add_option("--gap", run.max_fault_gap_ms, "longest time between the starts of two faults, in ms")
+    command->add_option("--gap", run_options.max_fault_gap_ms, "longest time between the starts of two faults, in ms")
         ->capture_default_str()
         ->check(CLI::Range(50, 60'000));
-    command->add_option("--rate", run.requests_per_second, "requests per second to each controller")
+    command->add_option("--rate", run_options.requests_per_second, "requests per second to each controller")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 500.0));
-    command->add_option("--folder", run.folder, "folder of logs and events; a run first deletes its subfolder seed-N")
+    command
+        ->add_option("--folder", run_options.folder,
+                     "folder of logs and events; a run first deletes its subfolder seed-N")
         ->capture_default_str();
-    command->add_option("--program", run.controller_program)->capture_default_str();
-    command->add_option("--preload", run.fault_preload_library)->capture_default_str();
+    command->add_option("--program", run_options.controller_program)->capture_default_str();
+    command->add_option("--preload", run_options.fault_preload_library)->capture_default_str();
     command->add_option("--only", command_line.only_faults, "faults to start; without this option, all of them")
         ->check(CLI::IsMember(FaultSchedule::names()));
-    command->add_flag("--quiet", run.quiet, "print only results, no log lines");
+    command->add_flag("--quiet", run_options.quiet, "print only results, no log lines");
 }
 
 // Returns whether the runs of all seeds kept the rules.
--- a/src/cli/client.hpp
+++ b/src/cli/client.hpp
@@ -6,7 +6,13 @@
 namespace plumkeel::cli {
 
 /// Exit statuses of the command `send`. The command `status` uses only `success` and `no_response`.
-enum ExitStatus : int { success = 0, no_response = 1, request_rejected = 3, request_failed = 4, request_refused = 5 };
+enum ExitStatus : int {
+    success = 0,           ///< `send`: the request succeeded; `status`: the document was received.
+    no_response = 1,       ///< No response arrived; `status`: or its HTTP status wasn't 200.
+    request_rejected = 3,  ///< The request did not run and may be sent again.
+    request_failed = 4,    ///< The request failed and may have run.
+    request_refused = 5    ///< Admission control refused the request: the response states a rejection reason.
+};
 
 /// The options of the command `send`, which describe one request.
 struct SendOptions {
--- a/src/cli/trace_input.cpp
+++ b/src/cli/trace_input.cpp
@@ -37,8 +37,8 @@
 void print_damage(const std::string& file, const trace::Reader& reader) {
     for (const trace::Damage& damage : reader.damage())
         fmt::print(stderr, "{}: {} at byte {}, {} bytes lost{}{}\n", file, damage.what, damage.offset, damage.bytes,
-                   damage.after ? fmt::format(", after {:.3f} s", to_seconds(*damage.after)) : "",
-                   damage.before ? fmt::format(", before {:.3f} s", to_seconds(*damage.before)) : "");
+                   damage.after ? fmt::format(", after records up to {:.3f} s", to_seconds(*damage.after)) : "",
+                   damage.before ? fmt::format(", before records from {:.3f} s", to_seconds(*damage.before)) : "");
 }
 
 trace_analysis::HistoryFilter make_filter(const TraceOptions& options) {
