--- a/src/trace/record_codec.hpp
+++ b/src/trace/record_codec.hpp
@@ -85,7 +85,7 @@
 };
 
 /// Encodes or decodes each value that it is called with, for a `Body` of BodyWriter or BodyReader. Structs need an
-/// overload of visit_fields(codec, value), which is found by argument-dependent lookup.
+/// overload of apply_codec(codec, value), which is found by argument-dependent lookup.
 template <class Body>
 class FieldCodec {
 public:
@@ -173,7 +173,7 @@
         (*this)(value.second);
     }
     template <class T>
-    requires(std::is_class_v<T>) void operator()(T& value) { visit_fields(*this, value); }
+    requires(std::is_class_v<T>) void operator()(T& value) { apply_codec(*this, value); }
 
     template <class... T>
     void fields(T&... values) {
