--- a/src/fastcgi/server.cpp
+++ b/src/fastcgi/server.cpp
@@ -134,7 +134,7 @@
 bool Server::has_unread_input() const {
     return waiting_connections_ > 0 || (listener_ && listener_->has_pending()) ||
            std::any_of(connections_.begin(), connections_.end(),
-                       [](const auto& each) { return each.second->has_unread_input(); });
+                       [](const auto& entry) { return entry.second->has_unread_input(); });
 }
 
 // Stops listening once connections in the backlog and requests in socket buffers have been read, so that requests that
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -52,8 +52,8 @@
     ActiveRequest* submit(IncomingRequest incoming, std::shared_ptr<ResponseSink> sink);
     /// Cancels a request whose client has disconnected. Its sink is released and not called again.
     void client_disconnected(ActiveRequest& request);
-    /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
-    /// of the process. `lateness`: a delay that the caller has measured itself.
+    /// Returns the longest time for which bytes that are read now may have waited in their socket; above 0 only after a
+    /// pause of the process. `lateness`: a delay that the caller has measured itself.
     Time max_unread_time(Time lateness = {}) const { return stall_monitor_.max_unread_time(lateness); }
 
     /// Applies a new list of invokers. `complete`: `changed` is the whole list, and all other invokers are removed.
--- a/src/gateway/metrics_collector.cpp
+++ b/src/gateway/metrics_collector.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Collection rounds between two reviews of which tenants and functions get metric series of their own.
-constexpr std::uint64_t rounds_per_review = 5;
+/// Collections between two updates of which tenants and functions have metric series of their own.
+constexpr std::uint64_t collections_per_name_update = 5;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     snapshot.gauge_update_delay_s = std::max(0.0, std::chrono::duration<double>(loop_.now() - due_at_).count());
     if (extend_snapshot_) extend_snapshot_(snapshot);
     metrics_.set_snapshot(snapshot);
-    if (++rounds_ % rounds_per_review == 0) metrics_.update_reported_names();
+    if (++collection_count_ % collections_per_name_update == 0) metrics_.update_reported_names();
     due_at_ = loop_.now() + metrics_.config().interval;
     timer_ = loop_.call_at(due_at_, [this] { collect(); });
 }
--- a/src/gateway/metrics_collector.hpp
+++ b/src/gateway/metrics_collector.hpp
@@ -22,7 +22,7 @@
     MetricsCollector& operator=(const MetricsCollector&) = delete;
 
     void start();
-    /// `extend_snapshot` is called in each round to add gauges that are measured outside the gateway.
+    /// `extend_snapshot` is called at each collection to add gauges that are measured outside the gateway.
     void set_snapshot_extension(std::function<void(metrics::MetricSnapshot&)> extend_snapshot) {
         extend_snapshot_ = std::move(extend_snapshot);
     }
@@ -36,7 +36,7 @@
     std::function<void(metrics::MetricSnapshot&)> extend_snapshot_;
     net::EventLoop::TimerKey timer_{};
     Time due_at_{};
-    std::uint64_t rounds_{};
+    std::uint64_t collection_count_{};
 };
 
 }  // namespace plumkeel::gateway
--- a/src/gateway/request_accounting.hpp
+++ b/src/gateway/request_accounting.hpp
@@ -15,7 +15,7 @@
 struct RequestCounters {
     std::uint64_t received{}, succeeded{}, rejected{}, failed{}, cancelled{};
     std::uint64_t streamed{};        ///< responses that were streamed to the client
-    std::uint64_t late_responses{};  ///< responses of attempts whose request was completed before
+    std::uint64_t late_responses{};  ///< responses of attempts whose request was already completed
     std::uint64_t attempts{}, health_checks{}, preloads{};
 };
 
--- a/src/gateway/stall_monitor.hpp
+++ b/src/gateway/stall_monitor.hpp
@@ -16,8 +16,8 @@
     StallMonitor& operator=(const StallMonitor&) = delete;
 
     void request_received();
-    /// The longest time for which bytes that are read now may have waited in their socket; above 0 only after a pause
-    /// of the process. `lateness`: a delay that the caller has measured itself.
+    /// Returns the longest time for which bytes that are read now may have waited in their socket; above 0 only after a
+    /// pause of the process. `lateness`: a delay that the caller has measured itself.
     Time max_unread_time(Time lateness) const;
 
 private:
--- a/src/gateway/start_clock.hpp
+++ b/src/gateway/start_clock.hpp
@@ -15,8 +15,8 @@
     void compare(Time now, Time wall_time);
 
     /// Returns the monotonic time of the Unix time `started`. The invoker's wall clock may or may not have stepped
-    /// together with ours, so several results are possible. The latest one that is not after `now` is returned, so that
-    /// an invoker in slow start is never taken for warm; if there is none, `now`.
+    /// together with the controller's, so several results are possible. The latest one that is not after `now` is
+    /// returned, so that an invoker in slow start is never taken for warm; if there is none, `now`.
     Time monotonic_time_of(Time started, Time now) const;
 
     /// Number of steps of the wall clock seen so far.
--- a/src/gateway/status.hpp
+++ b/src/gateway/status.hpp
@@ -47,6 +47,7 @@
     boost::json::object status() const;
     /// One row per invoker: the scheduler's estimates, and the number of calls and connections.
     boost::json::array estimates() const;
+    /// The current values of the gauges, and of counters that other components keep.
     metrics::MetricSnapshot metric_snapshot() const;
 
 private:
--- a/src/invoker_protocol/invoker_connection.cpp
+++ b/src/invoker_protocol/invoker_connection.cpp
@@ -347,8 +347,8 @@
     if (write_queue_) pool_.budget_.on_idle(*this);
 }
 
-// Called when the descriptor is closed; further calls have no effect. Not called by the destructor, since the loop may
-// destroy a coroutine that holds the connection after the budget.
+// Called when the descriptor is closed; further calls have no effect. Not called by the destructor: the event loop may
+// destroy a coroutine that holds the connection when the budget no longer exists.
 void InvokerConnection::release_budget() {
     if (std::exchange(is_counted_in_budget_, false)) pool_.budget_.on_closed();
 }
--- a/src/net/usage.cpp
+++ b/src/net/usage.cpp
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-Usage usage() {
-    Usage current;
+ResourceUsage usage() {
+    ResourceUsage current;
     current.resident_kb = resident_kb();
     current.descriptors = open_descriptors();
     current.cpu = cpu_time();
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -101,7 +101,7 @@
 
 void PlatformServer::log_status() {
     auto status = gateway_.status();
-    const net::Usage usage = net::usage();
+    const net::ResourceUsage usage = net::usage();
     status["resident_kb"] = usage.resident_kb;
     status["descriptors"] = usage.descriptors;
     status["cpu_ms"] = usage.cpu / 1ms;
--- a/src/scheduler/outlier_detection.cpp
+++ b/src/scheduler/outlier_detection.cpp
@@ -21,7 +21,9 @@
 /// Panic mode holds while a smaller share of the ready invokers is healthy.
 constexpr double min_healthy_share = 0.34;
 constexpr double error_rate_gain_per_response = 0.12;
-constexpr double error_rate_decay_per_sweep = 0.95;
+/// A sweep is the scheduler's periodic pass over the invokers that have attempts in flight, are unhealthy or had
+/// errors. Each sweep multiplies the error rates of these invokers by this factor.
+constexpr double error_rate_decay_factor = 0.95;
 constexpr double negligible_error_rate = 1e-6;
 
 }  // namespace
@@ -89,7 +91,7 @@
 void OutlierDetection::review(Invoker& invoker) {
     InvokerHealth& health = invoker.health;
     if (health.error_rate > 0) {
-        const double decayed = health.error_rate * error_rate_decay_per_sweep;
+        const double decayed = health.error_rate * error_rate_decay_factor;
         health.error_rate = decayed < negligible_error_rate ? 0 : decayed;
         context_.refresh_fleet_entry(invoker);
     }
--- a/src/scheduler/placement_index.cpp
+++ b/src/scheduler/placement_index.cpp
@@ -161,7 +161,7 @@
 void PlacementIndex::collect_up_to_max_rank(std::uint64_t key, Homes& homes) {
     homes.ranked.clear();
     for (std::size_t i = 0; i < entries_.size(); ++i) {
-        i = next_possible(key, i, homes.max_rank);
+        i = next_candidate_position(key, i, homes.max_rank);
         if (i == entries_.size()) break;
         const auto rank = rank_within(key, entries_[i].hash, entries_[i].weight, homes.max_rank);
         if (rank) homes.ranked.push_back({*rank, invokers_[i]});
@@ -169,8 +169,9 @@
     ranks_computed_ += entries_.size();
 }
 
-// The position of the first entry from `start` on that may have a rank of at most `max_rank`, or the number of entries.
-std::size_t PlacementIndex::next_possible(std::uint64_t key, std::size_t start, double max_rank) const {
+// Returns the position of the first entry from `start` on that may have a rank of at most `max_rank`, or the number of
+// entries.
+std::size_t PlacementIndex::next_candidate_position(std::uint64_t key, std::size_t start, double max_rank) const {
     const Entry* const entries = entries_.data();
     const std::size_t count = entries_.size();
     for (std::size_t i = start; i < count;) {
--- a/src/scheduler/placement_index.hpp
+++ b/src/scheduler/placement_index.hpp
@@ -58,7 +58,7 @@
     bool apply_missed_changes(std::uint64_t key, Homes& homes);
     void search(std::uint64_t key, Homes& homes, std::size_t count);
     void collect_up_to_max_rank(std::uint64_t key, Homes& homes);
-    std::size_t next_possible(std::uint64_t key, std::size_t start, double max_rank) const;
+    std::size_t next_candidate_position(std::uint64_t key, std::size_t start, double max_rank) const;
     static void shorten(Homes& homes, std::size_t count);
 
     std::vector<Entry> entries_;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -30,7 +30,7 @@
         {"severed", AttemptOutcome::connection_lost},  {"recalled", AttemptOutcome::cancelled},
     };
     const auto it = outcomes.find(state);
-    // All other states count as a failure, after which the attempt may have run.
+    // All other states count as a failure; the function may have run.
     return it == outcomes.end() ? AttemptOutcome::failed : it->second;
 }
 
--- a/src/trace_analysis/history_filter.hpp
+++ b/src/trace_analysis/history_filter.hpp
@@ -20,7 +20,7 @@
 /// Words that parse_outcome_filter() accepts, for help texts and error messages. It also accepts the words used in
 /// exported JSON.
 constexpr std::string_view outcome_filter_words =
-    "succeeded, late, rejected, failed, cancelled, unfinished, or badly for all but succeeded";
+    "succeeded, late, rejected, failed, cancelled, unfinished, or 'badly' (every outcome but succeeded)";
 /// Parses an outcome. Throws TraceError if the word is not an outcome.
 OutcomeFilter parse_outcome_filter(const std::string& word);
 
--- a/src/trace_analysis/summary.cpp
+++ b/src/trace_analysis/summary.cpp
@@ -50,11 +50,11 @@
     if (at < Time{}) return nullptr;
     const std::size_t index = second_of(at);
     if (index >= max_seconds_) return nullptr;
-    if (index >= seconds_.size()) {
-        seconds_.resize(index + 1);
+    if (index >= stats_by_second_.size()) {
+        stats_by_second_.resize(index + 1);
         parked_change_by_second_.resize(index + 2);
     }
-    return &seconds_[index];
+    return &stats_by_second_[index];
 }
 
 void Summary::add(const RequestHistory& history) {
@@ -119,9 +119,9 @@
 
 void Summary::finish() {
     std::int64_t parked = 0;
-    for (std::size_t i = 0; i < seconds_.size(); ++i) {
+    for (std::size_t i = 0; i < stats_by_second_.size(); ++i) {
         parked += parked_change_by_second_[i];
-        seconds_[i].parked = static_cast<std::uint64_t>(std::max<std::int64_t>(0, parked));
+        stats_by_second_[i].parked = static_cast<std::uint64_t>(std::max<std::int64_t>(0, parked));
     }
     std::stable_sort(annotations_.begin(), annotations_.end(),
                      [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
@@ -129,10 +129,10 @@
 
 std::optional<Summary::Period> Summary::worst_period(std::size_t length_s) const {
     std::optional<Period> worst;
-    for (std::size_t from = 0; from < seconds_.size(); ++from) {
+    for (std::size_t from = 0; from < stats_by_second_.size(); ++from) {
         OutcomeCounts sum;
-        const std::size_t end = std::min(seconds_.size(), from + length_s);
-        for (std::size_t i = from; i < end; ++i) sum.add(seconds_[i].ended);
+        const std::size_t end = std::min(stats_by_second_.size(), from + length_s);
+        for (std::size_t i = from; i < end; ++i) sum.add(stats_by_second_[i].ended);
         if (sum.ended_badly() > (worst ? worst->ended.ended_badly() : 0))
             worst = Period{std::chrono::seconds(from), sum};
     }
--- a/src/trace_analysis/summary.hpp
+++ b/src/trace_analysis/summary.hpp
@@ -42,7 +42,7 @@
     const std::map<std::string, RequestStats>& tenants() const { return tenants_; }
     const std::map<std::string, RequestStats>& functions() const { return functions_; }
     const std::map<std::string, AttemptStats>& invokers() const { return invokers_; }
-    const std::vector<SecondStats>& seconds() const { return seconds_; }
+    const std::vector<SecondStats>& seconds() const { return stats_by_second_; }
     const std::vector<Annotation>& annotations() const { return annotations_; }
 
     struct Period {
@@ -66,7 +66,7 @@
     RequestStats all_;
     std::map<std::string, RequestStats> request_classes_, tenants_, functions_;
     std::map<std::string, AttemptStats> invokers_;
-    std::vector<SecondStats> seconds_;
+    std::vector<SecondStats> stats_by_second_;
     std::vector<std::int64_t> parked_change_by_second_;  // change of the number of parked requests
     std::vector<Annotation> annotations_;
     std::map<std::uint64_t, EndpointDiff> endpoints_;                   // by index of the controller
--- a/src/web/protocol.hpp
+++ b/src/web/protocol.hpp
@@ -10,7 +10,9 @@
 
 namespace plumkeel::protocol {
 
-/// Names of the header fields in requests and responses.
+/// Names of the header fields in requests and responses. They are fixed by the protocol, in which `job` means a
+/// request, `hop` an attempt, `mark` an idempotency key, `lanes` the concurrency of a copy, `company` the number of
+/// concurrent requests, and `objection` the reason of a rejection.
 namespace field {
 constexpr std::string_view request_class = "plumkeel-use-case", tenant = "plumkeel-tenant",
                            remaining = "plumkeel-time-left", concurrency = "plumkeel-lanes", memory = "plumkeel-memory",
--- a/tests/scheduler_tables_test.cpp
+++ b/tests/scheduler_tables_test.cpp
@@ -55,13 +55,15 @@
     table_.record_repeated_call(a);
     table_.record_repeated_call(b);
     table_.record_repeated_call(a);
-    EXPECT_EQ(table_.eviction_candidate(0), &c) << "more than 0 functions were called once";
-    EXPECT_EQ(table_.eviction_candidate(1), &b) << "otherwise the least recently used of those called repeatedly";
+    EXPECT_EQ(table_.eviction_candidate(0), &c)
+        << "The only function called once exceeds the limit of 0 and is evicted first.";
+    EXPECT_EQ(table_.eviction_candidate(1), &b)
+        << "One function called once is within the limit of 1, so the least recently used other is evicted.";
     table_.touch(b);
     EXPECT_EQ(table_.eviction_candidate(1), &a);
     table_.remove(a);
     table_.remove(b);
-    EXPECT_EQ(table_.eviction_candidate(1), &c) << "no function called repeatedly is left";
+    EXPECT_EQ(table_.eviction_candidate(1), &c) << "Only the function called once is left.";
     table_.remove(c);
     EXPECT_EQ(table_.eviction_candidate(1), nullptr);
     EXPECT_EQ(table_.size(), 0u);
@@ -75,7 +77,8 @@
     table_.schedule_review(a, 9s);
     table_.schedule_review(b, 7s);
     EXPECT_TRUE(table_.take_due_reviews(1s).empty());
-    EXPECT_EQ(table_.take_due_reviews(4s), (std::vector<Function*>{&a, &c})) << "in the order in which they were added";
+    EXPECT_EQ(table_.take_due_reviews(4s), (std::vector<Function*>{&a, &c}))
+        << "Due reviews are taken in the order in which their functions were added.";
     EXPECT_TRUE(table_.take_due_reviews(6s).empty());
     table_.remove(b);
     EXPECT_TRUE(table_.take_due_reviews(10s).empty());
--- a/tests/trace_fuzz.cpp
+++ b/tests/trace_fuzz.cpp
@@ -88,10 +88,10 @@
     });
 }
 
-std::string to_file(const std::vector<trace::Record>& records) {
+std::string encode_trace_file(const std::vector<trace::Record>& records) {
     MemoryFile file;
     trace::Writer writer(file, trace::Time(5), 700);
-    for (const trace::Record& each : records) writer.add(each);
+    for (const trace::Record& record : records) writer.add(record);
     writer.finish();
     return std::move(file.bytes);
 }
@@ -150,14 +150,14 @@
     options.requests = 40;
     options.candidates = true;
     const auto records = simulated_trace(options);
-    const std::string intact_bytes = to_file(records);
+    const std::string intact_bytes = encode_trace_file(records);
     std::uint64_t random_state = 2026;
     for (int round = 0; round < rounds; ++round) {
         std::string bytes = intact_bytes;
         for (auto changes = 1 + next_random(random_state) % 3; changes > 0; --changes)
             damage_bytes(bytes, random_state);
         LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-        read_as_trace(to_file(with_malformed_records(records, random_state)));
+        read_as_trace(encode_trace_file(with_malformed_records(records, random_state)));
     }
     std::printf("%d damaged files, and as many with malformed records, were read without a crash\n", rounds);
     return 0;
