--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -35,7 +35,7 @@
     run(8s);
     std::size_t answered_requests = 0, succeeded_requests = 0;
     for (ScriptedClient* client : scripted_clients) {
-        const auto responses = answers(client->received);
+        const auto responses = parse_responses(client->received);
         ASSERT_TRUE(responses);
         for (int request_number = 1; request_number <= 20; ++request_number) {
             answered_requests += responses->count(request_number) && responses->at(request_number).end_records == 1;
